--- a/crates/hawthorn-daemon/src/process/fleet/duty.rs
+++ b/crates/hawthorn-daemon/src/process/fleet/duty.rs
@@ -9,7 +9,7 @@
 use hawthorn_fleet::FleetAction;
 use hawthorn_fleet::MemberId;
 use hawthorn_fleet::MemberTable;
-use hawthorn_fleet::SpreadState;
+use hawthorn_fleet::PropagationState;
 use hawthorn_fleet::handover::Handover;
 use hawthorn_fleet::handover::HandoverAction;
 use hawthorn_types::HostKey;
@@ -47,7 +47,7 @@
     pub(super) me: MemberId,
     pub(super) table: MemberTable,
     pub(super) handover: Handover,
-    pub(super) spread: SpreadState,
+    pub(super) spread: PropagationState,
     pub(super) links: Arc<PeerLinks>,
     pub(super) store: mpsc::Sender<StoreCall>,
     pub(super) busy: watch::Receiver<Arc<HashSet<u16>>>,
@@ -143,7 +143,7 @@
     pub(super) fn tick(&mut self) {
         let now = self.now();
         self.table.tick(now);
-        self.spread.set_zone(&self.zone, self.me, self.table.staying(&self.zone));
+        self.spread.set_zone(&self.zone, self.me, self.table.active_hosts(&self.zone));
         self.spread.tick(now);
         self.handover.observe(now, self.table.zone_view(now));
         let busy = Arc::clone(&self.busy.borrow());
@@ -203,16 +203,18 @@
                 // A datagram may be lost anywhere; here is no different.
                 let _sent = socket.send_to(&bytes, to).await;
             }
-            FleetAction::DigestHeard { peer, digest } => self.spread.heard(now, peer, digest),
-            FleetAction::HandoverHeard { peer, message } => {
+            FleetAction::DigestReceived { peer, digest } => {
+                self.spread.receive_digest(now, peer, digest)
+            }
+            FleetAction::HandoverReceived { peer, message } => {
                 self.handover.receive(now, peer, message);
             }
-            FleetAction::SelfPaused(span) => {
+            FleetAction::ProcessPaused(span) => {
                 let span = span.as_millis();
                 crate::log_event!(Level::Warn, LogEvent::PauseNoticed, "stood still for {span} ms");
-                self.handover.resumed(now);
+                self.handover.reacquire(now);
             }
-            FleetAction::SelfDoubted => self.handover.resumed(now),
+            FleetAction::DeathRefuted => self.handover.reacquire(now),
             FleetAction::MemberUp(host) => self.log_member(LogEvent::MemberUp, host),
             FleetAction::MemberDown(host) => self.log_member(LogEvent::MemberDown, host),
             FleetAction::ViewChanged(_) => self.publish_view(),
@@ -222,8 +224,8 @@
             FleetAction::ZoneLost(zone) => self.log_zone(LogEvent::ZoneLost, &zone),
             FleetAction::ZoneFound(zone) => self.log_zone(LogEvent::ZoneFound, &zone),
             FleetAction::MemberLeaving(_)
-            | FleetAction::MemberForgotten(_)
-            | FleetAction::PayloadHeard { .. }
+            | FleetAction::MemberRemoved(_)
+            | FleetAction::PayloadReceived { .. }
             | FleetAction::Synced => {}
         }
     }
--- a/crates/hawthorn-daemon/src/process/fleet/edition.rs
+++ b/crates/hawthorn-daemon/src/process/fleet/edition.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hawthorn_fleet::spread;
-use hawthorn_fleet::spread::ConfigEdition;
-use hawthorn_fleet::spread::SpreadAction;
-use hawthorn_fleet::spread::SpreadAlarm;
-use hawthorn_fleet::spread::StoreAnswer;
+use hawthorn_fleet::propagation;
+use hawthorn_fleet::propagation::ConfigEdition;
+use hawthorn_fleet::propagation::PropagationAction;
+use hawthorn_fleet::propagation::PropagationAlarm;
+use hawthorn_fleet::propagation::StoreAnswer;
 use hawthorn_intent::document::ConfigDocument;
 use hawthorn_types::ConfigRevision;
 use hawthorn_types::HostKey;
@@ -89,7 +89,7 @@
                 return;
             }
         };
-        if self.adopt(edition, source) == spread::Outcome::Adopted {
+        if self.adopt(edition, source) == propagation::Outcome::Adopted {
             let revision = edition.revision.0;
             let author = &config.document.author;
             crate::log_event!(
@@ -105,7 +105,7 @@
         &mut self,
         edition: ConfigEdition,
         source: &OfferSource,
-    ) -> spread::Outcome {
+    ) -> propagation::Outcome {
         let now = self.now();
         let outcome = self.spread.adopt(now, edition);
         self.tell_spread(edition, source);
@@ -119,12 +119,12 @@
         }
     }
 
-    pub(super) fn act_on_spread(&mut self, action: SpreadAction) {
+    pub(super) fn act_on_spread(&mut self, action: PropagationAction) {
         match action {
-            SpreadAction::Pull { peer, .. } => self.pull(peer),
-            SpreadAction::Watch { wait, .. } => self.call_store(StoreCall::Watch { wait }),
-            SpreadAction::ReadStore => self.call_store(StoreCall::Read),
-            SpreadAction::Alarm(alarm) => self.alarm_spread(alarm),
+            PropagationAction::Pull { peer, .. } => self.pull(peer),
+            PropagationAction::Watch { wait, .. } => self.call_store(StoreCall::Watch { wait }),
+            PropagationAction::ReadStore => self.call_store(StoreCall::Read),
+            PropagationAction::Alarm(alarm) => self.alarm_spread(alarm),
         }
     }
 
@@ -150,21 +150,21 @@
         });
     }
 
-    pub(super) fn alarm_spread(&mut self, alarm: SpreadAlarm) {
+    pub(super) fn alarm_spread(&mut self, alarm: PropagationAlarm) {
         match alarm {
-            SpreadAlarm::Fork { revision, .. } => {
+            PropagationAlarm::Fork { revision, .. } => {
                 let text = format!("revision {} was also offered as another edit", revision.0);
                 crate::log_event!(Level::Error, LogEvent::ConfigForkRefused, "{text}");
                 self.alarm(text);
             }
-            SpreadAlarm::StoreBehind { store, in_force } => {
+            PropagationAlarm::StoreBehind { store, in_force } => {
                 let (store, in_force) = (store.0, in_force.0);
                 let text =
                     format!("the store holds revision {store}, older than {in_force} in force");
                 crate::log_event!(Level::Error, LogEvent::ConfigOlderRefused, "{text}");
                 self.alarm(text);
             }
-            SpreadAlarm::StoreEmpty { in_force } => {
+            PropagationAlarm::StoreEmpty { in_force } => {
                 let text = format!("the store holds no configuration; {} is in force", in_force.0);
                 crate::log_event!(Level::Error, LogEvent::ConfigOlderRefused, "{text}");
                 self.alarm(text);
--- a/crates/hawthorn-daemon/src/process/fleet/mod.rs
+++ b/crates/hawthorn-daemon/src/process/fleet/mod.rs
@@ -14,13 +14,13 @@
 use hawthorn_fleet::MemberId;
 use hawthorn_fleet::MemberPlace;
 use hawthorn_fleet::MemberTable;
-use hawthorn_fleet::SpreadState;
+use hawthorn_fleet::PropagationState;
 use hawthorn_fleet::handover;
 use hawthorn_fleet::handover::Handover;
 use hawthorn_fleet::member;
 use hawthorn_fleet::member::MemberCounters;
-use hawthorn_fleet::spread;
-use hawthorn_fleet::spread::ConfigEdition;
+use hawthorn_fleet::propagation;
+use hawthorn_fleet::propagation::ConfigEdition;
 use hawthorn_types::ConfigRevision;
 use hawthorn_types::HostKey;
 use hawthorn_types::platform::HostEntry;
@@ -165,7 +165,7 @@
     /// Of hand-over.
     pub handover: handover::Options,
     /// Of the spread of configuration.
-    pub spread: spread::Options,
+    pub spread: propagation::Options,
     /// Seeds the order of pings.
     pub seed: u64,
 }
@@ -210,7 +210,7 @@
         me,
         table,
         handover: Handover::new(me, options.handover.clone()),
-        spread: SpreadState::new(options.spread.clone()),
+        spread: PropagationState::new(options.spread.clone()),
         options,
         links: inputs.links,
         store: inputs.store,
--- a/crates/hawthorn-daemon/src/process/options.rs
+++ b/crates/hawthorn-daemon/src/process/options.rs
@@ -5,7 +5,7 @@
 use hawthorn_fleet::MemberPlace;
 use hawthorn_fleet::handover;
 use hawthorn_fleet::member;
-use hawthorn_fleet::spread;
+use hawthorn_fleet::propagation;
 use hawthorn_intent::DaemonSettings;
 use hawthorn_plan::admit;
 use hawthorn_plan::track;
@@ -82,11 +82,14 @@
         seeds: settings.seeds.clone(),
         member: member::Options {
             heartbeat: settings.fleet.heartbeat,
-            suspicion: settings.fleet.suspect_after,
+            suspicion_timeout: settings.fleet.suspect_after,
             ..member::Options::default()
         },
         handover: handover::Options::default(),
-        spread: spread::Options { start_patience: START_PATIENCE, ..spread::Options::default() },
+        spread: propagation::Options {
+            startup_delay: START_PATIENCE,
+            ..propagation::Options::default()
+        },
         seed: rand::random(),
     }
 }
--- a/crates/hawthorn-edge/src/process/fleet.rs
+++ b/crates/hawthorn-edge/src/process/fleet.rs
@@ -60,8 +60,11 @@
         peer: settings.listen.peers,
         capacity: (settings.host.core_share * settings.host.cores * 1000.0) as u32,
     };
-    let options =
-        member::Options { heartbeat: HEARTBEAT, across: ACROSS, ..member::Options::default() };
+    let options = member::Options {
+        heartbeat: HEARTBEAT,
+        cross_zone_interval: ACROSS,
+        ..member::Options::default()
+    };
     let incarnation = u64::try_from(host_now().as_millis()).unwrap_or(u64::MAX);
     let mut table = MemberTable::new(place, incarnation, options, rand::rng().random());
     let port = settings.listen.peers.port();
@@ -156,13 +159,13 @@
             Some(FleetAction::MemberUp(key)) => note(host, key, "up"),
             Some(FleetAction::MemberDown(key)) => note(host, key, "down"),
             Some(FleetAction::MemberLeaving(key)) => note(host, key, "leaving"),
-            Some(FleetAction::DigestHeard { peer, digest }) => {
+            Some(FleetAction::DigestReceived { peer, digest }) => {
                 behind(host, peer, digest.versions);
                 if let Some(request) = quarantine::sync_request(host, digest.quarantine) {
                     send_payload(host, peer, request, now);
                 }
             }
-            Some(FleetAction::PayloadHeard { from, payload }) => {
+            Some(FleetAction::PayloadReceived { from, payload }) => {
                 for reply in quarantine::receive(host, from, &payload) {
                     host.members.borrow_mut().send_payload(now, from, reply);
                 }
@@ -205,7 +208,7 @@
 /// The hosts of a zone that stay, with what each is capable of.
 pub(crate) fn staying_hosts(members: &MemberTable, zone: &str) -> Vec<ZoneHost> {
     members
-        .staying(zone)
+        .active_hosts(zone)
         .filter_map(|candidate| {
             let capacity = members.record(candidate.key)?.place.capacity;
             Some(ZoneHost { id: candidate.id.0, capacity })
--- a/crates/hawthorn-fleet/examples/slopes.rs
+++ b/crates/hawthorn-fleet/examples/scaling.rs
@@ -18,7 +18,7 @@
 use hawthorn_fleet::MemberId;
 use hawthorn_fleet::ownership;
 use hawthorn_fleet::ownership::OwnerCandidate;
-use hawthorn_fleet::spread::ConfigEdition;
+use hawthorn_fleet::propagation::ConfigEdition;
 use hawthorn_types::ConfigRevision;
 use hawthorn_types::HostKey;
 use support::Switch;
@@ -68,7 +68,7 @@
     switch.run_for(ms(10_000));
     switch.loss = LOSS;
     print_cost("5 % lost", &cost(&mut switch, ms(20_000), None));
-    measure_spread(&mut switch);
+    measure_propagation(&mut switch);
     switch.loss = 0.0;
     switch.run_for(ms(10_000));
     measure_kills(&mut switch);
@@ -127,7 +127,7 @@
 }
 
 /// Writes editions to the store and notes when each is in force everywhere.
-fn measure_spread(switch: &mut Switch) {
+fn measure_propagation(switch: &mut Switch) {
     let mut times = Vec::new();
     let calls = switch.store.calls;
     for revision in 2..2 + EDITS {
@@ -142,7 +142,7 @@
     times.sort();
     let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
     println!(
-        "  spread at 5 % lost: median {} ms, p99.9 {} ms, last {} ms; {} store calls in {} s",
+        "  propagation at 5 % lost: median {} ms, p99.9 {} ms, last {} ms; {} store calls in {} s",
         at(0.5).as_millis(),
         at(0.999).as_millis(),
         at(1.0).as_millis(),
--- a/crates/hawthorn-fleet/src/action.rs
+++ b/crates/hawthorn-fleet/src/action.rs
@@ -26,38 +26,38 @@
     /// A member finishes what it has and takes nothing new.
     MemberLeaving(HostKey),
     /// The key is no longer valid and may be given to another host later.
-    MemberForgotten(HostKey),
+    MemberRemoved(HostKey),
     /// Nothing has been heard from any member of the zone for the zone timeout.
     ZoneLost(String),
     /// A lost zone, or a new one, was heard from.
     ZoneFound(String),
-    /// A peer's heartbeat carried this digest. Hand it to [`SpreadState::heard`](crate::SpreadState::heard).
-    DigestHeard {
+    /// A peer's heartbeat carried this digest. Hand it to [`PropagationState::receive_digest`](crate::PropagationState::receive_digest).
+    DigestReceived {
         /// The peer.
         peer: HostKey,
         /// Its digest, with `confirmed_ms` as of now.
         digest: MemberDigest,
     },
     /// Hand it to [`Handover::receive`](crate::handover::Handover::receive).
-    HandoverHeard {
+    HandoverReceived {
         /// The peer.
         peer: MemberId,
         /// What it says.
         message: HandoverMessage,
     },
     /// A member sent a [`Payload`](crate::message::FleetBody::Payload).
-    PayloadHeard {
+    PayloadReceived {
         /// The member's address.
         from: SocketAddr,
         /// What it sent.
         payload: Vec<u8>,
     },
     /// This process itself stood still for so long: leases may have lapsed and
-    /// others may have taken over. Hand it to [`Handover::resumed`](crate::handover::Handover::resumed).
-    SelfPaused(Duration),
+    /// others may have taken over. Hand it to [`Handover::reacquire`](crate::handover::Handover::reacquire).
+    ProcessPaused(Duration),
     /// A peer held this host for dead, and others may have taken over; it has
-    /// been refuted. Hand it to [`Handover::resumed`](crate::handover::Handover::resumed) too.
-    SelfDoubted,
+    /// been refuted. Hand it to [`Handover::reacquire`](crate::handover::Handover::reacquire) too.
+    DeathRefuted,
     /// Another live process with this host's name and a later incarnation runs
     /// at this address: stop this one.
     Superseded(SocketAddr),
--- a/crates/hawthorn-fleet/src/handover/action.rs
+++ b/crates/hawthorn-fleet/src/handover/action.rs
@@ -27,11 +27,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HandoverCounters {
     /// Buckets taken over.
-    pub taken: u64,
+    pub acquired: u64,
     /// Buckets handed over.
     pub yielded: u64,
     /// Claims by others on buckets owned here.
     pub contested: u64,
     /// Buckets taken whole though a live former owner never let go.
-    pub unconfirmed: u64,
+    pub forced: u64,
 }
--- a/crates/hawthorn-fleet/src/handover/mod.rs
+++ b/crates/hawthorn-fleet/src/handover/mod.rs
@@ -40,7 +40,7 @@
 use bucket::BucketState;
 use bucket::TakingState;
 pub use options::Options;
-pub use view::HostStanding;
+pub use view::HostStatus;
 pub use view::SlotShare;
 pub use view::ZoneView;
 
@@ -116,7 +116,7 @@
     fn gain(&mut self, now: Duration, state: BucketState, former: Option<MemberId>) -> BucketState {
         match state {
             BucketState::Foreign | BucketState::Draining { .. } => {
-                self.counters.taken += 1;
+                self.counters.acquired += 1;
                 BucketState::taking(now, former)
             }
             BucketState::Yielding { to, .. } => BucketState::taking(now, to),
@@ -148,7 +148,7 @@
         self.view
             .hosts
             .iter()
-            .filter(|(_, standing)| **standing == HostStanding::Serving)
+            .filter(|(_, standing)| **standing == HostStatus::Serving)
             .map(|(&id, _)| OwnerCandidate { key: HostKey::default(), id })
             .collect()
     }
@@ -157,7 +157,7 @@
     /// its buckets meanwhile. Failure: a paused owner wakes and goes on at all
     /// slots beside the new one. Each bucket falls back to no slot until the
     /// runner-up says that it uses half or nothing: one round trip.
-    pub fn resumed(&mut self, now: Duration) {
+    pub fn reacquire(&mut self, now: Duration) {
         let candidates = self.candidates();
         for bucket in 0..self.options.buckets {
             let index = usize::from(bucket);
@@ -210,9 +210,9 @@
         let waited = now.saturating_sub(taking.since);
         let standing = taking.former.and_then(|id| self.view.hosts.get(&id).copied());
         let gone_since = match standing {
-            Some(HostStanding::Left) => return BucketState::OWNED,
-            Some(HostStanding::Dead(at)) => Some(at.max(taking.since)),
-            Some(HostStanding::Serving | HostStanding::Idle) => None,
+            Some(HostStatus::Left) => return BucketState::OWNED,
+            Some(HostStatus::Dead(at)) => Some(at.max(taking.since)),
+            Some(HostStatus::Serving | HostStatus::Idle) => None,
             None => Some(taking.since),
         };
         if let Some(since) = gone_since {
@@ -221,11 +221,11 @@
             let over = now.saturating_sub(since) >= self.options.dead_window;
             return if over && quorate { BucketState::OWNED } else { BucketState::Taking(taking) };
         }
-        if waited >= self.options.ask_limit {
-            self.counters.unconfirmed += 1;
+        if waited >= self.options.release_timeout {
+            self.counters.forced += 1;
             return BucketState::OWNED;
         }
-        taking.noted |= waited >= self.options.claim_limit;
+        taking.noted |= waited >= self.options.acknowledgement_timeout;
         self.ask(now, bucket, &mut taking);
         BucketState::Taking(taking)
     }
@@ -253,14 +253,20 @@
             }
             BucketState::Yielding { since, .. } => Some(since + self.options.yield_window),
             // Until then, or until what runs has ended, which is looked at often.
-            BucketState::Draining { until, .. } => Some(until.max(now + self.options.claim_again)),
+            BucketState::Draining { until, .. } => {
+                Some(until.max(now + self.options.initial_request_interval))
+            }
             BucketState::Owned { contested } => (contested > now).then_some(contested),
         }
     }
 
     /// Between requests to the former owner of a bucket.
     fn wait(&self, taking: &TakingState) -> Duration {
-        if taking.noted { self.options.ask_again } else { self.options.claim_again }
+        if taking.noted {
+            self.options.request_interval
+        } else {
+            self.options.initial_request_interval
+        }
     }
 
     /// This host's share of a bucket.
@@ -293,17 +299,17 @@
         for (&id, standing) in &self.view.hosts {
             match standing {
                 _ if id == self.me => {}
-                HostStanding::Serving | HostStanding::Idle => live += 1,
-                HostStanding::Dead(at) if now.saturating_sub(*at) < self.options.split_window => {
+                HostStatus::Serving | HostStatus::Idle => live += 1,
+                HostStatus::Dead(at) if now.saturating_sub(*at) < self.options.partition_window => {
                     dead += 1;
                 }
-                HostStanding::Dead(_) | HostStanding::Left => {}
+                HostStatus::Dead(_) | HostStatus::Left => {}
             }
         }
         if live == 1 && dead == 0 {
             return true;
         }
-        !self.view.deaf && (self.view.witnessed || live > dead)
+        !self.view.isolated && (self.view.other_zones_reachable || live > dead)
     }
 
     /// Works the shares out again and reports those that changed.
@@ -321,10 +327,10 @@
 
     fn flush(&mut self) {
         for (to, buckets) in std::mem::take(&mut self.asked) {
-            self.send_parts(to, &buckets, HandoverMessage::Ask);
+            self.send_parts(to, &buckets, HandoverMessage::Request);
         }
         for (to, buckets) in std::mem::take(&mut self.noted) {
-            self.send_parts(to, &buckets, HandoverMessage::Noted);
+            self.send_parts(to, &buckets, HandoverMessage::Acknowledged);
         }
         for (to, buckets) in std::mem::take(&mut self.released) {
             self.send_parts(to, &buckets, HandoverMessage::Released);
--- a/crates/hawthorn-fleet/src/handover/options.rs
+++ b/crates/hawthorn-fleet/src/handover/options.rs
@@ -17,19 +17,19 @@
     /// A rumor reaches a zone of 160 hosts within this time.
     pub yield_window: Duration,
     /// Between requests to let go.
-    pub ask_again: Duration,
+    pub request_interval: Duration,
     /// Between first requests, while the new owner may use nothing yet.
-    pub claim_again: Duration,
+    pub initial_request_interval: Duration,
     /// How long a new owner waits with no slot for a live former owner to say
     /// that it is at half. Longer than a dead one takes to be found out.
-    pub claim_limit: Duration,
+    pub acknowledgement_timeout: Duration,
     /// How long a new owner waits for a live former owner that never lets go.
-    pub ask_limit: Duration,
+    pub release_timeout: Duration,
     /// How long another host's claim keeps an owner at half.
     pub contest_window: Duration,
     /// How long dead hosts of the zone count when a daemon asks itself whether
     /// it is in the smaller part of a split zone.
-    pub split_window: Duration,
+    pub partition_window: Duration,
 }
 
 impl Default for Options {
@@ -38,12 +38,12 @@
             buckets: ownership::DEFAULT_BUCKETS,
             dead_window: Duration::from_secs(3),
             yield_window: Duration::from_secs(1),
-            ask_again: Duration::from_millis(500),
-            claim_again: Duration::from_millis(50),
-            claim_limit: Duration::from_secs(3),
-            ask_limit: Duration::from_secs(30),
+            request_interval: Duration::from_millis(500),
+            initial_request_interval: Duration::from_millis(50),
+            acknowledgement_timeout: Duration::from_secs(3),
+            release_timeout: Duration::from_secs(30),
             contest_window: Duration::from_secs(2),
-            split_window: Duration::from_secs(30),
+            partition_window: Duration::from_secs(30),
         }
     }
 }
--- a/crates/hawthorn-fleet/src/handover/receive.rs
+++ b/crates/hawthorn-fleet/src/handover/receive.rs
@@ -12,12 +12,12 @@
     /// Takes a message of another host of the zone.
     pub fn receive(&mut self, now: Duration, from: MemberId, message: HandoverMessage) {
         match message {
-            HandoverMessage::Ask(buckets) => {
+            HandoverMessage::Request(buckets) => {
                 for bucket in buckets {
                     self.take_ask(now, from, bucket);
                 }
             }
-            HandoverMessage::Noted(buckets) => {
+            HandoverMessage::Acknowledged(buckets) => {
                 for bucket in buckets {
                     self.take_note(from, bucket);
                 }
--- a/crates/hawthorn-fleet/src/handover/view.rs
+++ b/crates/hawthorn-fleet/src/handover/view.rs
@@ -44,7 +44,7 @@
 
 /// What this daemon knows of one host of its zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HostStanding {
+pub enum HostStatus {
     /// May own groups.
     Serving,
     /// Runs, but owns nothing new: joining or leaving.
@@ -61,9 +61,9 @@
     /// The zone.
     pub zone: String,
     /// All known hosts of the zone, this one included.
-    pub hosts: BTreeMap<MemberId, HostStanding>,
+    pub hosts: BTreeMap<MemberId, HostStatus>,
     /// This daemon hears nobody although it should.
-    pub deaf: bool,
+    pub isolated: bool,
     /// This daemon hears from another zone.
-    pub witnessed: bool,
+    pub other_zones_reachable: bool,
 }
--- a/crates/hawthorn-fleet/src/lib.rs
+++ b/crates/hawthorn-fleet/src/lib.rs
@@ -8,24 +8,24 @@
 //! - [`member`]: which hosts are live, by heartbeats over UDP.
 //! - [`ownership`]: which host owns a group of targets, by rendezvous hashing.
 //! - [`handover`]: how many slots an owner may use while owners change.
-//! - [`spread`]: which configuration revision is in force, and whom to ask.
+//! - [`propagation`]: which configuration revision is in force, and whom to ask.
 //! - [`message`]: the datagrams between daemons.
 //!
 //! # Driving it
 //!
 //! For each datagram: `table.receive`. At `table.next_wake` and
 //! `handover.next_wake`, whichever is earlier: `table.tick`, `handover.observe`
-//! with `table.zone_view`, `handover.tick`, `spread.set_zone` with
-//! `table.staying` of the own zone, `spread.tick`. After each of these:
-//! `table.set_digest` with `spread.digest`, then poll the actions of all three
+//! with `table.zone_view`, `handover.tick`, `propagation.set_zone` with
+//! `table.active_hosts` of the own zone, `propagation.tick`. After each of these:
+//! `table.set_digest` with `propagation.digest`, then poll the actions of all three
 //! until none is left. A process that may have stood still does this before it
 //! hands out any slot, as the shares are of the time before until then.
 //!
 //! | action of the table | goes to |
 //! |---|---|
-//! | `DigestHeard` | `spread.heard` |
-//! | `HandoverHeard` | `handover.observe`, then `handover.receive` |
-//! | `SelfPaused`, `SelfDoubted` | `handover.resumed` |
+//! | `DigestReceived` | `propagation.receive_digest` |
+//! | `HandoverReceived` | `handover.observe`, then `handover.receive` |
+//! | `ProcessPaused`, `DeathRefuted` | `handover.reacquire` |
 //! | `ViewChanged` | `handover.observe`, and fronts choose owners anew |
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms)]
@@ -35,7 +35,7 @@
 pub mod member;
 pub mod message;
 pub mod ownership;
-pub mod spread;
+pub mod propagation;
 
 pub use action::FleetAction;
 pub use handover::SlotShare;
@@ -49,4 +49,4 @@
 pub use message::MemberPlace;
 pub use message::MemberStamp;
 pub use ownership::GroupId;
-pub use spread::SpreadState;
+pub use propagation::PropagationState;
--- a/crates/hawthorn-fleet/src/member/across.rs
+++ b/crates/hawthorn-fleet/src/member/across.rs
@@ -19,8 +19,9 @@
     /// Between this daemon's pings across zones. The smaller its zone, the more
     /// often each of its daemons pings, up to the rate of heartbeats.
     pub(super) fn across_wait(&self) -> Duration {
-        let wait = self.options.across_each.saturating_mul(self.own_count()) / self.other_count();
-        wait.clamp(self.options.heartbeat, self.options.across)
+        let wait =
+            self.options.zone_ping_interval.saturating_mul(self.own_count()) / self.other_count();
+        wait.clamp(self.options.heartbeat, self.options.cross_zone_interval)
     }
 
     /// How long nothing may be heard of a zone. Failure: in a fleet of many
--- a/crates/hawthorn-fleet/src/member/apply.rs
+++ b/crates/hawthorn-fleet/src/member/apply.rs
@@ -14,18 +14,18 @@
 use crate::message::MemberId;
 use crate::message::MemberPhase;
 use crate::message::MemberPlace;
-use crate::message::MemberRumor;
+use crate::message::MemberUpdate;
 use crate::message::SenderHeader;
 
 impl MemberTable {
     /// Takes in a rumor, from anyone; true when it was news.
-    pub(super) fn apply(&mut self, now: Duration, rumor: MemberRumor) -> bool {
+    pub(super) fn apply(&mut self, now: Duration, rumor: MemberUpdate) -> bool {
         let before = self.arena.fingerprint();
         self.take_rumor(now, rumor);
         self.arena.fingerprint() != before
     }
 
-    fn take_rumor(&mut self, now: Duration, rumor: MemberRumor) {
+    fn take_rumor(&mut self, now: Duration, rumor: MemberUpdate) {
         if rumor.id == self.my_id {
             return self.judge_self(now, rumor);
         }
@@ -46,7 +46,7 @@
             return None;
         }
         if record.stamp < sender.stamp {
-            let rumor = MemberRumor {
+            let rumor = MemberUpdate {
                 id: sender.id,
                 stamp: sender.stamp,
                 phase: sender.phase,
@@ -62,7 +62,7 @@
 
     /// A host that was not known. Only one that runs is worth keeping: the
     /// dead were either forgotten or never met.
-    fn meet(&mut self, now: Duration, rumor: MemberRumor) {
+    fn meet(&mut self, now: Duration, rumor: MemberUpdate) {
         let Some(place) = rumor.place.clone() else { return };
         if rumor.health == MemberHealth::Dead || rumor.phase == MemberPhase::Left {
             return;
@@ -98,7 +98,7 @@
         true
     }
 
-    fn compare(&mut self, now: Duration, key: HostKey, rumor: MemberRumor) {
+    fn compare(&mut self, now: Duration, key: HostKey, rumor: MemberUpdate) {
         let Some(record) = self.arena.get(key) else { return };
         if rumor.stamp < record.stamp {
             return;
@@ -117,7 +117,7 @@
     }
 
     /// Takes over a later stamp.
-    fn renew(&mut self, now: Duration, key: HostKey, rumor: MemberRumor) {
+    fn renew(&mut self, now: Duration, key: HostKey, rumor: MemberUpdate) {
         let Some(record) = self.arena.get(key) else { return };
         let restarted = rumor.stamp.incarnation > record.stamp.incarnation;
         let gone = rumor.health == MemberHealth::Dead || rumor.phase == MemberPhase::Left;
@@ -133,7 +133,7 @@
             record.phase = rumor.phase;
             record.health = rumor.health;
             record.private = false;
-            record.changed = now;
+            record.changed_at = now;
         });
         self.changed(key, rumor.id);
         self.report(key, &was, restarted);
@@ -178,7 +178,7 @@
         self.arena.update(key, |record| {
             record.health = health;
             record.private = private;
-            record.changed = now;
+            record.changed_at = now;
         });
         if private {
             self.view_changed = true;
@@ -232,7 +232,11 @@
     fn suspect_later(&mut self, now: Duration, key: HostKey, private: bool) {
         let Some(stamp) = self.arena.get(key).map(|record| record.stamp) else { return };
         self.suspicions.retain(|suspicion| suspicion.key != key);
-        let wait = if private { self.options.deaf_suspicion } else { self.options.suspicion_heard };
+        let wait = if private {
+            self.options.isolated_suspicion_timeout
+        } else {
+            self.options.remote_suspicion_timeout
+        };
         self.suspicions.push(Suspicion { key, stamp, deadline: now + wait, own: false });
     }
 
@@ -246,7 +250,7 @@
     }
 
     /// Answers what is said of this host.
-    fn judge_self(&mut self, now: Duration, rumor: MemberRumor) {
+    fn judge_self(&mut self, now: Duration, rumor: MemberUpdate) {
         let mine = self.record_of_self().clone();
         if rumor.stamp.incarnation > mine.stamp.incarnation {
             return self.judge_other_life(now, rumor);
@@ -255,12 +259,12 @@
         if rumor.stamp < mine.stamp || !doubted && rumor.stamp == mine.stamp {
             return;
         }
-        self.refute(now, rumor.stamp.update);
+        self.refute(now, rumor.stamp.sequence);
         if doubted {
             self.counters.refutations += 1;
         }
         if rumor.health == MemberHealth::Dead && doubted {
-            self.actions.push_back(FleetAction::SelfDoubted);
+            self.actions.push_back(FleetAction::DeathRefuted);
         }
     }
 
@@ -269,7 +273,7 @@
     /// operator started a second process with this name, and the two would
     /// refute each other for ever. A later life that runs at another address
     /// is such a second process.
-    fn judge_other_life(&mut self, now: Duration, rumor: MemberRumor) {
+    fn judge_other_life(&mut self, now: Duration, rumor: MemberUpdate) {
         let here = self.record_of_self().place.peer;
         let runs = rumor.health == MemberHealth::Alive && rumor.phase != MemberPhase::Left;
         let place = rumor.place.as_ref().filter(|_| runs);
@@ -287,8 +291,8 @@
     /// Makes this host's stamp later than `update` and passes it on.
     pub(super) fn refute(&mut self, now: Duration, update: u32) {
         self.arena.update(self.me, |record| {
-            record.stamp.update = record.stamp.update.max(update).saturating_add(1);
-            record.changed = now;
+            record.stamp.sequence = record.stamp.sequence.max(update).saturating_add(1);
+            record.changed_at = now;
         });
         self.rumors.push(self.my_id);
     }
--- a/crates/hawthorn-fleet/src/member/arena.rs
+++ b/crates/hawthorn-fleet/src/member/arena.rs
@@ -14,8 +14,8 @@
 use crate::message::MemberId;
 use crate::message::MemberPhase;
 use crate::message::MemberPlace;
-use crate::message::MemberRumor;
 use crate::message::MemberStamp;
+use crate::message::MemberUpdate;
 
 /// One known host.
 #[derive(Clone, Debug)]
@@ -37,7 +37,7 @@
     /// Its digest, if a heartbeat of it came here.
     pub digest: Option<MemberDigest>,
     /// When phase or health last changed.
-    pub changed: Duration,
+    pub changed_at: Duration,
     /// Held only by this daemon while it heard nobody: not passed on, and
     /// given up at the first word to the contrary.
     pub(crate) private: bool,
@@ -55,8 +55,8 @@
     }
 
     /// What to tell others of it.
-    pub(crate) fn rumor(&self) -> MemberRumor {
-        MemberRumor {
+    pub(crate) fn rumor(&self) -> MemberUpdate {
+        MemberUpdate {
             id: self.id,
             stamp: self.stamp,
             phase: self.phase,
@@ -69,7 +69,7 @@
         if !self.is_live() || self.private {
             return 0;
         }
-        let stamp = self.stamp.incarnation ^ u64::from(self.stamp.update).rotate_left(48);
+        let stamp = self.stamp.incarnation ^ u64::from(self.stamp.sequence).rotate_left(48);
         xxh3_64_with_seed(&stamp.to_le_bytes(), self.id.0 ^ self.health as u64)
     }
 }
@@ -89,7 +89,7 @@
     pub(crate) fn insert(
         &mut self,
         now: Duration,
-        rumor: &MemberRumor,
+        rumor: &MemberUpdate,
         place: MemberPlace,
         zone: ZoneKey,
     ) -> HostKey {
@@ -106,7 +106,7 @@
             phase: rumor.phase,
             health: rumor.health,
             digest: None,
-            changed: now,
+            changed_at: now,
             private: false,
         };
         self.by_id.insert(record.id, key);
--- a/crates/hawthorn-fleet/src/member/mod.rs
+++ b/crates/hawthorn-fleet/src/member/mod.rs
@@ -43,7 +43,7 @@
 use hawthorn_types::platform::HostEntry;
 
 use crate::action::FleetAction;
-use crate::handover::HostStanding;
+use crate::handover::HostStatus;
 use crate::handover::ZoneView;
 use crate::message::HandoverMessage;
 use crate::message::MemberDigest;
@@ -51,8 +51,8 @@
 use crate::message::MemberId;
 use crate::message::MemberPhase;
 use crate::message::MemberPlace;
-use crate::message::MemberRumor;
 use crate::message::MemberStamp;
+use crate::message::MemberUpdate;
 use crate::message::SenderHeader;
 use crate::ownership::OwnerCandidate;
 use arena::MemberArena;
@@ -127,9 +127,9 @@
         let start = Duration::ZERO;
         let mut zones = ZoneTable::default();
         let (my_zone, _) = zones.add(start, &place.zone);
-        let rumor = MemberRumor {
+        let rumor = MemberUpdate {
             id: MemberId::of(&place.host),
-            stamp: MemberStamp { incarnation, update: 0 },
+            stamp: MemberStamp { incarnation, sequence: 0 },
             phase: MemberPhase::Joining,
             health: MemberHealth::Alive,
             place: None,
@@ -289,9 +289,9 @@
     }
 
     /// The members of a zone that stay, ready or not, for
-    /// [`SpreadState::set_zone`](crate::SpreadState::set_zone): those that join
+    /// [`PropagationState::set_zone`](crate::PropagationState::set_zone): those that join
     /// count too, or a whole zone that starts at once would ask the store.
-    pub fn staying(&self, zone: &str) -> impl Iterator<Item = OwnerCandidate> + use<'_> {
+    pub fn active_hosts(&self, zone: &str) -> impl Iterator<Item = OwnerCandidate> + use<'_> {
         self.hosts(zone)
             .filter(|record| record.phase < MemberPhase::Leaving)
             .map(|record| OwnerCandidate { key: record.key, id: record.id })
@@ -309,13 +309,13 @@
     }
 
     /// Whether any other zone has been heard from within the zone timeout.
-    pub fn others_reachable(&self) -> bool {
+    pub fn other_zones_reachable(&self) -> bool {
         self.other_zones().any(|zone| self.zones.reachable(zone))
     }
 
     /// Whether this daemon has heard nobody lately although others should be there.
-    pub fn is_deaf(&self, now: Duration) -> bool {
-        let silent = now.saturating_sub(self.last_heard) > self.options.deaf_after;
+    pub fn is_isolated(&self, now: Duration) -> bool {
+        let silent = now.saturating_sub(self.last_heard) > self.options.isolation_timeout;
         silent && self.arena.iter().any(|record| record.key != self.me && expects_word(record))
     }
 
@@ -330,8 +330,8 @@
         ZoneView {
             zone: self.zones.name(self.my_zone).to_owned(),
             hosts,
-            deaf: self.is_deaf(now),
-            witnessed: self.others_reachable(),
+            isolated: self.is_isolated(now),
+            other_zones_reachable: self.other_zones_reachable(),
         }
     }
 
@@ -381,12 +381,12 @@
     }
 }
 
-fn standing(record: &MemberRecord) -> HostStanding {
+fn standing(record: &MemberRecord) -> HostStatus {
     match (record.phase, record.health) {
-        (MemberPhase::Left, _) => HostStanding::Left,
-        (_, MemberHealth::Dead) => HostStanding::Dead(record.changed),
-        (MemberPhase::Serving, _) => HostStanding::Serving,
-        _ => HostStanding::Idle,
+        (MemberPhase::Left, _) => HostStatus::Left,
+        (_, MemberHealth::Dead) => HostStatus::Dead(record.changed_at),
+        (MemberPhase::Serving, _) => HostStatus::Serving,
+        _ => HostStatus::Idle,
     }
 }
 
--- a/crates/hawthorn-fleet/src/member/options.rs
+++ b/crates/hawthorn-fleet/src/member/options.rs
@@ -19,46 +19,46 @@
     pub relays: usize,
     /// How long a suspect may refute. Five heartbeats: with 5 % of datagrams
     /// lost, five pings all fail about once in 100,000.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// How long a suspect may refute at daemons that only heard of the
     /// suspicion: they confirm it in case the first daemon dies too.
-    pub suspicion_heard: Duration,
+    pub remote_suspicion_timeout: Duration,
     /// Having heard nobody for so long, a daemon takes itself for cut off.
-    pub deaf_after: Duration,
+    pub isolation_timeout: Duration,
     /// How long a daemon that is cut off waits before it holds others for dead.
-    pub deaf_suspicion: Duration,
+    pub isolated_suspicion_timeout: Duration,
     /// The longest time between pings to members of other zones.
-    pub across: Duration,
+    pub cross_zone_interval: Duration,
     /// The time between pings of all daemons of the own zone to each other
     /// zone, where that takes no more than a ping each heartbeat. An eighth of
     /// the zone timeout, so that eight must be lost.
-    pub across_each: Duration,
+    pub zone_ping_interval: Duration,
     /// A zone that nothing was heard from for so long is lost. Longer in a
     /// fleet of many zones with few hosts.
     pub zone_timeout: Duration,
     /// Between pings to one dead member of the own zone, or one hinted address
     /// without a live member, so that the parts of a partition find each other.
-    pub retry: Duration,
+    pub rejoin_interval: Duration,
     /// Between requests for a part of a member list that differs. While the
     /// parts bring much that is new, the next one is asked for at once.
-    pub repair: Duration,
+    pub repair_interval: Duration,
     /// A gap between calls longer than this means that the process stood still.
-    pub pause: Duration,
+    pub pause_threshold: Duration,
     /// How long dead members are kept and retried: longer than regions lose
     /// each other.
-    pub dead_kept: Duration,
+    pub dead_retention: Duration,
     /// How long members that left are kept, so that late rumors find them.
-    pub left_kept: Duration,
+    pub left_retention: Duration,
     /// Bytes of rumors in one datagram. With ten datagrams a second this is
     /// what bounds a daemon's bytes during a storm of changes.
-    pub rumor_bytes: usize,
+    pub gossip_bytes: usize,
     /// Each rumor is sent so many times more than the binary logarithm of the
     /// member count. Sent k times by every daemon, it misses one in e^k of
     /// them: one in 3,000 of 8 daemons, one in 10 million of 4,000. Repair
     /// reaches those.
-    pub rumor_extra: u32,
+    pub extra_transmissions: u32,
     /// How many members hear at once of a new configuration revision or phase.
-    pub push: usize,
+    pub push_fanout: usize,
 }
 
 impl Default for Options {
@@ -69,21 +69,21 @@
             ack_timeout: Duration::from_millis(80),
             probe_timeout: Duration::from_millis(320),
             relays: 2,
-            suspicion: Duration::from_secs(1),
-            suspicion_heard: Duration::from_secs(3),
-            deaf_after: Duration::from_millis(600),
-            deaf_suspicion: Duration::from_secs(5),
-            across: Duration::from_secs(1),
-            across_each: Duration::from_millis(500),
+            suspicion_timeout: Duration::from_secs(1),
+            remote_suspicion_timeout: Duration::from_secs(3),
+            isolation_timeout: Duration::from_millis(600),
+            isolated_suspicion_timeout: Duration::from_secs(5),
+            cross_zone_interval: Duration::from_secs(1),
+            zone_ping_interval: Duration::from_millis(500),
             zone_timeout: Duration::from_secs(4),
-            retry: Duration::from_secs(5),
-            repair: Duration::from_secs(2),
-            pause: Duration::from_secs(1),
-            dead_kept: Duration::from_secs(3 * 60 * 60),
-            left_kept: Duration::from_secs(10 * 60),
-            rumor_bytes: 300,
-            rumor_extra: 4,
-            push: 3,
+            rejoin_interval: Duration::from_secs(5),
+            repair_interval: Duration::from_secs(2),
+            pause_threshold: Duration::from_secs(1),
+            dead_retention: Duration::from_secs(3 * 60 * 60),
+            left_retention: Duration::from_secs(10 * 60),
+            gossip_bytes: 300,
+            extra_transmissions: 4,
+            push_fanout: 3,
         }
     }
 }
@@ -98,9 +98,9 @@
     /// Datagrams received and understood.
     pub received: u64,
     /// Datagrams refused.
-    pub refused: u64,
+    pub rejected: u64,
     /// Pings through others.
-    pub indirect: u64,
+    pub indirect_pings: u64,
     /// Suspicions begun here.
     pub suspicions: u64,
     /// Deaths confirmed here.
--- a/crates/hawthorn-fleet/src/member/probe.rs
+++ b/crates/hawthorn-fleet/src/member/probe.rs
@@ -16,8 +16,8 @@
 use crate::message::MemberHealth;
 use crate::message::MemberId;
 use crate::message::MemberPhase;
-use crate::message::MemberRumor;
 use crate::message::MemberStamp;
+use crate::message::MemberUpdate;
 
 /// Between looks at which zones are reachable.
 const ZONE_REVIEW: Duration = Duration::from_millis(500);
@@ -66,7 +66,7 @@
     /// How long the suspect may refute. A daemon that only heard of the
     /// suspicion waits longer: the refutation may still be on its way.
     fn wait(&self, options: &Options) -> Duration {
-        if self.own { options.suspicion } else { options.suspicion_heard }
+        if self.own { options.suspicion_timeout } else { options.remote_suspicion_timeout }
     }
 }
 
@@ -96,14 +96,14 @@
             self.ping_across(now);
         }
         if now >= self.due.retry {
-            self.due.retry = now + self.options.retry;
+            self.due.retry = now + self.options.rejoin_interval;
             self.ping_dead(now);
         }
         if now >= self.due.hint {
             self.try_hints(now);
         }
         if now >= self.due.repair {
-            self.due.repair = now + self.options.repair;
+            self.due.repair = now + self.options.repair_interval;
             self.ask_repair(now);
         }
         if now >= self.due.zones {
@@ -134,7 +134,7 @@
     pub(super) fn note_time(&mut self, now: Duration) {
         let gap = self.last_call.map_or(Duration::ZERO, |last| now.saturating_sub(last));
         self.last_call = Some(now);
-        if gap <= self.options.pause {
+        if gap <= self.options.pause_threshold {
             return;
         }
         self.counters.pauses += 1;
@@ -147,7 +147,7 @@
         self.sync = None;
         self.start_sync(now);
         self.view_changed = true;
-        self.actions.push_back(FleetAction::SelfPaused(gap));
+        self.actions.push_back(FleetAction::ProcessPaused(gap));
     }
 
     /// Gives all suspects their full time again.
@@ -162,7 +162,7 @@
     /// Failure: a zone's last host hears nobody while a mate dies, and keeps
     /// the death to itself for ever, so that other zones send work to the dead.
     pub(super) fn review_private(&mut self, now: Duration) {
-        let deadline = now + self.options.suspicion;
+        let deadline = now + self.options.suspicion_timeout;
         for record in self.arena.iter().filter(|record| record.private && !record.is_live()) {
             let (key, stamp) = (record.key, record.stamp);
             self.suspicions.retain(|suspicion| suspicion.key != key);
@@ -213,7 +213,7 @@
         now: Duration,
         key: HostKey,
         judged: bool,
-        front: &[MemberRumor],
+        front: &[MemberUpdate],
     ) {
         let Some(record) = self.arena.get(key) else { return };
         let peer = record.place.peer;
@@ -242,7 +242,7 @@
     /// of a zone that were cut off from each other hold each other for dead and
     /// would stay apart for ever. A live one refutes and both lists meet.
     fn ping_dead(&mut self, now: Duration) {
-        let dead: Vec<(SocketAddr, Option<MemberRumor>)> = self
+        let dead: Vec<(SocketAddr, Option<MemberUpdate>)> = self
             .arena
             .iter()
             .filter(|record| record.health == MemberHealth::Dead)
@@ -294,7 +294,7 @@
         }
         for relay in relays {
             let Some(to) = self.arena.get(relay).map(|record| record.place.peer) else { continue };
-            self.counters.indirect += 1;
+            self.counters.indirect_pings += 1;
             let body = FleetBody::PingRequest { number, target: id, peer };
             self.send(now, to, body, &[]);
         }
@@ -310,12 +310,12 @@
         // Relays answer at once: hearing nothing at all since they were asked
         // means that the fault is on this side, or that there is nobody else.
         let asked = probe.sent + self.options.ack_timeout;
-        let private = self.last_heard < asked || self.is_deaf(now);
+        let private = self.last_heard < asked || self.is_isolated(now);
         self.set_health(now, probe.key, MemberHealth::Suspect, private);
         if let Some(suspicion) = self.suspicions.iter_mut().find(|found| found.key == probe.key) {
             suspicion.own = true;
             if !private {
-                suspicion.deadline = now + self.options.suspicion;
+                suspicion.deadline = now + self.options.suspicion_timeout;
             }
         }
     }
@@ -336,9 +336,9 @@
     /// it did: it waits longer and then keeps the verdict to itself.
     fn confirm(&mut self, now: Duration, key: HostKey, stamp: MemberStamp) {
         let silent = now.saturating_sub(self.last_heard);
-        let deaf = self.is_deaf(now);
-        if deaf && silent < self.options.deaf_suspicion {
-            let deadline = self.last_heard + self.options.deaf_suspicion;
+        let isolated = self.is_isolated(now);
+        if isolated && silent < self.options.isolated_suspicion_timeout {
+            let deadline = self.last_heard + self.options.isolated_suspicion_timeout;
             for suspicion in self.suspicions.iter_mut().filter(|found| found.key == key) {
                 suspicion.deadline = deadline;
             }
@@ -349,7 +349,7 @@
         let doubtful = record.health == MemberHealth::Suspect || record.private;
         if record.stamp == stamp && doubtful {
             self.counters.deaths += u64::from(record.is_live());
-            self.set_health(now, key, MemberHealth::Dead, deaf);
+            self.set_health(now, key, MemberHealth::Dead, isolated);
         }
     }
 
@@ -361,15 +361,16 @@
             .filter(|record| record.key != self.me && !record.is_live())
             .filter(|record| {
                 let left = record.phase == MemberPhase::Left;
-                let kept = if left { self.options.left_kept } else { self.options.dead_kept };
-                now.saturating_sub(record.changed) > kept
+                let kept =
+                    if left { self.options.left_retention } else { self.options.dead_retention };
+                now.saturating_sub(record.changed_at) > kept
             })
             .map(|record| record.key)
             .collect();
         for key in old {
             self.ring.retain(|&member| member != key);
             self.arena.remove(key);
-            self.actions.push_back(FleetAction::MemberForgotten(key));
+            self.actions.push_back(FleetAction::MemberRemoved(key));
         }
     }
 }
--- a/crates/hawthorn-fleet/src/member/receive.rs
+++ b/crates/hawthorn-fleet/src/member/receive.rs
@@ -16,7 +16,7 @@
 use crate::message::FleetMessage;
 use crate::message::MemberHealth;
 use crate::message::MemberId;
-use crate::message::MemberRumor;
+use crate::message::MemberUpdate;
 use crate::message::SenderHeader;
 
 /// The most pings for others kept waiting; more are not worth passing on late.
@@ -29,7 +29,7 @@
         let (message, rumors) = match self.read(bytes) {
             Ok(read) => read,
             Err(error) => {
-                self.counters.refused += 1;
+                self.counters.rejected += 1;
                 return Err(error);
             }
         };
@@ -52,7 +52,7 @@
         Ok(())
     }
 
-    fn read(&self, bytes: &[u8]) -> Result<(FleetMessage, Vec<MemberRumor>), Error> {
+    fn read(&self, bytes: &[u8]) -> Result<(FleetMessage, Vec<MemberUpdate>), Error> {
         let (message, rumors) = message::decode(bytes)?;
         if message.fleet != self.options.fleet {
             return Err(Error::OtherFleet(message.fleet));
@@ -64,7 +64,7 @@
     fn meet_twin(&mut self, now: Duration, from: SocketAddr, sender: &SenderHeader) {
         let mut place = self.record_of_self().place.clone();
         place.peer = from;
-        let rumor = MemberRumor {
+        let rumor = MemberUpdate {
             id: sender.id,
             stamp: sender.stamp,
             phase: sender.phase,
@@ -78,7 +78,7 @@
     /// its full time again, as the fault was on this side, and what was held
     /// for dead is looked at once more before anybody is told.
     fn note_heard(&mut self, now: Duration) {
-        if self.is_deaf(now) {
+        if self.is_isolated(now) {
             self.restart_suspicions(now);
             self.review_private(now);
         }
@@ -102,7 +102,7 @@
             self.repair_peer = Some(from);
         }
         self.actions
-            .push_back(FleetAction::DigestHeard { peer: key, digest: message.sender.digest });
+            .push_back(FleetAction::DigestReceived { peer: key, digest: message.sender.digest });
     }
 
     fn answer(
@@ -123,41 +123,41 @@
                 self.take_ack(now, from, message.sender.id, number);
                 if unknown {
                     let own = self.own_rumor();
-                    self.send(now, from, FleetBody::Notice, &[own]);
+                    self.send(now, from, FleetBody::Gossip, &[own]);
                 }
             }
             FleetBody::PingRequest { number, target, peer } => {
                 self.pass_ping(now, from, number, target, peer);
             }
-            FleetBody::Notice if !front.is_empty() => {
-                self.send(now, from, FleetBody::Notice, &front);
+            FleetBody::Gossip if !front.is_empty() => {
+                self.send(now, from, FleetBody::Gossip, &front);
             }
-            FleetBody::Notice => {}
-            FleetBody::SyncAsk { after } => self.send_page(now, from, after),
+            FleetBody::Gossip => {}
+            FleetBody::SyncRequest { after } => self.send_page(now, from, after),
             FleetBody::SyncPage { next } => self.take_page(now, from, next, news),
             FleetBody::Payload(payload) => {
                 // Payloads from hosts that are not members are ignored.
                 if sender.is_some() {
-                    self.actions.push_back(FleetAction::PayloadHeard { from, payload });
+                    self.actions.push_back(FleetAction::PayloadReceived { from, payload });
                 }
             }
             FleetBody::Handover(message) => {
                 let Some(peer) = sender.and_then(|key| self.arena.get(key)) else { return };
                 let peer = peer.id;
-                self.actions.push_back(FleetAction::HandoverHeard { peer, message });
+                self.actions.push_back(FleetAction::HandoverReceived { peer, message });
             }
         }
     }
 
     /// What the sender should know is said of it, so that it can refute.
-    fn doubts_of(&self, sender: &SenderHeader) -> SmallVec<[MemberRumor; 1]> {
+    fn doubts_of(&self, sender: &SenderHeader) -> SmallVec<[MemberUpdate; 1]> {
         let record = self.arena.by_id(sender.id).filter(|record| {
             !record.private
                 && record.stamp >= sender.stamp
                 && (record.stamp > sender.stamp || record.health != MemberHealth::Alive)
         });
         record
-            .map(|record| MemberRumor { place: Some(record.place.clone()), ..record.rumor() })
+            .map(|record| MemberUpdate { place: Some(record.place.clone()), ..record.rumor() })
             .into_iter()
             .collect()
     }
@@ -200,17 +200,17 @@
             .filter(|record| record.zone == self.my_zone);
         if let Some(record) = gone {
             let rumor = record.rumor();
-            return self.send(now, origin, FleetBody::Notice, &[rumor]);
+            return self.send(now, origin, FleetBody::Gossip, &[rumor]);
         }
         if self.relays.len() >= RELAY_LIMIT {
             return;
         }
-        // Tells the asker that it can still hear: see `MemberTable::is_deaf`.
-        self.send(now, origin, FleetBody::Notice, &[]);
+        // Tells the asker that it can still hear: see `MemberTable::is_isolated`.
+        self.send(now, origin, FleetBody::Gossip, &[]);
         let number = self.take_number();
         let expires = now + self.options.probe_timeout;
         self.relays.push(Relay { number, target, origin, origin_number, expires });
-        let front: SmallVec<[MemberRumor; 1]> = self
+        let front: SmallVec<[MemberUpdate; 1]> = self
             .arena
             .by_id(target)
             .filter(|record| record.health != MemberHealth::Alive && !record.private)
--- a/crates/hawthorn-fleet/src/member/send.rs
+++ b/crates/hawthorn-fleet/src/member/send.rs
@@ -18,7 +18,7 @@
 use crate::message::MESSAGE_FORMAT;
 use crate::message::MemberId;
 use crate::message::MemberPhase;
-use crate::message::MemberRumor;
+use crate::message::MemberUpdate;
 
 /// Rumors looked at for one datagram; more never fit in its part for rumors.
 const RUMORS_TRIED: usize = 24;
@@ -30,7 +30,7 @@
         now: Duration,
         to: SocketAddr,
         body: FleetBody,
-        front: &[MemberRumor],
+        front: &[MemberUpdate],
     ) {
         let mut writer = DatagramWriter::new(&self.message(now, to, body));
         for rumor in front {
@@ -44,8 +44,8 @@
     pub(super) fn announce(&mut self, now: Duration, phase: MemberPhase) {
         self.arena.update(self.me, |record| {
             record.phase = phase;
-            record.stamp.update += 1;
-            record.changed = now;
+            record.stamp.sequence += 1;
+            record.changed_at = now;
         });
         self.rumors.push(self.my_id);
         self.view_changed = true;
@@ -61,7 +61,7 @@
             let picked = self.pick(1, |record| record.zone == zone);
             let peer = picked.first().and_then(|&key| self.arena.get(key));
             let Some(peer) = peer.map(|record| record.place.peer) else { continue };
-            self.send(now, peer, FleetBody::Notice, std::slice::from_ref(&own));
+            self.send(now, peer, FleetBody::Gossip, std::slice::from_ref(&own));
         }
     }
 
@@ -69,11 +69,11 @@
     pub(super) fn push_notice(&mut self, now: Duration) {
         let own = self.own_rumor();
         let zone = self.my_zone;
-        let mut peers = self.pick(self.options.push, |record| record.zone == zone);
+        let mut peers = self.pick(self.options.push_fanout, |record| record.zone == zone);
         peers.extend(self.pick(1, |record| record.zone != zone));
         for key in peers {
             let Some(peer) = self.arena.get(key).map(|record| record.place.peer) else { continue };
-            self.send(now, peer, FleetBody::Notice, std::slice::from_ref(&own));
+            self.send(now, peer, FleetBody::Gossip, std::slice::from_ref(&own));
         }
     }
 
@@ -84,9 +84,9 @@
     }
 
     /// This host's whole record.
-    pub(super) fn own_rumor(&self) -> MemberRumor {
+    pub(super) fn own_rumor(&self) -> MemberUpdate {
         let record = self.record_of_self();
-        MemberRumor { place: Some(record.place.clone()), ..record.rumor() }
+        MemberUpdate { place: Some(record.place.clone()), ..record.rumor() }
     }
 
     /// Up to `count` live members, at random, among those that `fits` allows.
@@ -121,10 +121,10 @@
         }
     }
 
-    fn add_rumors(&mut self, writer: &mut DatagramWriter, front: &[MemberRumor]) {
-        let limit = writer.len() + self.options.rumor_bytes;
+    fn add_rumors(&mut self, writer: &mut DatagramWriter, front: &[MemberUpdate]) {
+        let limit = writer.len() + self.options.gossip_bytes;
         let members = u32::try_from(self.arena.len()).unwrap_or(u32::MAX);
-        let times = members.max(1).ilog2() + 1 + self.options.rumor_extra;
+        let times = members.max(1).ilog2() + 1 + self.options.extra_transmissions;
         for id in self.rumors.first(RUMORS_TRIED) {
             if front.iter().any(|rumor| rumor.id == id) {
                 continue;
@@ -140,7 +140,7 @@
         }
     }
 
-    fn rumor_of(&self, id: MemberId) -> Option<MemberRumor> {
+    fn rumor_of(&self, id: MemberId) -> Option<MemberUpdate> {
         self.arena.by_id(id).filter(|record| !record.private).map(MemberRecord::rumor)
     }
 
--- a/crates/hawthorn-fleet/src/member/sync.rs
+++ b/crates/hawthorn-fleet/src/member/sync.rs
@@ -10,7 +10,7 @@
 use crate::message::DatagramWriter;
 use crate::message::FleetBody;
 use crate::message::MemberHealth;
-use crate::message::MemberRumor;
+use crate::message::MemberUpdate;
 
 /// A part of a member list that was asked for and did not come is asked for
 /// again, of another peer, after this time.
@@ -46,8 +46,11 @@
     /// Asks hinted addresses without a live member behind them for their list.
     pub(super) fn try_hints(&mut self, now: Duration) {
         let alone = !self.arena.iter().any(|record| record.key != self.me && record.is_live());
-        let (count, wait) =
-            if alone { (HINTS_AT_START, self.start_retry(now)) } else { (1, self.options.retry) };
+        let (count, wait) = if alone {
+            (HINTS_AT_START, self.start_retry(now))
+        } else {
+            (1, self.options.rejoin_interval)
+        };
         self.due.hint = now + wait;
         let here = self.record_of_self().place.peer;
         let open: Vec<SocketAddr> = self
@@ -61,7 +64,7 @@
         for _ in 0..count.min(open.len()) {
             self.hint_next = (self.hint_next + 1) % open.len();
             let peer = open[self.hint_next];
-            self.send(now, peer, FleetBody::SyncAsk { after: 0 }, std::slice::from_ref(&own));
+            self.send(now, peer, FleetBody::SyncRequest { after: 0 }, std::slice::from_ref(&own));
         }
     }
 
@@ -73,7 +76,7 @@
         }
         let Some(peer) = self.repair_peer.take() else { return };
         let after = self.repair_after;
-        self.send(now, peer, FleetBody::SyncAsk { after }, &[]);
+        self.send(now, peer, FleetBody::SyncRequest { after }, &[]);
     }
 
     /// The first other member was met: read the whole list from one.
@@ -110,7 +113,7 @@
         };
         let peer = record.place.peer;
         let own = self.own_rumor();
-        self.send(now, peer, FleetBody::SyncAsk { after }, &[own]);
+        self.send(now, peer, FleetBody::SyncRequest { after }, &[own]);
         self.sync = Some(SyncProgress { peer, after, asked: now });
     }
 
@@ -125,7 +128,7 @@
         &mut self,
         now: Duration,
         from: SocketAddr,
-        rumors: Vec<MemberRumor>,
+        rumors: Vec<MemberUpdate>,
     ) -> usize {
         let joining = self.syncs_from(from);
         let mut news = 0;
@@ -147,7 +150,7 @@
     /// The peer lists a member live that is known to be dead here. Failure:
     /// after a partition within a zone the two sides hold each other for dead
     /// and tell nobody any more. Passing it on again lets the member refute.
-    fn contradict(&mut self, rumor: &MemberRumor) {
+    fn contradict(&mut self, rumor: &MemberUpdate) {
         let dead = self.arena.by_id(rumor.id).is_some_and(|record| {
             record.health == MemberHealth::Dead && !record.private && record.stamp >= rumor.stamp
         });
@@ -168,7 +171,7 @@
             if news >= REPAIR_NEWS
                 && let Some(after) = next
             {
-                self.send(now, from, FleetBody::SyncAsk { after }, &[]);
+                self.send(now, from, FleetBody::SyncRequest { after }, &[]);
             }
             return;
         }
@@ -185,7 +188,7 @@
             return;
         }
         self.sync = Some(SyncProgress { peer: from, after, asked: now });
-        self.send(now, from, FleetBody::SyncAsk { after }, &[]);
+        self.send(now, from, FleetBody::SyncRequest { after }, &[]);
     }
 
     /// Sends the part of the list after `after`, in order of id.
@@ -199,7 +202,7 @@
         for record in self.arena.after(after).filter(|record| record.is_live() && !record.private) {
             let rumor = record.rumor();
             if !trial.push(&rumor, DATAGRAM_LIMIT) {
-                next = page.last().map(|rumor: &MemberRumor| rumor.id.0);
+                next = page.last().map(|rumor: &MemberUpdate| rumor.id.0);
                 break;
             }
             page.push(rumor);
--- a/crates/hawthorn-fleet/src/message.rs
+++ b/crates/hawthorn-fleet/src/message.rs
@@ -1,6 +1,6 @@
 //! Datagrams between daemons, in the postcard format.
 //!
-//! A datagram is a [`FleetMessage`] followed by as many [`MemberRumor`]s as
+//! A datagram is a [`FleetMessage`] followed by as many [`MemberUpdate`]s as
 //! fit. Sent by any daemon to any other over UDP; may be lost, doubled or
 //! reordered. One postcard value after the other, so that a sender can stop at
 //! the byte limit and a reader at the end.
@@ -53,7 +53,7 @@
     pub incarnation: u64,
     /// Raised by the host itself, and by nobody else, with each announcement
     /// and to refute a suspicion.
-    pub update: u32,
+    pub sequence: u32,
 }
 
 /// How far the host is in its life, announced by itself alone.
@@ -127,7 +127,7 @@
 
 /// What is said of one host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MemberRumor {
+pub struct MemberUpdate {
     /// The host.
     pub id: MemberId,
     /// Orders rumors of the host.
@@ -189,9 +189,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HandoverMessage {
     /// The sender now owns these buckets and asks the former owner to let go.
-    Ask(BucketList),
+    Request(BucketList),
     /// The sender was asked, and uses at most half of the slots of these buckets.
-    Noted(BucketList),
+    Acknowledged(BucketList),
     /// The sender no longer uses any slot of these buckets.
     Released(BucketList),
 }
@@ -221,9 +221,9 @@
         peer: SocketAddr,
     },
     /// Carries the header and rumors alone.
-    Notice,
+    Gossip,
     /// Asks for the part of the member list after this id.
-    SyncAsk {
+    SyncRequest {
         /// The last id that the asker has; 0 to begin.
         after: u64,
     },
@@ -282,7 +282,7 @@
 }
 
 /// Reads a datagram: the message and its rumors.
-pub fn decode(bytes: &[u8]) -> Result<(FleetMessage, Vec<MemberRumor>), Error> {
+pub fn decode(bytes: &[u8]) -> Result<(FleetMessage, Vec<MemberUpdate>), Error> {
     if bytes.len() > DATAGRAM_LIMIT {
         return Err(Error::TooLong(bytes.len()));
     }
@@ -292,7 +292,7 @@
     }
     let mut rumors = Vec::new();
     while !rest.is_empty() {
-        let (rumor, left) = postcard::take_from_bytes::<MemberRumor>(rest)?;
+        let (rumor, left) = postcard::take_from_bytes::<MemberUpdate>(rest)?;
         check_names(&rumor)?;
         rumors.push(rumor);
         rest = left;
@@ -300,7 +300,7 @@
     Ok((message, rumors))
 }
 
-fn check_names(rumor: &MemberRumor) -> Result<(), Error> {
+fn check_names(rumor: &MemberUpdate) -> Result<(), Error> {
     let Some(place) = &rumor.place else { return Ok(()) };
     let fits = place.host.len() <= NAME_LIMIT && place.zone.len() <= NAME_LIMIT;
     if fits && MemberId::of(&place.host) == rumor.id { Ok(()) } else { Err(Error::BadName) }
@@ -319,7 +319,7 @@
     }
 
     /// Adds the rumor if the datagram then stays within `limit` bytes.
-    pub fn push(&mut self, rumor: &MemberRumor, limit: usize) -> bool {
+    pub fn push(&mut self, rumor: &MemberUpdate, limit: usize) -> bool {
         let encoded = postcard::to_stdvec(rumor).expect("plain data always encodes into memory");
         let fits = self.bytes.len() + encoded.len() <= limit.min(DATAGRAM_LIMIT);
         if fits {
--- a/crates/hawthorn-fleet/src/spread/action.rs
+++ b/crates/hawthorn-fleet/src/propagation/action.rs
@@ -7,9 +7,9 @@
 
 /// What the daemon must do or tell its operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SpreadAction {
+pub enum PropagationAction {
     /// Fetch the document of at least this revision from the peer, then call
-    /// [`SpreadState::adopt`](crate::SpreadState::adopt), or [`SpreadState::pull_failed`](crate::SpreadState::pull_failed).
+    /// [`PropagationState::adopt`](crate::PropagationState::adopt), or [`PropagationState::pull_failed`](crate::PropagationState::pull_failed).
     Pull {
         /// The peer.
         peer: HostKey,
@@ -17,23 +17,23 @@
         revision: ConfigRevision,
     },
     /// Watch the store for a revision after this one, for at most `wait`, then
-    /// call [`SpreadState::store_answered`](crate::SpreadState::store_answered).
+    /// call [`PropagationState::store_answered`](crate::PropagationState::store_answered).
     Watch {
         /// The revision in force.
         after: ConfigRevision,
         /// How long the store may hold the call.
         wait: Duration,
     },
-    /// Read the document from the store, then call [`SpreadState::store_answered`](crate::SpreadState::store_answered).
+    /// Read the document from the store, then call [`PropagationState::store_answered`](crate::PropagationState::store_answered).
     ReadStore,
     /// Tell the operators.
-    Alarm(SpreadAlarm),
+    Alarm(PropagationAlarm),
 }
 
 /// Something operators must look at. Raised once for each edition it concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
-pub enum SpreadAlarm {
+pub enum PropagationAlarm {
     /// A peer or the store holds another edit of the revision in force. Refused.
     Fork {
         /// The revision.
--- a/crates/hawthorn-fleet/src/spread/mod.rs
+++ b/crates/hawthorn-fleet/src/propagation/mod.rs
@@ -26,8 +26,8 @@
 use crate::ownership;
 use crate::ownership::GroupId;
 use crate::ownership::OwnerCandidate;
-pub use action::SpreadAction;
-pub use action::SpreadAlarm;
+pub use action::PropagationAction;
+pub use action::PropagationAlarm;
 pub use options::Options;
 pub use watch::StoreAnswer;
 use watch::WatchState;
@@ -48,7 +48,7 @@
     pub edit: u64,
 }
 
-/// What became of a document offered to [`SpreadState::adopt`].
+/// What became of a document offered to [`PropagationState::adopt`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Outcome {
@@ -64,7 +64,7 @@
 
 /// Counts since the start, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct SpreadCounters {
+pub struct PropagationCounters {
     /// Calls to the store.
     pub store_calls: u64,
     /// Calls to the store that failed.
@@ -76,7 +76,7 @@
     /// Editions adopted.
     pub adopted: u64,
     /// Documents and digests refused because they would go back or fork.
-    pub refused: u64,
+    pub rejected: u64,
 }
 
 /// A document asked of a peer.
@@ -88,7 +88,7 @@
 
 /// The spread at one daemon. One lives as long as the process.
 #[derive(Debug)]
-pub struct SpreadState {
+pub struct PropagationState {
     options: Options,
     in_force: Option<ConfigEdition>,
     /// When the store, through whatever peers, confirmed `in_force` as newest.
@@ -103,12 +103,12 @@
     pull: Option<Pull>,
     watch: WatchState,
     heard_peers: BTreeSet<HostKey>,
-    alarmed: BTreeSet<SpreadAlarm>,
-    actions: VecDeque<SpreadAction>,
-    counters: SpreadCounters,
+    alarmed: BTreeSet<PropagationAlarm>,
+    actions: VecDeque<PropagationAction>,
+    counters: PropagationCounters,
 }
 
-impl SpreadState {
+impl PropagationState {
     /// Nothing is in force yet.
     pub fn new(options: Options) -> Self {
         Self {
@@ -123,12 +123,12 @@
             heard_peers: BTreeSet::new(),
             alarmed: BTreeSet::new(),
             actions: VecDeque::new(),
-            counters: SpreadCounters::default(),
+            counters: PropagationCounters::default(),
         }
     }
 
     /// Takes what a peer's heartbeat says.
-    pub fn heard(&mut self, now: Duration, peer: HostKey, digest: MemberDigest) {
+    pub fn receive_digest(&mut self, now: Duration, peer: HostKey, digest: MemberDigest) {
         if self.heard_peers.len() < self.options.ready_peers {
             self.heard_peers.insert(peer);
         }
@@ -152,7 +152,7 @@
         match outcome {
             Outcome::Adopted => self.put_in_force(now, edition),
             Outcome::InForce => {}
-            Outcome::Older => self.counters.refused += 1,
+            Outcome::Older => self.counters.rejected += 1,
             Outcome::Fork => self.refuse_fork(edition),
         }
         self.start_pull(now);
@@ -197,7 +197,7 @@
             StoreAnswer::Holds(edition) => self.take_store(now, edition),
             StoreAnswer::Empty => {
                 if let Some(edition) = self.in_force {
-                    self.alarm(SpreadAlarm::StoreEmpty { in_force: edition.revision });
+                    self.alarm(PropagationAlarm::StoreEmpty { in_force: edition.revision });
                 }
             }
         }
@@ -208,9 +208,9 @@
             Outcome::InForce => self.confirm(now),
             Outcome::Fork => self.refuse_fork(edition),
             Outcome::Older => {
-                self.counters.refused += 1;
+                self.counters.rejected += 1;
                 let in_force = self.revision();
-                self.alarm(SpreadAlarm::StoreBehind { store: edition.revision, in_force });
+                self.alarm(PropagationAlarm::StoreBehind { store: edition.revision, in_force });
             }
             // Not adopted by the daemon, such as a document that fails its checks.
             Outcome::Adopted => {}
@@ -224,7 +224,7 @@
         }
         let quiet = self.quiet(now);
         let started = *self.started.get_or_insert(now);
-        if now.saturating_sub(started) < self.options.start_patience {
+        if now.saturating_sub(started) < self.options.startup_delay {
             return;
         }
         if let Some(call) = self.watch.due(now, quiet, self.revision(), &self.options) {
@@ -234,7 +234,7 @@
     }
 
     /// The next thing to do.
-    pub fn poll_action(&mut self) -> Option<SpreadAction> {
+    pub fn poll_action(&mut self) -> Option<PropagationAction> {
         self.actions.pop_front()
     }
 
@@ -287,7 +287,7 @@
     }
 
     /// Counts since the start.
-    pub fn counters(&self) -> SpreadCounters {
+    pub fn counters(&self) -> PropagationCounters {
         self.counters
     }
 
@@ -332,13 +332,13 @@
 
     fn refuse_fork(&mut self, theirs: ConfigEdition) {
         let mine = self.in_force.unwrap_or_default().edit;
-        self.counters.refused += 1;
-        self.alarm(SpreadAlarm::Fork { revision: theirs.revision, mine, theirs: theirs.edit });
+        self.counters.rejected += 1;
+        self.alarm(PropagationAlarm::Fork { revision: theirs.revision, mine, theirs: theirs.edit });
     }
 
-    fn alarm(&mut self, alarm: SpreadAlarm) {
+    fn alarm(&mut self, alarm: PropagationAlarm) {
         if self.alarmed.insert(alarm) {
-            self.actions.push_back(SpreadAction::Alarm(alarm));
+            self.actions.push_back(PropagationAction::Alarm(alarm));
         }
     }
 
@@ -367,6 +367,6 @@
         let Some(&(revision, peer)) = self.ahead.first() else { return };
         self.pull = Some(Pull { peer, deadline: now + self.options.pull_timeout });
         self.counters.pulls += 1;
-        self.actions.push_back(SpreadAction::Pull { peer, revision });
+        self.actions.push_back(PropagationAction::Pull { peer, revision });
     }
 }
--- a/crates/hawthorn-fleet/src/spread/watch.rs
+++ b/crates/hawthorn-fleet/src/propagation/watch.rs
@@ -6,7 +6,7 @@
 
 use super::ConfigEdition;
 use super::Options;
-use super::SpreadAction;
+use super::PropagationAction;
 
 /// What a call to the store came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,8 +46,8 @@
         }
         let order = rank - options.watchers + 1;
         let order_limit = u32::try_from(order).unwrap_or(u32::MAX);
-        let patience = options.stand_in_after.saturating_mul(order_limit);
-        order <= options.stand_ins && quiet > patience
+        let patience = options.standby_delay.saturating_mul(order_limit);
+        order <= options.standbys && quiet > patience
     }
 
     /// The call to make now, if any.
@@ -57,17 +57,17 @@
         quiet: Duration,
         after: ConfigRevision,
         options: &Options,
-    ) -> Option<SpreadAction> {
+    ) -> Option<PropagationAction> {
         if self.waiting || now < self.due || !self.is_watcher(quiet, options) {
             return None;
         }
         self.waiting = true;
-        let whole = self.calls.is_multiple_of(options.read_every.max(1));
+        let whole = self.calls.is_multiple_of(options.full_read_every.max(1));
         self.calls = self.calls.wrapping_add(1);
         if whole {
-            return Some(SpreadAction::ReadStore);
+            return Some(PropagationAction::ReadStore);
         }
-        Some(SpreadAction::Watch { after, wait: options.watch_wait })
+        Some(PropagationAction::Watch { after, wait: options.watch_timeout })
     }
 
     /// Notes an answer; `refused` when it held something that must not come
@@ -81,15 +81,15 @@
     ) {
         self.waiting = false;
         if answer == StoreAnswer::Failed {
-            let doubled = options.retry.saturating_mul(1 << self.failures.min(16));
+            let doubled = options.initial_backoff.saturating_mul(1 << self.failures.min(16));
             self.failures = self.failures.saturating_add(1);
-            self.due = now + doubled.min(options.retry_limit);
+            self.due = now + doubled.min(options.max_backoff);
             return;
         }
         self.failures = 0;
         // A store that answers a watch at once, empty or behind, is not asked
         // in a tight loop.
         let settled = answer != StoreAnswer::Empty && !refused;
-        self.due = now + if settled { options.call_gap } else { options.retry_limit };
+        self.due = now + if settled { options.min_call_interval } else { options.max_backoff };
     }
 }
--- a/crates/hawthorn-fleet/tests/handover.rs
+++ b/crates/hawthorn-fleet/tests/handover.rs
@@ -10,13 +10,13 @@
 use hawthorn_fleet::SlotShare;
 use hawthorn_fleet::handover::Handover;
 use hawthorn_fleet::handover::HandoverAction;
-use hawthorn_fleet::handover::HostStanding;
+use hawthorn_fleet::handover::HostStatus;
 use hawthorn_fleet::handover::Options;
 use hawthorn_fleet::handover::ZoneView;
 use hawthorn_fleet::ownership;
 use hawthorn_fleet::ownership::DEFAULT_BUCKETS;
 use hawthorn_fleet::ownership::OwnerCandidate;
-use hawthorn_fleet::spread::ConfigEdition;
+use hawthorn_fleet::propagation::ConfigEdition;
 use hawthorn_types::ConfigRevision;
 use hawthorn_types::HostKey;
 use support::Switch;
@@ -188,9 +188,9 @@
     let ids = [MemberId::of("host-a"), MemberId::of("host-b")];
     let view = |hosts: &[MemberId]| ZoneView {
         zone: ZONE.to_owned(),
-        hosts: hosts.iter().map(|&id| (id, HostStanding::Serving)).collect(),
-        deaf: false,
-        witnessed: true,
+        hosts: hosts.iter().map(|&id| (id, HostStatus::Serving)).collect(),
+        isolated: false,
+        other_zones_reachable: true,
     };
     let options = Options { buckets: 1, ..Options::default() };
     let (winner, loser) = match ownership_of(&ids) {
--- a/crates/hawthorn-fleet/tests/member.rs
+++ b/crates/hawthorn-fleet/tests/member.rs
@@ -127,7 +127,7 @@
     assert!(back.is_some_and(|time| time < ms(2_000)), "{back:?}");
     switch.run_for(ms(10_000));
     assert_eq!(deaths(&switch), before, "it held nobody for dead");
-    assert!(has_event(&switch, 4, |event| matches!(event, FleetAction::SelfPaused(_))));
+    assert!(has_event(&switch, 4, |event| matches!(event, FleetAction::ProcessPaused(_))));
     Ok(())
 }
 
--- a/crates/hawthorn-fleet/tests/message.rs
+++ b/crates/hawthorn-fleet/tests/message.rs
@@ -19,7 +19,7 @@
 use hawthorn_fleet::message::DatagramWriter;
 use hawthorn_fleet::message::FleetBody;
 use hawthorn_fleet::message::MESSAGE_FORMAT;
-use hawthorn_fleet::message::MemberRumor;
+use hawthorn_fleet::message::MemberUpdate;
 use hawthorn_fleet::message::NAME_LIMIT;
 use hawthorn_fleet::message::SenderHeader;
 use proptest::prelude::*;
@@ -41,7 +41,7 @@
         fleet: 0,
         sender: SenderHeader {
             id: MemberId::of("host-a"),
-            stamp: MemberStamp { incarnation: 1_700_000_000_000, update: 3 },
+            stamp: MemberStamp { incarnation: 1_700_000_000_000, sequence: 3 },
             phase: MemberPhase::Serving,
             digest: MemberDigest::default(),
             fingerprint: 7,
@@ -51,10 +51,10 @@
     }
 }
 
-fn rumor(host: &str) -> Result<MemberRumor, Box<dyn Error>> {
-    Ok(MemberRumor {
+fn rumor(host: &str) -> Result<MemberUpdate, Box<dyn Error>> {
+    Ok(MemberUpdate {
         id: MemberId::of(host),
-        stamp: MemberStamp { incarnation: 1_700_000_000_000, update: 1 },
+        stamp: MemberStamp { incarnation: 1_700_000_000_000, sequence: 1 },
         phase: MemberPhase::Serving,
         health: MemberHealth::Alive,
         place: Some(MemberPlace {
@@ -85,11 +85,11 @@
 
 #[test]
 fn wrong_datagrams_are_refused() -> TestResult {
-    let mut other_format = message(FleetBody::Notice);
+    let mut other_format = message(FleetBody::Gossip);
     other_format.format += 1;
-    let mut bad_name = DatagramWriter::new(&message(FleetBody::Notice));
-    bad_name.push(&MemberRumor { id: MemberId(5), ..rumor("host-a")? }, usize::MAX);
-    let mut long_name = DatagramWriter::new(&message(FleetBody::Notice));
+    let mut bad_name = DatagramWriter::new(&message(FleetBody::Gossip));
+    bad_name.push(&MemberUpdate { id: MemberId(5), ..rumor("host-a")? }, usize::MAX);
+    let mut long_name = DatagramWriter::new(&message(FleetBody::Gossip));
     long_name.push(&rumor(&"h".repeat(NAME_LIMIT + 1))?, usize::MAX);
     let refused = |bytes: &[u8]| message::decode(bytes).err();
     let format = refused(&DatagramWriter::new(&other_format).finish());
@@ -106,7 +106,7 @@
 fn random_bytes_never_panic_and_change_no_member() -> TestResult {
     let from: SocketAddr = "10.0.0.9:7000".parse()?;
     let place = rumor("host-b")?.place.ok_or("a place")?;
-    let valid = DatagramWriter::new(&message(FleetBody::SyncAsk { after: 0 })).finish();
+    let valid = DatagramWriter::new(&message(FleetBody::SyncRequest { after: 0 })).finish();
     let bytes = prop_oneof![
         proptest::collection::vec(any::<u8>(), 0..1_500),
         (0..valid.len(), any::<u8>()).prop_map(move |(at, value)| {
--- a/crates/hawthorn-fleet/tests/spread.rs
+++ b/crates/hawthorn-fleet/tests/propagation.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 use hawthorn_fleet::MemberDigest;
-use hawthorn_fleet::SpreadState;
-use hawthorn_fleet::spread::ConfigEdition;
-use hawthorn_fleet::spread::Options;
-use hawthorn_fleet::spread::Outcome;
-use hawthorn_fleet::spread::SpreadAction;
-use hawthorn_fleet::spread::SpreadAlarm;
-use hawthorn_fleet::spread::StoreAnswer;
+use hawthorn_fleet::PropagationState;
+use hawthorn_fleet::propagation::ConfigEdition;
+use hawthorn_fleet::propagation::Options;
+use hawthorn_fleet::propagation::Outcome;
+use hawthorn_fleet::propagation::PropagationAction;
+use hawthorn_fleet::propagation::PropagationAlarm;
+use hawthorn_fleet::propagation::StoreAnswer;
 use hawthorn_types::ConfigRevision;
 use hawthorn_types::HostKey;
 use support::Switch;
@@ -34,10 +34,10 @@
 
 fn in_force_everywhere(switch: &Switch, revision: u64) -> bool {
     let mut running = switch.daemons.iter().filter(|daemon| daemon.up);
-    running.all(|daemon| daemon.spread.in_force() == Some(edition(revision)))
+    running.all(|daemon| daemon.propagation.in_force() == Some(edition(revision)))
 }
 
-fn raised(switch: &Switch, alarm: SpreadAlarm) -> usize {
+fn raised(switch: &Switch, alarm: PropagationAlarm) -> usize {
     switch.daemons.iter().filter(|daemon| daemon.alarms.contains(&alarm)).count()
 }
 
@@ -80,10 +80,11 @@
     let calls = switch.store.calls - calls;
     eprintln!("{calls} calls in 100 s");
     let now = switch.now;
-    let watching = switch.daemons.iter().filter(|daemon| daemon.spread.is_watching(now)).count();
+    let watching =
+        switch.daemons.iter().filter(|daemon| daemon.propagation.is_watching(now)).count();
     assert_eq!(watching, 8);
     for daemon in &switch.daemons {
-        let age = daemon.spread.age(now);
+        let age = daemon.propagation.age(now);
         assert!(age.is_some_and(|age| age < ms(12_000)), "{} knows it: {age:?}", daemon.name);
     }
     assert!(calls <= 8 * 15, "{calls} calls of 8 watchers in 100 s");
@@ -97,7 +98,7 @@
     let mut switch = serving(3, 12, 2);
     let now = switch.now;
     let watchers: Vec<usize> =
-        (0..12).filter(|&index| switch.daemons[index].spread.is_watching(now)).collect();
+        (0..12).filter(|&index| switch.daemons[index].propagation.is_watching(now)).collect();
     for &index in &watchers {
         switch.kill(index);
     }
@@ -118,7 +119,8 @@
     switch.write_store(edition(3));
     switch.run_for(ms(60_000));
     assert!(in_force_everywhere(&switch, 5));
-    let alarm = SpreadAlarm::StoreBehind { store: ConfigRevision(3), in_force: ConfigRevision(5) };
+    let alarm =
+        PropagationAlarm::StoreBehind { store: ConfigRevision(3), in_force: ConfigRevision(5) };
     assert_eq!(raised(&switch, alarm), 4, "each watcher says so once");
     switch.write_store(edition(6));
     let time = switch.run_until(ms(20_000), |switch| in_force_everywhere(switch, 6));
@@ -138,7 +140,7 @@
     switch.write_store(other);
     switch.run_for(ms(60_000));
     assert!(in_force_everywhere(&switch, 5));
-    let alarm = SpreadAlarm::Fork { revision: ConfigRevision(5), mine: 5_000, theirs: 77 };
+    let alarm = PropagationAlarm::Fork { revision: ConfigRevision(5), mine: 5_000, theirs: 77 };
     assert_eq!(raised(&switch, alarm), 4);
     Ok(())
 }
@@ -158,7 +160,7 @@
         switch.run_for(ms(10));
     }
     eprintln!("ready after {:?}", switch.now - now);
-    assert_eq!(switch.daemons[4].spread.in_force(), Some(edition(4)));
+    assert_eq!(switch.daemons[4].propagation.in_force(), Some(edition(4)));
     let calls = switch.store.calls;
     switch.run_for(ms(60_000));
     let calls = switch.store.calls - calls;
@@ -177,11 +179,11 @@
     switch.cut(&inside, &outside);
     switch.store.up = false;
     switch.run_for(ms(60_000));
-    let age = switch.daemons[inside[0]].spread.age(switch.now);
+    let age = switch.daemons[inside[0]].propagation.age(switch.now);
     assert!(age.is_some_and(|age| age > ms(45_000)), "{age:?}");
     switch.store.up = true;
     switch.act(outside[0], |daemon, now| {
-        assert_eq!(daemon.spread.adopt(now, edition(2)), Outcome::Adopted);
+        assert_eq!(daemon.propagation.adopt(now, edition(2)), Outcome::Adopted);
     });
     switch.cuts.clear();
     let time = switch.run_until(ms(10_000), |switch| in_force_everywhere(switch, 2));
@@ -208,11 +210,11 @@
         OfferCase { name: "newer", offer: edition(9), outcome: Outcome::Adopted },
     ];
     for case in cases {
-        let mut spread = SpreadState::new(Options::default());
-        assert_eq!(spread.adopt(ms(0), edition(5)), Outcome::Adopted);
-        assert_eq!(spread.adopt(ms(1), case.offer), case.outcome, "{}", case.name);
+        let mut propagation = PropagationState::new(Options::default());
+        assert_eq!(propagation.adopt(ms(0), edition(5)), Outcome::Adopted);
+        assert_eq!(propagation.adopt(ms(1), case.offer), case.outcome, "{}", case.name);
         let expected = if case.outcome == Outcome::Adopted { case.offer } else { edition(5) };
-        assert_eq!(spread.in_force(), Some(expected), "{}", case.name);
+        assert_eq!(propagation.in_force(), Some(expected), "{}", case.name);
     }
     Ok(())
 }
@@ -221,20 +223,20 @@
 /// it, and the peer dies. Cause: it waits for that one peer.
 #[test]
 fn a_pull_without_an_answer_goes_to_another_peer() -> TestResult {
-    let mut spread = SpreadState::new(Options::default());
+    let mut propagation = PropagationState::new(Options::default());
     let digest = MemberDigest { revision: ConfigRevision(3), edit: 3_000, ..Default::default() };
-    spread.heard(ms(0), HostKey(1), digest);
-    spread.heard(ms(5), HostKey(2), digest);
-    let pulls = |spread: &mut SpreadState| -> Vec<SpreadAction> {
-        std::iter::from_fn(|| spread.poll_action()).collect()
+    propagation.receive_digest(ms(0), HostKey(1), digest);
+    propagation.receive_digest(ms(5), HostKey(2), digest);
+    let pulls = |propagation: &mut PropagationState| -> Vec<PropagationAction> {
+        std::iter::from_fn(|| propagation.poll_action()).collect()
     };
-    let pull = |host| SpreadAction::Pull { peer: HostKey(host), revision: ConfigRevision(3) };
-    assert_eq!(pulls(&mut spread), [pull(1)]);
-    spread.tick(ms(1_100));
-    assert_eq!(pulls(&mut spread), [pull(2)]);
-    assert!(!spread.is_ready(2), "not ready while a peer is ahead");
-    spread.adopt(ms(1_200), edition(3));
-    spread.store_answered(ms(1_300), StoreAnswer::Holds(edition(3)));
-    assert!(spread.is_ready(2));
+    let pull = |host| PropagationAction::Pull { peer: HostKey(host), revision: ConfigRevision(3) };
+    assert_eq!(pulls(&mut propagation), [pull(1)]);
+    propagation.tick(ms(1_100));
+    assert_eq!(pulls(&mut propagation), [pull(2)]);
+    assert!(!propagation.is_ready(2), "not ready while a peer is ahead");
+    propagation.adopt(ms(1_200), edition(3));
+    propagation.store_answered(ms(1_300), StoreAnswer::Holds(edition(3)));
+    assert!(propagation.is_ready(2));
     Ok(())
 }
--- a/crates/hawthorn-fleet/tests/random.rs
+++ b/crates/hawthorn-fleet/tests/random.rs
@@ -5,7 +5,7 @@
 use std::error::Error;
 
 use hawthorn_fleet::MemberId;
-use hawthorn_fleet::spread::ConfigEdition;
+use hawthorn_fleet::propagation::ConfigEdition;
 use hawthorn_types::ConfigRevision;
 use proptest::prelude::*;
 use proptest::test_runner::Config;
@@ -80,7 +80,7 @@
 
     fn check(&mut self, switch: &Switch) -> Result<(), TestCaseError> {
         for (index, daemon) in switch.daemons.iter().enumerate() {
-            let revision = daemon.spread.in_force().unwrap_or_default().revision.0;
+            let revision = daemon.propagation.in_force().unwrap_or_default().revision.0;
             prop_assert!(revision >= self.revisions[index], "revision of {index} went back");
             self.revisions[index] = revision;
             for (other, known) in self.stamps[index].iter_mut().enumerate() {
@@ -176,7 +176,7 @@
                 .any(|owner| owner.id == MemberId::of(&switch.daemons[other].name));
             prop_assert_eq!(owns, switch.daemons[other].up, "{} as seen by {}", other, index);
         }
-        let revision = switch.daemons[index].spread.in_force().unwrap_or_default().revision;
+        let revision = switch.daemons[index].propagation.in_force().unwrap_or_default().revision;
         prop_assert_eq!(revision, ConfigRevision(edits), "revision of {}", index);
     }
     for zone in (0..ZONES).map(|zone| format!("zone-{zone}")) {
--- a/crates/hawthorn-fleet/tests/support/daemon.rs
+++ b/crates/hawthorn-fleet/tests/support/daemon.rs
@@ -7,17 +7,17 @@
 use hawthorn_fleet::MemberId;
 use hawthorn_fleet::MemberPlace;
 use hawthorn_fleet::MemberTable;
+use hawthorn_fleet::PropagationState;
 use hawthorn_fleet::SlotShare;
-use hawthorn_fleet::SpreadState;
 use hawthorn_fleet::handover;
 use hawthorn_fleet::handover::Handover;
 use hawthorn_fleet::handover::HandoverAction;
 use hawthorn_fleet::member;
-use hawthorn_fleet::spread;
-use hawthorn_fleet::spread::ConfigEdition;
-use hawthorn_fleet::spread::SpreadAction;
-use hawthorn_fleet::spread::SpreadAlarm;
-use hawthorn_fleet::spread::StoreAnswer;
+use hawthorn_fleet::propagation;
+use hawthorn_fleet::propagation::ConfigEdition;
+use hawthorn_fleet::propagation::PropagationAction;
+use hawthorn_fleet::propagation::PropagationAlarm;
+use hawthorn_fleet::propagation::StoreAnswer;
 
 use super::Event;
 use super::Switch;
@@ -32,12 +32,12 @@
     pub peer: SocketAddr,
     pub table: MemberTable,
     pub handover: Handover,
-    pub spread: SpreadState,
+    pub propagation: PropagationState,
     pub up: bool,
     pub paused: bool,
     pub ready: bool,
     pub events: Vec<(Duration, FleetAction)>,
-    pub alarms: Vec<SpreadAlarm>,
+    pub alarms: Vec<PropagationAlarm>,
     pub adopted: Vec<(Duration, ConfigEdition)>,
     pub(super) held: Vec<Event>,
     pub(super) wake_at: Duration,
@@ -50,7 +50,7 @@
         Self {
             table: MemberTable::new(place, incarnation, member::Options::default(), seed),
             handover: Handover::new(MemberId::of(&name), handover::Options::default()),
-            spread: SpreadState::new(spread::Options::default()),
+            propagation: PropagationState::new(propagation::Options::default()),
             name,
             zone: zone.to_owned(),
             peer,
@@ -101,27 +101,31 @@
         daemon.handover.observe(now, daemon.table.zone_view(now));
         daemon.handover.tick(now, |_| false);
         let zone = daemon.zone.clone();
-        daemon.spread.set_zone(&zone, MemberId::of(&daemon.name), daemon.table.staying(&zone));
-        daemon.spread.tick(now);
+        daemon.propagation.set_zone(
+            &zone,
+            MemberId::of(&daemon.name),
+            daemon.table.active_hosts(&zone),
+        );
+        daemon.propagation.tick(now);
         let live = daemon.table.records().filter(|record| record.is_live()).count();
-        let ready = daemon.spread.is_ready(live.saturating_sub(1));
+        let ready = daemon.propagation.is_ready(live.saturating_sub(1));
         daemon.ready |= ready && (daemon.table.is_synced() || live == 1);
     }
 
     pub(super) fn drain(&mut self, index: usize) {
         let now = self.now;
         let daemon = &mut self.daemons[index];
-        daemon.table.set_digest(now, daemon.spread.digest(now, daemon.ready, 0));
+        daemon.table.set_digest(now, daemon.propagation.digest(now, daemon.ready, 0));
         loop {
             let daemon = &mut self.daemons[index];
             if let Some(action) = daemon.table.poll_action() {
-                self.carry_out(index, action);
+                self.handle_action(index, action);
             } else if let Some(action) = daemon.handover.poll_action() {
                 if let HandoverAction::Send { to, message } = action {
                     daemon.table.send_handover(now, to, message);
                 }
-            } else if let Some(action) = daemon.spread.poll_action() {
-                self.carry_out_spread(index, action);
+            } else if let Some(action) = daemon.propagation.poll_action() {
+                self.handle_propagation_action(index, action);
             } else {
                 break;
             }
@@ -135,19 +139,21 @@
         }
     }
 
-    fn carry_out(&mut self, index: usize, action: FleetAction) {
+    fn handle_action(&mut self, index: usize, action: FleetAction) {
         let now = self.now;
         let daemon = &mut self.daemons[index];
         match action {
             FleetAction::Send { to, bytes } => self.transmit(index, to, bytes),
-            FleetAction::DigestHeard { peer, digest } => daemon.spread.heard(now, peer, digest),
-            FleetAction::HandoverHeard { peer, message } => {
+            FleetAction::DigestReceived { peer, digest } => {
+                daemon.propagation.receive_digest(now, peer, digest)
+            }
+            FleetAction::HandoverReceived { peer, message } => {
                 daemon.handover.observe(now, daemon.table.zone_view(now));
                 daemon.handover.receive(now, peer, message);
             }
             action => {
-                if matches!(action, FleetAction::SelfPaused(_) | FleetAction::SelfDoubted) {
-                    daemon.handover.resumed(now);
+                if matches!(action, FleetAction::ProcessPaused(_) | FleetAction::DeathRefuted) {
+                    daemon.handover.reacquire(now);
                 }
                 if matches!(action, FleetAction::ViewChanged(_)) {
                     daemon.handover.observe(now, daemon.table.zone_view(now));
@@ -158,20 +164,20 @@
         }
     }
 
-    fn carry_out_spread(&mut self, index: usize, action: SpreadAction) {
+    fn handle_propagation_action(&mut self, index: usize, action: PropagationAction) {
         match action {
-            SpreadAction::Alarm(alarm) => self.daemons[index].alarms.push(alarm),
-            SpreadAction::Pull { peer, .. } => {
+            PropagationAction::Alarm(alarm) => self.daemons[index].alarms.push(alarm),
+            PropagationAction::Pull { peer, .. } => {
                 let record = self.daemons[index].table.record(peer);
                 let from = record.and_then(|record| self.by_peer.get(&record.place.peer)).copied();
                 let Some(from) = from else { return };
                 self.push(self.now + PULL_DELAY, index, Event::Pulled { from });
             }
-            SpreadAction::ReadStore => {
+            PropagationAction::ReadStore => {
                 self.store.calls += 1;
                 self.push(self.now + STORE_DELAY, index, Event::Stored { watch: None });
             }
-            SpreadAction::Watch { after, wait } => {
+            PropagationAction::Watch { after, wait } => {
                 self.store.calls += 1;
                 let newer = self.store.edition.is_some_and(|held| held.revision > after);
                 let at = if newer || !self.store.up { STORE_DELAY } else { wait };
@@ -186,7 +192,7 @@
     pub(super) fn pulled(&mut self, index: usize, from: usize) {
         let cut = self.cuts.contains(&(from, index)) || self.cuts.contains(&(index, from));
         let source = &self.daemons[from];
-        let edition = source.spread.in_force().filter(|_| source.up && !source.paused && !cut);
+        let edition = source.propagation.in_force().filter(|_| source.up && !source.paused && !cut);
         // Without one the connection hangs, and the state machine times out.
         if let Some(edition) = edition {
             self.adopt(index, edition);
@@ -196,7 +202,7 @@
     pub fn adopt(&mut self, index: usize, edition: ConfigEdition) {
         let now = self.now;
         let daemon = &mut self.daemons[index];
-        if daemon.spread.adopt(now, edition) == spread::Outcome::Adopted {
+        if daemon.propagation.adopt(now, edition) == propagation::Outcome::Adopted {
             daemon.adopted.push((now, edition));
         }
     }
@@ -207,7 +213,7 @@
         if watch.is_some_and(|watch| self.watches.remove(&watch).is_none()) {
             return;
         }
-        let in_force = self.daemons[index].spread.in_force().unwrap_or_default();
+        let in_force = self.daemons[index].propagation.in_force().unwrap_or_default();
         let answer = match edition {
             _ if !up => StoreAnswer::Failed,
             None => StoreAnswer::Empty,
@@ -219,6 +225,6 @@
         if let StoreAnswer::Holds(edition) = answer {
             self.adopt(index, edition);
         }
-        self.daemons[index].spread.store_answered(now, answer);
+        self.daemons[index].propagation.store_answered(now, answer);
     }
 }
--- a/crates/hawthorn-fleet/tests/support/mod.rs
+++ b/crates/hawthorn-fleet/tests/support/mod.rs
@@ -18,7 +18,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use hawthorn_fleet::spread::ConfigEdition;
+use hawthorn_fleet::propagation::ConfigEdition;
 
 pub use daemon::Daemon;
 use daemon::STORE_DELAY;
