--- a/crates/hawthorn-fleet/src/member/apply.rs
+++ b/crates/hawthorn-fleet/src/member/apply.rs
@@ -1,4 +1,4 @@
-//! What a rumor changes in the table.
+//! Applies updates to the member table.
 
 use std::time::Duration;
 
@@ -18,75 +18,79 @@
 use crate::message::SenderHeader;
 
 impl MemberTable {
-    /// Takes in a rumor, from anyone; true when it was news.
-    pub(super) fn apply(&mut self, now: Duration, rumor: MemberUpdate) -> bool {
+    /// Applies an update from any peer; true if it changed the table.
+    pub(super) fn apply(&mut self, now: Duration, update: MemberUpdate) -> bool {
         let before = self.arena.fingerprint();
-        self.take_rumor(now, rumor);
+        self.merge_update(now, update);
         self.arena.fingerprint() != before
     }
 
-    fn take_rumor(&mut self, now: Duration, rumor: MemberUpdate) {
-        if rumor.id == self.my_id {
-            return self.judge_self(now, rumor);
+    fn merge_update(&mut self, now: Duration, update: MemberUpdate) {
+        if update.id == self.my_id {
+            return self.handle_own_update(now, update);
         }
-        match self.arena.by_id(rumor.id).map(|record| record.key) {
-            None => self.meet(now, rumor),
-            Some(key) => self.compare(now, key, rumor),
+        match self.arena.by_id(update.id).map(|record| record.key) {
+            None => self.add_member(now, update),
+            Some(key) => self.merge_known(now, key, update),
         }
     }
 
-    /// Takes in what the header of a datagram says of its sender. Returns the
-    /// sender's key, none when its place is not known yet.
+    /// Applies the header of a datagram to the record of its sender. Returns the sender's key, or
+    /// `None` while its place is unknown.
     pub(super) fn apply_header(&mut self, now: Duration, sender: &SenderHeader) -> Option<HostKey> {
         let record = self.arena.by_id(sender.id)?;
         let key = record.key;
-        // A restarted host may have moved: without its place, nothing of the
-        // new life is believed.
+        // A restarted host may have a new address: without its place, nothing about the new
+        // incarnation can be used.
         if record.stamp.incarnation < sender.stamp.incarnation {
             return None;
         }
         if record.stamp < sender.stamp {
-            let rumor = MemberUpdate {
+            let update = MemberUpdate {
                 id: sender.id,
                 stamp: sender.stamp,
                 phase: sender.phase,
                 health: MemberHealth::Alive,
                 place: None,
             };
-            self.compare(now, key, rumor);
+            self.merge_known(now, key, update);
         }
-        self.clear_private(now, key);
+        self.clear_local_only(now, key);
         self.arena.update(key, |record| record.digest = Some(sender.digest));
         Some(key)
     }
 
-    /// A host that was not known. Only one that runs is worth keeping: the
-    /// dead were either forgotten or never met.
-    fn meet(&mut self, now: Duration, rumor: MemberUpdate) {
-        let Some(place) = rumor.place.clone() else { return };
-        if rumor.health == MemberHealth::Dead || rumor.phase == MemberPhase::Left {
+    /// Adds an unknown host. Dead or departed hosts are skipped: they were either removed before or
+    /// never known here.
+    fn add_member(&mut self, now: Duration, update: MemberUpdate) {
+        let Some(place) = update.place.clone() else { return };
+        if update.health == MemberHealth::Dead || update.phase == MemberPhase::Left {
             return;
         }
-        let replaced = self.arena.by_peer(place.peer).map(|record| (record.key, record.stamp));
-        if let Some((key, stamp)) = replaced
-            && !self.replace(now, key, stamp.incarnation < rumor.stamp.incarnation)
+        let conflict = self.arena.by_peer(place.peer).map(|record| (record.key, record.stamp));
+        if let Some((key, stamp)) = conflict
+            && !self.resolve_address_conflict(
+                now,
+                key,
+                stamp.incarnation < update.stamp.incarnation,
+            )
         {
             return;
         }
-        let zone = self.meet_zone(now, &place.zone);
-        let key = self.arena.insert(now, &rumor, place, zone);
-        self.changed(key, rumor.id);
+        let zone = self.add_zone(now, &place.zone);
+        let key = self.arena.insert(now, &update, place, zone);
+        self.record_change(key, update.id);
         self.start_sync_if_first();
         self.actions.push_back(FleetAction::MemberUp(key));
-        if rumor.health == MemberHealth::Suspect {
-            self.suspect_later(now, key, false);
+        if update.health == MemberHealth::Suspect {
+            self.start_suspicion(now, key, false);
         }
     }
 
-    /// Another host runs at the address of `key`. Failure: a host is replaced
-    /// by one with another name at the same address, which would answer pings
-    /// for both. The later incarnation wins; false when that is the old one.
-    fn replace(&mut self, now: Duration, key: HostKey, later: bool) -> bool {
+    /// Resolves a conflict with another host at the address of `key`. Failure: a host is replaced
+    /// by one with another name at the same address, which would answer pings for both. The later
+    /// incarnation wins; false if that is the known host.
+    fn resolve_address_conflict(&mut self, now: Duration, key: HostKey, later: bool) -> bool {
         let Some(record) = self.arena.get(key) else { return true };
         if !record.is_live() {
             return true;
@@ -98,67 +102,67 @@
         true
     }
 
-    fn compare(&mut self, now: Duration, key: HostKey, rumor: MemberUpdate) {
+    fn merge_known(&mut self, now: Duration, key: HostKey, update: MemberUpdate) {
         let Some(record) = self.arena.get(key) else { return };
-        if rumor.stamp < record.stamp {
+        if update.stamp < record.stamp {
             return;
         }
-        if rumor.stamp > record.stamp {
-            return self.renew(now, key, rumor);
+        if update.stamp > record.stamp {
+            return self.merge_newer(now, key, update);
         }
-        if record.private && rumor.health < MemberHealth::Dead {
-            return self.clear_private(now, key);
+        if record.local_only && update.health < MemberHealth::Dead {
+            return self.clear_local_only(now, key);
         }
-        // One stamp: what is worse is later, as only the host itself can
-        // refute, and does so with a new stamp.
-        if rumor.health > record.health || record.private {
-            self.set_health(now, key, rumor.health, false);
+        // With equal stamps the worse health is the later one, because only the host itself can
+        // refute, and it does so with a new stamp.
+        if update.health > record.health || record.local_only {
+            self.set_health(now, key, update.health, false);
         }
     }
 
-    /// Takes over a later stamp.
-    fn renew(&mut self, now: Duration, key: HostKey, rumor: MemberUpdate) {
+    /// Replaces the record's state by one with a later stamp.
+    fn merge_newer(&mut self, now: Duration, key: HostKey, update: MemberUpdate) {
         let Some(record) = self.arena.get(key) else { return };
-        let restarted = rumor.stamp.incarnation > record.stamp.incarnation;
-        let gone = rumor.health == MemberHealth::Dead || rumor.phase == MemberPhase::Left;
-        if restarted && rumor.place.is_none() && !gone {
+        let restarted = update.stamp.incarnation > record.stamp.incarnation;
+        let gone = update.health == MemberHealth::Dead || update.phase == MemberPhase::Left;
+        if restarted && update.place.is_none() && !gone {
             return;
         }
-        let was = record.clone();
-        if let Some(place) = &rumor.place {
-            self.move_to(now, &was, place.clone());
+        let previous = record.clone();
+        if let Some(place) = &update.place {
+            self.update_place(now, &previous, place.clone());
         }
         self.arena.update(key, |record| {
-            record.stamp = rumor.stamp;
-            record.phase = rumor.phase;
-            record.health = rumor.health;
-            record.private = false;
+            record.stamp = update.stamp;
+            record.phase = update.phase;
+            record.health = update.health;
+            record.local_only = false;
             record.changed_at = now;
         });
-        self.changed(key, rumor.id);
-        self.report(key, &was, restarted);
-        if rumor.health == MemberHealth::Suspect {
-            self.suspect_later(now, key, false);
+        self.record_change(key, update.id);
+        self.report_transition(key, &previous, restarted);
+        if update.health == MemberHealth::Suspect {
+            self.start_suspicion(now, key, false);
         }
     }
 
-    fn move_to(&mut self, now: Duration, was: &MemberRecord, place: MemberPlace) {
-        if was.place == place {
+    fn update_place(&mut self, now: Duration, previous: &MemberRecord, place: MemberPlace) {
+        if previous.place == place {
             return;
         }
         if let Some(other) = self.arena.by_peer(place.peer).map(|record| record.key)
-            && other != was.key
+            && other != previous.key
         {
-            self.replace(now, other, true);
+            self.resolve_address_conflict(now, other, true);
         }
-        let zone = self.meet_zone(now, &place.zone);
-        self.arena.update(was.key, |record| {
+        let zone = self.add_zone(now, &place.zone);
+        self.arena.update(previous.key, |record| {
             record.place = place;
             record.zone = zone;
         });
     }
 
-    fn meet_zone(&mut self, now: Duration, name: &str) -> ZoneKey {
+    fn add_zone(&mut self, now: Duration, name: &str) -> ZoneKey {
         let (zone, new) = self.zones.add(now, name);
         if new {
             self.actions.push_back(FleetAction::ZoneFound(name.to_owned()));
@@ -166,59 +170,59 @@
         zone
     }
 
-    /// Changes what is held of a member with the stamp that it has.
+    /// Changes the health of a member under its current stamp.
     pub(super) fn set_health(
         &mut self,
         now: Duration,
         key: HostKey,
         health: MemberHealth,
-        private: bool,
+        local_only: bool,
     ) {
-        let Some(was) = self.arena.get(key).cloned() else { return };
+        let Some(previous) = self.arena.get(key).cloned() else { return };
         self.arena.update(key, |record| {
             record.health = health;
-            record.private = private;
+            record.local_only = local_only;
             record.changed_at = now;
         });
-        if private {
+        if local_only {
             self.view_changed = true;
         } else {
-            self.changed(key, was.id);
+            self.record_change(key, previous.id);
         }
-        self.report(key, &was, false);
+        self.report_transition(key, &previous, false);
         if health == MemberHealth::Suspect {
-            self.suspect_later(now, key, private);
+            self.start_suspicion(now, key, local_only);
         }
     }
 
-    /// Gives up what this daemon alone held of a member.
-    pub(super) fn clear_private(&mut self, now: Duration, key: HostKey) {
-        let private = self.arena.get(key).is_some_and(|record| record.private);
-        if private {
+    /// Drops a verdict that only this daemon held.
+    pub(super) fn clear_local_only(&mut self, now: Duration, key: HostKey) {
+        let local_only = self.arena.get(key).is_some_and(|record| record.local_only);
+        if local_only {
             self.set_health(now, key, MemberHealth::Alive, false);
         }
     }
 
-    fn changed(&mut self, key: HostKey, id: MemberId) {
-        self.rumors.push(id);
+    fn record_change(&mut self, key: HostKey, id: MemberId) {
+        self.gossip.push(id);
         self.view_changed = true;
         self.suspicions.retain(|suspicion| suspicion.key != key);
-        let near = |record: &MemberRecord| record.is_live() && record.zone == self.my_zone;
-        if self.arena.get(key).is_some_and(near) {
+        let in_own_zone = |record: &MemberRecord| record.is_live() && record.zone == self.my_zone;
+        if self.arena.get(key).is_some_and(in_own_zone) {
             self.add_to_ring(key);
         }
     }
 
-    /// Tells the daemon what became of a member that was `was`.
-    fn report(&mut self, key: HostKey, was: &MemberRecord, restarted: bool) {
+    /// Reports the transition of a member from its `previous` state to the daemon.
+    fn report_transition(&mut self, key: HostKey, previous: &MemberRecord, restarted: bool) {
         let Some(record) = self.arena.get(key) else { return };
-        let action = match (was.is_live(), record.is_live()) {
+        let action = match (previous.is_live(), record.is_live()) {
             (true, false) => FleetAction::MemberDown(key),
             (false, true) => FleetAction::MemberUp(key),
             (true, true) if restarted => FleetAction::MemberUp(key),
             (true, true) => {
                 let leaving = record.phase == MemberPhase::Leaving;
-                if !leaving || was.phase == MemberPhase::Leaving {
+                if !leaving || previous.phase == MemberPhase::Leaving {
                     return;
                 }
                 FleetAction::MemberLeaving(key)
@@ -228,19 +232,19 @@
         self.actions.push_back(action);
     }
 
-    /// Begins a suspicion's time to refute.
-    fn suspect_later(&mut self, now: Duration, key: HostKey, private: bool) {
+    /// Starts the timeout within which the suspect may refute.
+    fn start_suspicion(&mut self, now: Duration, key: HostKey, local_only: bool) {
         let Some(stamp) = self.arena.get(key).map(|record| record.stamp) else { return };
         self.suspicions.retain(|suspicion| suspicion.key != key);
-        let wait = if private {
+        let timeout = if local_only {
             self.options.isolated_suspicion_timeout
         } else {
             self.options.remote_suspicion_timeout
         };
-        self.suspicions.push(Suspicion { key, stamp, deadline: now + wait, own: false });
+        self.suspicions.push(Suspicion { key, stamp, deadline: now + timeout, local: false });
     }
 
-    /// Puts a member at a random place in this round's pings.
+    /// Inserts a member at a random position of this round's pings.
     fn add_to_ring(&mut self, key: HostKey) {
         if key == self.me || self.ring.contains(&key) {
             return;
@@ -249,51 +253,50 @@
         self.ring.insert(index, key);
     }
 
-    /// Answers what is said of this host.
-    fn judge_self(&mut self, now: Duration, rumor: MemberUpdate) {
-        let mine = self.record_of_self().clone();
-        if rumor.stamp.incarnation > mine.stamp.incarnation {
-            return self.judge_other_life(now, rumor);
+    /// Handles an update about this host.
+    fn handle_own_update(&mut self, now: Duration, update: MemberUpdate) {
+        let own = self.record_of_self().clone();
+        if update.stamp.incarnation > own.stamp.incarnation {
+            return self.handle_later_incarnation(now, update);
         }
-        let doubted = rumor.health != MemberHealth::Alive && mine.phase != MemberPhase::Left;
-        if rumor.stamp < mine.stamp || !doubted && rumor.stamp == mine.stamp {
+        let disputed = update.health != MemberHealth::Alive && own.phase != MemberPhase::Left;
+        if update.stamp < own.stamp || !disputed && update.stamp == own.stamp {
             return;
         }
-        self.refute(now, rumor.stamp.sequence);
-        if doubted {
+        self.refute(now, update.stamp.sequence);
+        if disputed {
             self.counters.refutations += 1;
         }
-        if rumor.health == MemberHealth::Dead && doubted {
+        if update.health == MemberHealth::Dead && disputed {
             self.actions.push_back(FleetAction::DeathRefuted);
         }
     }
 
-    /// A rumor of a later life of this host. Failure: either the clock was set
-    /// back between two lives, and the fleet would ignore this one; or an
-    /// operator started a second process with this name, and the two would
-    /// refute each other for ever. A later life that runs at another address
-    /// is such a second process.
-    fn judge_other_life(&mut self, now: Duration, rumor: MemberUpdate) {
-        let here = self.record_of_self().place.peer;
-        let runs = rumor.health == MemberHealth::Alive && rumor.phase != MemberPhase::Left;
-        let place = rumor.place.as_ref().filter(|_| runs);
-        let twin = place.map(|place| place.peer).filter(|&peer| peer != here);
-        if let Some(peer) = twin {
+    /// Handles an update with a later incarnation of this host. Failure: either the clock was set
+    /// back between two incarnations, and the fleet would ignore this one; or an operator started a
+    /// second process with this name, and the two would refute each other forever. A later
+    /// incarnation at another address is such a second process.
+    fn handle_later_incarnation(&mut self, now: Duration, update: MemberUpdate) {
+        let own_peer = self.record_of_self().place.peer;
+        let running = update.health == MemberHealth::Alive && update.phase != MemberPhase::Left;
+        let place = update.place.as_ref().filter(|_| running);
+        let duplicate = place.map(|place| place.peer).filter(|&peer| peer != own_peer);
+        if let Some(peer) = duplicate {
             self.actions.push_back(FleetAction::Superseded(peer));
             return;
         }
         self.arena.update(self.me, |record| {
-            record.stamp.incarnation = rumor.stamp.incarnation.saturating_add(1);
+            record.stamp.incarnation = update.stamp.incarnation.saturating_add(1);
         });
         self.refute(now, 0);
     }
 
-    /// Makes this host's stamp later than `update` and passes it on.
-    pub(super) fn refute(&mut self, now: Duration, update: u32) {
+    /// Raises this host's stamp above `sequence` and gossips it.
+    pub(super) fn refute(&mut self, now: Duration, sequence: u32) {
         self.arena.update(self.me, |record| {
-            record.stamp.sequence = record.stamp.sequence.max(update).saturating_add(1);
+            record.stamp.sequence = record.stamp.sequence.max(sequence).saturating_add(1);
             record.changed_at = now;
         });
-        self.rumors.push(self.my_id);
+        self.gossip.push(self.my_id);
     }
 }
--- a/crates/hawthorn-fleet/src/member/arena.rs
+++ b/crates/hawthorn-fleet/src/member/arena.rs
@@ -1,4 +1,4 @@
-//! The records of all known members, by small keys.
+//! The records of all known members, indexed by small keys.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,31 +20,31 @@
 /// One known host.
 #[derive(Clone, Debug)]
 pub struct MemberRecord {
-    /// The host in this process.
+    /// Key of the host in this process.
     pub key: HostKey,
-    /// The host everywhere.
+    /// Id of the host across the fleet.
     pub id: MemberId,
     /// Its name, zone and address.
     pub place: MemberPlace,
-    /// Its zone in this process.
+    /// Key of its zone in this process.
     pub zone: ZoneKey,
-    /// Orders what is said of it.
+    /// Orders updates about the host.
     pub stamp: MemberStamp,
-    /// What it announced of itself.
+    /// The phase that it announced.
     pub phase: MemberPhase,
-    /// What its zone holds of it.
+    /// Health as determined by its zone.
     pub health: MemberHealth,
-    /// Its digest, if a heartbeat of it came here.
+    /// Its latest digest, if this daemon received a heartbeat from it.
     pub digest: Option<MemberDigest>,
     /// When phase or health last changed.
     pub changed_at: Duration,
-    /// Held only by this daemon while it heard nobody: not passed on, and
-    /// given up at the first word to the contrary.
-    pub(crate) private: bool,
+    /// The health is a verdict that only this daemon reached while it received nothing: it is not
+    /// gossiped, and is dropped at the first contradicting update.
+    pub(crate) local_only: bool,
 }
 
 impl MemberRecord {
-    /// Whether it runs, as far as is known: not dead and not left.
+    /// Whether it is believed to run: neither dead nor left.
     pub fn is_live(&self) -> bool {
         self.health != MemberHealth::Dead && self.phase != MemberPhase::Left
     }
@@ -54,8 +54,8 @@
         self.is_live() && self.phase == MemberPhase::Serving
     }
 
-    /// What to tell others of it.
-    pub(crate) fn rumor(&self) -> MemberUpdate {
+    /// The update that describes this record to peers.
+    pub(crate) fn to_update(&self) -> MemberUpdate {
         MemberUpdate {
             id: self.id,
             stamp: self.stamp,
@@ -66,7 +66,7 @@
     }
 
     fn fingerprint(&self) -> u64 {
-        if !self.is_live() || self.private {
+        if !self.is_live() || self.local_only {
             return 0;
         }
         let stamp = self.stamp.incarnation ^ u64::from(self.stamp.sequence).rotate_left(48);
@@ -85,11 +85,11 @@
 }
 
 impl MemberArena {
-    /// Adds a host that is not known yet.
+    /// Adds a host that is not in the table.
     pub(crate) fn insert(
         &mut self,
         now: Duration,
-        rumor: &MemberUpdate,
+        update: &MemberUpdate,
         place: MemberPlace,
         zone: ZoneKey,
     ) -> HostKey {
@@ -99,15 +99,15 @@
         });
         let record = MemberRecord {
             key,
-            id: rumor.id,
+            id: update.id,
             place,
             zone,
-            stamp: rumor.stamp,
-            phase: rumor.phase,
-            health: rumor.health,
+            stamp: update.stamp,
+            phase: update.phase,
+            health: update.health,
             digest: None,
             changed_at: now,
-            private: false,
+            local_only: false,
         };
         self.by_id.insert(record.id, key);
         self.by_peer.insert(record.place.peer, key);
@@ -116,23 +116,23 @@
         key
     }
 
-    /// Changes a record, keeping the indexes and the fingerprint right.
+    /// Changes a record and keeps the indexes and the fingerprint consistent.
     pub(crate) fn update(&mut self, key: HostKey, change: impl FnOnce(&mut MemberRecord)) {
         let Some(record) = self.slots.get_mut(key.index()).and_then(Option::as_mut) else { return };
-        let before = record.fingerprint();
-        let peer_before = record.place.peer;
+        let old_fingerprint = record.fingerprint();
+        let old_peer = record.place.peer;
         change(record);
-        self.fingerprint ^= before ^ record.fingerprint();
+        self.fingerprint ^= old_fingerprint ^ record.fingerprint();
         let peer = record.place.peer;
-        if peer != peer_before {
-            if self.by_peer.get(&peer_before) == Some(&key) {
-                self.by_peer.remove(&peer_before);
+        if peer != old_peer {
+            if self.by_peer.get(&old_peer) == Some(&key) {
+                self.by_peer.remove(&old_peer);
             }
             self.by_peer.insert(peer, key);
         }
     }
 
-    /// Drops a record and frees its key.
+    /// Removes a record and frees its key.
     pub(crate) fn remove(&mut self, key: HostKey) {
         let Some(record) = self.slots.get_mut(key.index()).and_then(Option::take) else { return };
         self.fingerprint ^= record.fingerprint();
@@ -166,7 +166,7 @@
             .filter_map(|(_, &key)| self.get(key))
     }
 
-    /// How many hosts are known, dead ones included.
+    /// Number of known hosts, including dead ones.
     pub(crate) fn len(&self) -> usize {
         self.by_id.len()
     }
--- a/crates/hawthorn-fleet/src/member/mod.rs
+++ b/crates/hawthorn-fleet/src/member/mod.rs
@@ -1,26 +1,26 @@
-//! Which hosts are live: heartbeats, suspicion, rumors.
+//! Membership of the fleet: heartbeats, failure detection and gossip.
 //!
-//! The protocol follows SWIM (Das, Gupta, Motivala 2002): every heartbeat a
-//! daemon pings one member of its own zone; one that does not answer is pinged
-//! through others, then suspected, and dead unless it refutes. What is found
-//! travels on heartbeats. Two things differ:
+//! The protocol follows SWIM (Das, Gupta, Motivala 2002): with every heartbeat a daemon pings one
+//! member of its own zone. A member that does not answer is pinged through relays, then suspected,
+//! and declared dead unless it refutes. Updates are piggybacked on heartbeats. Two things differ
+//! from SWIM:
 //!
-//! - **Only a zone judges its members.** Other zones keep what it last said and
-//!   mark the zone lost as a whole when nothing is heard from it. A partition
-//!   between zones kills nobody, so nothing needs refuting when it heals.
-//! - **A daemon doubts itself first.** One that heard nobody for a while, or
-//!   stood still, keeps its suspicions to itself and takes longer over them.
+//! - **Only a zone determines the health of its members.** Other zones keep the last known health
+//!   and mark the zone as lost when they receive nothing from it. A partition between zones
+//!   declares no host dead, so nothing needs refuting when it heals.
+//! - **A daemon suspects itself first.** While it is isolated, or after a pause, it does not gossip
+//!   its suspicions and waits longer before it confirms them.
 //!
-//! Cost per daemon does not grow with the fleet: a fixed number of datagrams a
-//! second, each with a bounded part of rumors.
+//! The cost per daemon does not grow with the fleet: a fixed number of datagrams per second, each
+//! with a bounded number of bytes for updates.
 
-mod across;
+mod cross_zone;
 mod apply;
 mod arena;
 mod options;
 mod probe;
 mod receive;
-mod rumor;
+mod gossip;
 mod send;
 mod sync;
 mod zone;
@@ -56,29 +56,30 @@
 use crate::message::SenderHeader;
 use crate::ownership::OwnerCandidate;
 use arena::MemberArena;
+use gossip::GossipQueue;
 use probe::Probe;
 use probe::Relay;
 use probe::Suspicion;
-use rumor::RumorQueue;
 use sync::SyncProgress;
 use zone::ZoneTable;
 
-/// Where daemons begin their rounds through other zones: each elsewhere.
-const ZONE_START: usize = 1_024;
+/// Range of start offsets in the rotation through other zones, so that daemons start at different
+/// zones.
+const ZONE_OFFSETS: usize = 1_024;
 
-/// When each periodic duty is next due.
+/// When each periodic task is next due.
 #[derive(Debug, Default)]
-struct DutyTimes {
+struct DueTimes {
     heartbeat: Duration,
-    across: Duration,
-    retry: Duration,
-    hint: Duration,
+    cross_zone: Duration,
+    rejoin: Duration,
+    seeds: Duration,
     repair: Duration,
     zones: Duration,
-    forget: Duration,
+    expiry: Duration,
 }
 
-/// This daemon's view of the fleet. One lives as long as the process.
+/// This daemon's view of the fleet. Exists once per process.
 #[derive(Debug)]
 pub struct MemberTable {
     options: Options,
@@ -88,29 +89,29 @@
     my_zone: ZoneKey,
     arena: MemberArena,
     zones: ZoneTable,
-    rumors: RumorQueue,
+    gossip: GossipQueue,
     /// Members of the own zone, in the order of this round's pings.
     ring: Vec<HostKey>,
     ring_next: usize,
-    across_next: usize,
+    next_zone: usize,
     probes: SmallVec<[Probe; 8]>,
     relays: SmallVec<[Relay; 8]>,
     suspicions: Vec<Suspicion>,
     next_number: u32,
-    settings_hints: BTreeSet<SocketAddr>,
-    platform_hints: BTreeSet<SocketAddr>,
-    hint_next: usize,
+    configured_seeds: BTreeSet<SocketAddr>,
+    platform_seeds: BTreeSet<SocketAddr>,
+    next_seed: usize,
     sync: Option<SyncProgress>,
     synced: bool,
     repair_peer: Option<SocketAddr>,
     repair_after: u64,
     digest: MemberDigest,
-    digest_set: Duration,
-    last_call: Option<Duration>,
-    last_heard: Duration,
-    /// When the settings named whom to ask first.
-    started: Duration,
-    due: DutyTimes,
+    digest_updated: Duration,
+    last_activity: Option<Duration>,
+    last_received: Duration,
+    /// When the configured seeds were last set.
+    seeded_at: Duration,
+    due: DueTimes,
     actions: VecDeque<FleetAction>,
     generation: u64,
     view_changed: bool,
@@ -118,16 +119,16 @@
 }
 
 impl MemberTable {
-    /// A table that knows this host alone.
+    /// A table that contains only this host.
     ///
-    /// `incarnation` grows from one life of the host to the next, as its start
-    /// in milliseconds of some clock does; one that does not is raised when peers
-    /// tell of a later life. `seed` is anything that differs between processes.
+    /// `incarnation` must grow with each restart of the host, as the start time in milliseconds
+    /// does. An incarnation that is too low is raised when peers report a later one. `seed` is
+    /// anything that differs between processes.
     pub fn new(place: MemberPlace, incarnation: u64, options: Options, seed: u64) -> Self {
         let start = Duration::ZERO;
         let mut zones = ZoneTable::default();
         let (my_zone, _) = zones.add(start, &place.zone);
-        let rumor = MemberUpdate {
+        let update = MemberUpdate {
             id: MemberId::of(&place.host),
             stamp: MemberStamp { incarnation, sequence: 0 },
             phase: MemberPhase::Joining,
@@ -135,38 +136,38 @@
             place: None,
         };
         let mut arena = MemberArena::default();
-        let me = arena.insert(start, &rumor, place, my_zone);
-        let mut rumors = RumorQueue::new(rumor.id.0 ^ seed);
-        rumors.push(rumor.id);
+        let me = arena.insert(start, &update, place, my_zone);
+        let mut gossip = GossipQueue::new(update.id.0 ^ seed);
+        gossip.push(update.id);
         Self {
             options,
             rng: StdRng::seed_from_u64(seed),
             me,
-            my_id: rumor.id,
+            my_id: update.id,
             my_zone,
             arena,
             zones,
-            rumors,
+            gossip,
             ring: Vec::new(),
             ring_next: 0,
-            across_next: (rumor.id.0 ^ seed) as usize % ZONE_START,
+            next_zone: (update.id.0 ^ seed) as usize % ZONE_OFFSETS,
             probes: SmallVec::new(),
             relays: SmallVec::new(),
             suspicions: Vec::new(),
             next_number: 0,
-            settings_hints: BTreeSet::new(),
-            platform_hints: BTreeSet::new(),
-            hint_next: 0,
+            configured_seeds: BTreeSet::new(),
+            platform_seeds: BTreeSet::new(),
+            next_seed: 0,
             sync: None,
             synced: false,
             repair_peer: None,
             repair_after: 0,
             digest: MemberDigest::default(),
-            digest_set: start,
-            last_call: None,
-            last_heard: start,
-            started: start,
-            due: DutyTimes::default(),
+            digest_updated: start,
+            last_activity: None,
+            last_received: start,
+            seeded_at: start,
+            due: DueTimes::default(),
             actions: VecDeque::new(),
             generation: 0,
             view_changed: true,
@@ -174,54 +175,52 @@
         }
     }
 
-    /// Takes the addresses of the settings. They are asked for the member list
-    /// on the next tick, and again while no live member is behind them.
+    /// Adds the configured seed addresses. They are asked for the member list on the next tick, and
+    /// again while no live member is known at the address.
     pub fn seed(&mut self, now: Duration, peers: &[SocketAddr]) {
-        self.due.hint = now;
-        self.started = now;
-        self.settings_hints.extend(peers);
+        self.due.seeds = now;
+        self.seeded_at = now;
+        self.configured_seeds.extend(peers);
     }
 
-    /// Takes the platform's list of hosts, in place of the one before.
+    /// Replaces the platform's list of hosts.
     ///
-    /// The list lags: it names hosts that are gone and omits live ones. Its
-    /// addresses are only tried, so it neither kills a live member nor revives
-    /// a dead one.
+    /// The list lags: it contains hosts that are gone and lacks live ones. Its addresses are only
+    /// contacted, so it neither removes a live member nor revives a dead one.
     pub fn seed_platform(&mut self, now: Duration, hosts: &[HostEntry]) {
-        self.due.hint = self.due.hint.min(now);
-        self.platform_hints = hosts.iter().map(|entry| entry.peer).collect();
+        self.due.seeds = self.due.seeds.min(now);
+        self.platform_seeds = hosts.iter().map(|entry| entry.peer).collect();
     }
 
-    /// Says what heartbeats should carry. Once `ready` is set, this host moves
-    /// from joining to serving and stays there: a daemon that pulls a newer
-    /// configuration serves by the older one meanwhile. A greater revision is
-    /// pushed to a few members at once rather than waiting for heartbeats.
+    /// Sets the digest for heartbeats. Once `ready` is set, this host moves from joining to serving
+    /// and stays there: a daemon that pulls a newer configuration keeps serving with the older one.
+    /// A greater revision is pushed to a few members immediately instead of waiting for heartbeats.
     pub fn set_digest(&mut self, now: Duration, digest: MemberDigest) {
         let newer = digest.revision > self.digest.revision;
         self.digest = digest;
-        self.digest_set = now;
+        self.digest_updated = now;
         if digest.ready && self.record_of_self().phase == MemberPhase::Joining {
             self.announce(now, MemberPhase::Serving);
         } else if newer {
-            self.push_notice(now);
+            self.push_update(now);
         }
     }
 
-    /// Announces that this host finishes what it has and takes nothing new.
+    /// Announces that this host finishes its requests in flight and accepts no new ones.
     pub fn leave(&mut self, now: Duration) {
         if self.record_of_self().phase < MemberPhase::Leaving {
             self.announce(now, MemberPhase::Leaving);
         }
     }
 
-    /// Announces that this process stops now. Sent to several members, since
-    /// the process will not be there to repeat it.
+    /// Announces that this process stops now. Sent to several members, because the process will not
+    /// be there to repeat it.
     pub fn depart(&mut self, now: Duration) {
         self.announce(now, MemberPhase::Left);
-        self.push_notice(now);
+        self.push_update(now);
     }
 
-    /// Sends a hand-over message to a member.
+    /// Sends a handover message to a member.
     pub fn send_handover(&mut self, now: Duration, to: MemberId, message: HandoverMessage) {
         let Some(peer) = self.arena.by_id(to).map(|record| record.place.peer) else { return };
         self.send(now, peer, crate::message::FleetBody::Handover(message), &[]);
@@ -235,7 +234,7 @@
         }
     }
 
-    /// The next thing to do, none when all is done.
+    /// The next action, or `None` if there is none.
     pub fn poll_action(&mut self) -> Option<FleetAction> {
         if let Some(action) = self.actions.pop_front() {
             return Some(action);
@@ -248,39 +247,40 @@
         Some(FleetAction::ViewChanged(self.generation))
     }
 
-    /// The record behind a key, none when it was forgotten.
+    /// The record of a key, or `None` if it was removed.
     pub fn record(&self, key: HostKey) -> Option<&MemberRecord> {
         self.arena.get(key)
     }
 
-    /// The record of a host by its name's hash.
+    /// The record of a host by the hash of its name.
     pub fn record_by_id(&self, id: MemberId) -> Option<&MemberRecord> {
         self.arena.by_id(id)
     }
 
-    /// The zone of the host behind a peer interface.
+    /// The zone of the host with this peer address.
     pub fn zone_of_peer(&self, peer: SocketAddr) -> Option<&str> {
         self.arena.by_peer(peer).map(|record| record.place.zone.as_str())
     }
 
-    /// This host.
+    /// The key of this host.
     pub fn me(&self) -> HostKey {
         self.me
     }
 
-    /// All known members of the fleet, this host and dead ones included.
+    /// All known members of the fleet, including this host and dead ones.
     pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.arena.iter()
     }
 
-    /// The live members of a zone, this host included; those of a lost zone too.
+    /// The live members of a zone, including this host; also those of a lost zone.
     pub fn hosts(&self, zone: &str) -> impl Iterator<Item = &MemberRecord> + use<'_> {
         let zone = self.zones.key(zone);
         self.arena.iter().filter(move |record| record.is_live() && Some(record.zone) == zone)
     }
 
-    /// The members of a zone that may own groups, for [`ownership::owner`](crate::ownership::owner).
-    /// None when the zone is lost: its hosts can't be reached from here.
+    /// The members of a zone that may own groups, for
+    /// [`ownership::owner`](crate::ownership::owner). Empty if the zone is lost, because its hosts
+    /// can't be reached from here.
     pub fn owners(&self, zone: &str) -> impl Iterator<Item = OwnerCandidate> + use<'_> {
         let reachable = self.zone_reachable(zone);
         self.hosts(zone)
@@ -288,9 +288,9 @@
             .map(|record| OwnerCandidate { key: record.key, id: record.id })
     }
 
-    /// The members of a zone that stay, ready or not, for
-    /// [`PropagationState::set_zone`](crate::PropagationState::set_zone): those that join
-    /// count too, or a whole zone that starts at once would ask the store.
+    /// The members of a zone that are joining or serving, for
+    /// [`PropagationState::set_zone`](crate::PropagationState::set_zone). Joining members are
+    /// included: otherwise every host of a zone that starts at once would call the store.
     pub fn active_hosts(&self, zone: &str) -> impl Iterator<Item = OwnerCandidate> + use<'_> {
         self.hosts(zone)
             .filter(|record| record.phase < MemberPhase::Leaving)
@@ -302,30 +302,31 @@
         self.zones.keys().map(|zone| self.zones.name(zone))
     }
 
-    /// Whether the zone has been heard from within the zone timeout.
+    /// Whether anything was received from the zone within the zone timeout.
     pub fn zone_reachable(&self, zone: &str) -> bool {
         let reachable = |zone| zone == self.my_zone || self.zones.reachable(zone);
         self.zones.key(zone).is_some_and(reachable)
     }
 
-    /// Whether any other zone has been heard from within the zone timeout.
+    /// Whether anything was received from any other zone within the zone timeout.
     pub fn other_zones_reachable(&self) -> bool {
         self.other_zones().any(|zone| self.zones.reachable(zone))
     }
 
-    /// Whether this daemon has heard nobody lately although others should be there.
+    /// Whether this daemon has received nothing for the isolation timeout although other members
+    /// should be running.
     pub fn is_isolated(&self, now: Duration) -> bool {
-        let silent = now.saturating_sub(self.last_heard) > self.options.isolation_timeout;
-        silent && self.arena.iter().any(|record| record.key != self.me && expects_word(record))
+        let silent = now.saturating_sub(self.last_received) > self.options.isolation_timeout;
+        silent && self.arena.iter().any(|record| record.key != self.me && expects_traffic(record))
     }
 
-    /// The own zone, for [`Handover::observe`](crate::handover::Handover::observe).
+    /// The view of the own zone, for [`Handover::observe`](crate::handover::Handover::observe).
     pub fn zone_view(&self, now: Duration) -> ZoneView {
         let hosts = self
             .arena
             .iter()
             .filter(|record| record.zone == self.my_zone)
-            .map(|record| (record.id, standing(record)))
+            .map(|record| (record.id, host_status(record)))
             .collect();
         ZoneView {
             zone: self.zones.name(self.my_zone).to_owned(),
@@ -335,7 +336,7 @@
         }
     }
 
-    /// Whether the whole list was read from a peer once.
+    /// Whether the full member list was read from a peer once.
     pub fn is_synced(&self) -> bool {
         self.synced
     }
@@ -345,7 +346,7 @@
         self.counters
     }
 
-    /// An estimate of the bytes this table holds on the heap.
+    /// An estimate of this table's heap usage in bytes.
     pub fn memory_bytes(&self) -> usize {
         const INDEX_BYTES: usize = 96;
         let names: usize = self
@@ -354,7 +355,7 @@
             .map(|record| record.place.host.capacity() + record.place.zone.capacity())
             .sum();
         let fixed = std::mem::size_of::<Option<MemberRecord>>() + INDEX_BYTES;
-        names + self.arena.len() * fixed + self.rumors.len() * INDEX_BYTES
+        names + self.arena.len() * fixed + self.gossip.len() * INDEX_BYTES
     }
 
     fn record_of_self(&self) -> &MemberRecord {
@@ -372,16 +373,16 @@
         }
     }
 
-    /// The digest with its age as of now.
+    /// The digest with its age as of `now`.
     fn digest_at(&self, now: Duration) -> MemberDigest {
-        let passed = now.saturating_sub(self.digest_set).as_millis();
-        let passed = u32::try_from(passed).unwrap_or(u32::MAX);
-        let confirmed_ms = self.digest.confirmed_ms.saturating_add(passed);
+        let elapsed = now.saturating_sub(self.digest_updated).as_millis();
+        let elapsed = u32::try_from(elapsed).unwrap_or(u32::MAX);
+        let confirmed_ms = self.digest.confirmed_ms.saturating_add(elapsed);
         MemberDigest { confirmed_ms, ..self.digest }
     }
 }
 
-fn standing(record: &MemberRecord) -> HostStatus {
+fn host_status(record: &MemberRecord) -> HostStatus {
     match (record.phase, record.health) {
         (MemberPhase::Left, _) => HostStatus::Left,
         (_, MemberHealth::Dead) => HostStatus::Dead(record.changed_at),
@@ -390,8 +391,8 @@
     }
 }
 
-/// Whether silence from this member means something: it was believed to run
-/// until this daemon stopped hearing.
-fn expects_word(record: &MemberRecord) -> bool {
-    record.is_live() || record.private
+/// Whether silence from this member is significant: it was believed to run until this daemon
+/// stopped receiving.
+fn expects_traffic(record: &MemberRecord) -> bool {
+    record.is_live() || record.local_only
 }
--- a/crates/hawthorn-fleet/src/member/options.rs
+++ b/crates/hawthorn-fleet/src/member/options.rs
@@ -1,63 +1,60 @@
-//! Times, bounds and counts of the membership protocol.
+//! Options and counters of the membership protocol.
 
 use std::time::Duration;
 
-/// Times and bounds of the membership protocol.
+/// Intervals and limits of the membership protocol.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// A hash of the fleet's name; datagrams of other fleets are refused.
+    /// A hash of the fleet's name; datagrams of other fleets are rejected.
     pub fleet: u32,
-    /// Between pings to members of the own zone. Every member is pinged about
-    /// once in this time, whatever the size of the zone.
+    /// Interval between pings to members of the own zone. Every member is pinged about once in this
+    /// interval, regardless of the size of the zone.
     pub heartbeat: Duration,
-    /// After so long without an ack, others are asked to ping. Many round
-    /// trips within a zone (1 ms), so that a busy member has time to answer.
+    /// Time without an ack after which relays are asked to ping. Many round trips within a zone (1
+    /// ms), so that a busy member has time to answer.
     pub ack_timeout: Duration,
-    /// After so long without an ack by any way, the member is suspect.
+    /// Time without a direct or relayed ack after which the member is suspect.
     pub probe_timeout: Duration,
-    /// How many others are asked to ping.
+    /// Number of members that are asked to relay a ping.
     pub relays: usize,
-    /// How long a suspect may refute. Five heartbeats: with 5 % of datagrams
-    /// lost, five pings all fail about once in 100,000.
+    /// How long a suspect may refute. Five heartbeats: with 5 % of datagrams lost, five pings all
+    /// fail about once in 100,000.
     pub suspicion_timeout: Duration,
-    /// How long a suspect may refute at daemons that only heard of the
-    /// suspicion: they confirm it in case the first daemon dies too.
+    /// How long a suspect may refute at daemons that learned of the suspicion by gossip: they
+    /// confirm it in case the suspecting daemon dies too.
     pub remote_suspicion_timeout: Duration,
-    /// Having heard nobody for so long, a daemon takes itself for cut off.
+    /// Time without receiving anything after which a daemon considers itself isolated.
     pub isolation_timeout: Duration,
-    /// How long a daemon that is cut off waits before it holds others for dead.
+    /// How long an isolated daemon waits before it declares others dead.
     pub isolated_suspicion_timeout: Duration,
-    /// The longest time between pings to members of other zones.
+    /// Maximum interval between a daemon's pings to members of other zones.
     pub cross_zone_interval: Duration,
-    /// The time between pings of all daemons of the own zone to each other
-    /// zone, where that takes no more than a ping each heartbeat. An eighth of
-    /// the zone timeout, so that eight must be lost.
+    /// Interval between pings of all daemons of the own zone to each other zone, as far as one ping
+    /// per heartbeat allows. An eighth of the zone timeout, so that a zone is lost only after eight
+    /// lost pings.
     pub zone_ping_interval: Duration,
-    /// A zone that nothing was heard from for so long is lost. Longer in a
-    /// fleet of many zones with few hosts.
+    /// Silence after which a zone is lost. Extended in a fleet of many zones with few hosts.
     pub zone_timeout: Duration,
-    /// Between pings to one dead member of the own zone, or one hinted address
-    /// without a live member, so that the parts of a partition find each other.
+    /// Interval between pings to one dead member of the own zone, or one seed address without a
+    /// live member, so that the sides of a partition rejoin.
     pub rejoin_interval: Duration,
-    /// Between requests for a part of a member list that differs. While the
-    /// parts bring much that is new, the next one is asked for at once.
+    /// Interval between requests for a page of a member list that differs. While pages contain
+    /// changes, the next one is requested immediately.
     pub repair_interval: Duration,
-    /// A gap between calls longer than this means that the process stood still.
+    /// A longer gap between calls means that the process was paused.
     pub pause_threshold: Duration,
-    /// How long dead members are kept and retried: longer than regions lose
-    /// each other.
+    /// How long dead members are kept and pinged: longer than a partition between regions lasts.
     pub dead_retention: Duration,
-    /// How long members that left are kept, so that late rumors find them.
+    /// How long members that left are kept, so that delayed updates still find their records.
     pub left_retention: Duration,
-    /// Bytes of rumors in one datagram. With ten datagrams a second this is
-    /// what bounds a daemon's bytes during a storm of changes.
+    /// Bytes of updates in one datagram. With ten datagrams per second this bounds a daemon's
+    /// traffic during bursts of changes.
     pub gossip_bytes: usize,
-    /// Each rumor is sent so many times more than the binary logarithm of the
-    /// member count. Sent k times by every daemon, it misses one in e^k of
-    /// them: one in 3,000 of 8 daemons, one in 10 million of 4,000. Repair
-    /// reaches those.
+    /// Number of transmissions of each update beyond the binary logarithm of the member count. An
+    /// update sent k times by every daemon misses one in e^k of them: one in 3,000 of 8 daemons,
+    /// one in 10 million of 4,000. Repair reaches those.
     pub extra_transmissions: u32,
-    /// How many members hear at once of a new configuration revision or phase.
+    /// Number of members that are notified immediately of a new configuration revision or phase.
     pub push_fanout: usize,
 }
 
@@ -95,18 +92,18 @@
     pub sent: u64,
     /// Bytes sent, without UDP and IP headers.
     pub sent_bytes: u64,
-    /// Datagrams received and understood.
+    /// Valid datagrams received.
     pub received: u64,
-    /// Datagrams refused.
+    /// Datagrams rejected.
     pub rejected: u64,
-    /// Pings through others.
+    /// Pings requested from relays.
     pub indirect_pings: u64,
-    /// Suspicions begun here.
+    /// Suspicions started by this daemon.
     pub suspicions: u64,
-    /// Deaths confirmed here.
+    /// Deaths confirmed by this daemon.
     pub deaths: u64,
-    /// Times this host refuted.
+    /// Suspicions of this host that it refuted.
     pub refutations: u64,
-    /// Times this process stood still.
+    /// Pauses of this process.
     pub pauses: u64,
 }
--- a/crates/hawthorn-fleet/src/member/probe.rs
+++ b/crates/hawthorn-fleet/src/member/probe.rs
@@ -1,4 +1,4 @@
-//! What is due by the clock: heartbeats, probes, suspicions, repairs.
+//! Periodic tasks: heartbeats, probes, suspicions and expiry.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,128 +19,130 @@
 use crate::message::MemberStamp;
 use crate::message::MemberUpdate;
 
-/// Between looks at which zones are reachable.
-const ZONE_REVIEW: Duration = Duration::from_millis(500);
+/// Interval between checks of which zones are reachable.
+const ZONE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Between sweeps for records to forget.
-const FORGET_SWEEP: Duration = Duration::from_secs(30);
+/// Interval between scans for expired records.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(30);
 
-/// How often a ping without an ack is sent again, directly and through others.
-const PROBE_ROUNDS: u32 = 2;
+/// How often an unacknowledged ping is retried, directly and through relays.
+const PROBE_RETRIES: u32 = 2;
 
-/// A ping that waits for its ack.
+/// A ping that has not been acknowledged yet.
 #[derive(Debug)]
 pub(super) struct Probe {
     pub(super) number: u32,
     pub(super) key: HostKey,
     pub(super) peer: SocketAddr,
     sent: Duration,
-    /// How often it was sent again, directly and through others.
-    rounds: u32,
-    /// Whether failing makes the target suspect: a member of the own zone.
-    judged: bool,
+    /// How often it was retried, directly and through relays.
+    retries: u32,
+    /// Whether a failure makes the target suspect: true for members of the own zone.
+    suspect_on_failure: bool,
 }
 
-/// A ping passed on for another.
+/// A ping sent on behalf of another member.
 #[derive(Debug)]
 pub(super) struct Relay {
     pub(super) number: u32,
-    /// Whom it was meant for.
+    /// The member to ping.
     pub(super) target: MemberId,
     pub(super) origin: SocketAddr,
     pub(super) origin_number: u32,
     pub(super) expires: Duration,
 }
 
-/// A suspect's time to refute.
+/// A suspect and the deadline for its refutation.
 #[derive(Debug)]
 pub(super) struct Suspicion {
     pub(super) key: HostKey,
     pub(super) stamp: MemberStamp,
     pub(super) deadline: Duration,
-    /// Begun by this daemon's own probe, which then keeps pinging.
-    pub(super) own: bool,
+    /// Started by this daemon's own probe; this daemon keeps pinging the suspect.
+    pub(super) local: bool,
 }
 
 impl Suspicion {
-    /// How long the suspect may refute. A daemon that only heard of the
-    /// suspicion waits longer: the refutation may still be on its way.
-    fn wait(&self, options: &Options) -> Duration {
-        if self.own { options.suspicion_timeout } else { options.remote_suspicion_timeout }
+    /// How long the suspect may refute. A daemon that learned of the suspicion by gossip waits
+    /// longer: the refutation may still be in transit.
+    fn timeout(&self, options: &Options) -> Duration {
+        if self.local { options.suspicion_timeout } else { options.remote_suspicion_timeout }
     }
 }
 
-/// How long after a ping it is sent again, or given up.
+/// Time after a ping when it is retried, or has failed.
 ///
-/// With 5 % of datagrams lost, a ping with its ack fails one time in ten and
-/// one through others one time in five; after two rounds about one probe in
-/// 100,000 of a live member fails.
-fn again_at(rounds: u32, options: &Options) -> Duration {
-    if rounds < PROBE_ROUNDS { options.ack_timeout * (rounds + 1) } else { options.probe_timeout }
+/// With 5 % of datagrams lost, a ping with its ack fails one time in ten and a relayed ping one
+/// time in five; after two retries about one probe in 100,000 of a live member fails.
+fn retry_after(retries: u32, options: &Options) -> Duration {
+    if retries < PROBE_RETRIES {
+        options.ack_timeout * (retries + 1)
+    } else {
+        options.probe_timeout
+    }
 }
 
 impl MemberTable {
-    /// Does what is due.
+    /// Runs all tasks that are due.
     pub fn tick(&mut self, now: Duration) {
-        self.note_time(now);
+        self.detect_pause(now);
         self.relays.retain(|relay| relay.expires > now);
-        self.review_probes(now);
-        self.review_suspicions(now);
+        self.check_probes(now);
+        self.check_suspicions(now);
         if now >= self.due.heartbeat {
             self.due.heartbeat = now + self.options.heartbeat;
             self.ping_next(now);
             self.ping_suspects(now);
         }
-        if now >= self.due.across {
-            self.due.across = now + self.across_wait();
-            self.ping_across(now);
+        if now >= self.due.cross_zone {
+            self.due.cross_zone = now + self.cross_zone_interval();
+            self.ping_other_zone(now);
         }
-        if now >= self.due.retry {
-            self.due.retry = now + self.options.rejoin_interval;
+        if now >= self.due.rejoin {
+            self.due.rejoin = now + self.options.rejoin_interval;
             self.ping_dead(now);
         }
-        if now >= self.due.hint {
-            self.try_hints(now);
+        if now >= self.due.seeds {
+            self.contact_seeds(now);
         }
         if now >= self.due.repair {
             self.due.repair = now + self.options.repair_interval;
-            self.ask_repair(now);
+            self.request_repair(now);
         }
         if now >= self.due.zones {
-            self.due.zones = now + ZONE_REVIEW;
-            self.review_zones(now);
+            self.due.zones = now + ZONE_CHECK_INTERVAL;
+            self.check_zones(now);
         }
-        if now >= self.due.forget {
-            self.due.forget = now + FORGET_SWEEP;
-            self.forget(now);
+        if now >= self.due.expiry {
+            self.due.expiry = now + EXPIRY_INTERVAL;
+            self.remove_expired(now);
         }
         self.retry_sync(now);
     }
 
-    /// When `tick` is worth calling next; never later than a heartbeat, so
-    /// that a longer gap shows that the process stood still.
+    /// When to call `tick` next; never later than a heartbeat, so that a longer gap indicates a
+    /// pause of the process.
     pub fn next_wake(&self) -> Duration {
         let probes =
-            self.probes.iter().map(|probe| probe.sent + again_at(probe.rounds, &self.options));
+            self.probes.iter().map(|probe| probe.sent + retry_after(probe.retries, &self.options));
         let suspicions = self.suspicions.iter().map(|suspicion| suspicion.deadline);
         probes.chain(suspicions).fold(self.due.heartbeat, Duration::min)
     }
 
-    /// Notices that this process stood still. Failure: a paused process wakes
-    /// with every timer overdue and would hold its whole zone for dead, while
-    /// the zone holds it for dead. The gap between calls shows it. All waiting
-    /// probes are void, suspicions begin again, and the host announces itself
-    /// anew before it hears what was said of it.
-    pub(super) fn note_time(&mut self, now: Duration) {
-        let gap = self.last_call.map_or(Duration::ZERO, |last| now.saturating_sub(last));
-        self.last_call = Some(now);
+    /// Detects that this process was paused. Failure: a paused process resumes with every timer
+    /// expired and would declare its whole zone dead, while the zone has declared it dead. The gap
+    /// between calls reveals the pause. Pending probes are discarded, suspicions restart, and the
+    /// host announces itself again before it processes what others reported about it.
+    pub(super) fn detect_pause(&mut self, now: Duration) {
+        let gap = self.last_activity.map_or(Duration::ZERO, |last| now.saturating_sub(last));
+        self.last_activity = Some(now);
         if gap <= self.options.pause_threshold {
             return;
         }
         self.counters.pauses += 1;
         self.probes.clear();
         self.relays.clear();
-        self.last_heard = now;
+        self.last_received = now;
         self.zones.shift(gap);
         self.restart_suspicions(now);
         self.refute(now, 0);
@@ -150,39 +152,38 @@
         self.actions.push_back(FleetAction::ProcessPaused(gap));
     }
 
-    /// Gives all suspects their full time again.
+    /// Restarts the refutation timeout of all suspects.
     pub(super) fn restart_suspicions(&mut self, now: Duration) {
         for suspicion in &mut self.suspicions {
-            let wait = suspicion.wait(&self.options);
-            suspicion.deadline = now + wait;
+            let timeout = suspicion.timeout(&self.options);
+            suspicion.deadline = now + timeout;
         }
     }
 
-    /// Gives members that this daemon alone holds for dead time to refute.
-    /// Failure: a zone's last host hears nobody while a mate dies, and keeps
-    /// the death to itself for ever, so that other zones send work to the dead.
-    pub(super) fn review_private(&mut self, now: Duration) {
+    /// Gives members that only this daemon considers dead time to refute. Failure: the last host of
+    /// a zone is isolated when another member dies, and never gossips the death, so that other
+    /// zones keep sending requests to the dead host.
+    pub(super) fn recheck_local_only(&mut self, now: Duration) {
         let deadline = now + self.options.suspicion_timeout;
-        for record in self.arena.iter().filter(|record| record.private && !record.is_live()) {
+        for record in self.arena.iter().filter(|record| record.local_only && !record.is_live()) {
             let (key, stamp) = (record.key, record.stamp);
             self.suspicions.retain(|suspicion| suspicion.key != key);
-            self.suspicions.push(Suspicion { key, stamp, deadline, own: true });
+            self.suspicions.push(Suspicion { key, stamp, deadline, local: true });
         }
     }
 
-    pub(super) fn take_number(&mut self) -> u32 {
+    pub(super) fn allocate_number(&mut self) -> u32 {
         self.next_number = self.next_number.wrapping_add(1);
         self.next_number
     }
 
-    /// Pings the next member of the zone. Each round goes through all members
-    /// once, in a new order, so that none waits longer than two rounds. The
-    /// last of its zone pings other zones instead: it must go on hearing often
-    /// to know that it is not the one cut off.
+    /// Pings the next member of the zone. Each round visits all members once, in a new order, so
+    /// that none waits longer than two rounds. The last host of a zone pings other zones instead:
+    /// it must keep receiving to know that it is not isolated.
     fn ping_next(&mut self, now: Duration) {
         for _ in 0..self.ring.len() {
             if self.ring_next >= self.ring.len() {
-                self.begin_round();
+                self.start_round();
             }
             let Some(&key) = self.ring.get(self.ring_next) else { break };
             self.ring_next += 1;
@@ -195,10 +196,10 @@
                 return self.ping(now, key, true, &[]);
             }
         }
-        self.ping_across(now);
+        self.ping_other_zone(now);
     }
 
-    fn begin_round(&mut self) {
+    fn start_round(&mut self) {
         self.ring_next = 0;
         let arena = &self.arena;
         let zone = self.my_zone;
@@ -212,35 +213,35 @@
         &mut self,
         now: Duration,
         key: HostKey,
-        judged: bool,
-        front: &[MemberUpdate],
+        suspect_on_failure: bool,
+        priority_updates: &[MemberUpdate],
     ) {
         let Some(record) = self.arena.get(key) else { return };
         let peer = record.place.peer;
-        let number = self.take_number();
-        self.probes.push(Probe { number, key, peer, sent: now, rounds: 0, judged });
-        self.send(now, peer, FleetBody::Ping { number }, front);
+        let number = self.allocate_number();
+        self.probes.push(Probe { number, key, peer, sent: now, retries: 0, suspect_on_failure });
+        self.send(now, peer, FleetBody::Ping { number }, priority_updates);
     }
 
-    /// Pings again those that this daemon suspects, telling them so: a live one
-    /// refutes in its ack.
+    /// Pings the members that this daemon suspects and includes the suspicion, so that a live
+    /// member refutes it in its ack.
     fn ping_suspects(&mut self, now: Duration) {
         let keys: Vec<HostKey> =
-            self.suspicions.iter().filter(|found| found.own).map(|found| found.key).collect();
+            self.suspicions.iter().filter(|found| found.local).map(|found| found.key).collect();
         for key in keys {
             let Some(record) = self.arena.get(key) else { continue };
-            let (peer, private, rumor) = (record.place.peer, record.private, record.rumor());
-            let number = self.take_number();
-            let front = if private { &[][..] } else { std::slice::from_ref(&rumor) };
-            self.send(now, peer, FleetBody::Ping { number }, front);
-            self.ask_to_ping(now, key, number, 1);
+            let (peer, local_only, update) =
+                (record.place.peer, record.local_only, record.to_update());
+            let number = self.allocate_number();
+            let priority_updates = if local_only { &[][..] } else { std::slice::from_ref(&update) };
+            self.send(now, peer, FleetBody::Ping { number }, priority_updates);
+            self.request_pings(now, key, number, 1);
         }
     }
 
-    /// Pings one dead member of the own zone, telling it so if others hold it
-    /// for dead too. Failure: two parts
-    /// of a zone that were cut off from each other hold each other for dead and
-    /// would stay apart for ever. A live one refutes and both lists meet.
+    /// Pings one dead member of the own zone, including the verdict if other members share it.
+    /// Failure: two sides of a partitioned zone consider each other dead and would never rejoin. A
+    /// live member refutes, and both lists converge.
     fn ping_dead(&mut self, now: Duration) {
         let dead: Vec<(SocketAddr, Option<MemberUpdate>)> = self
             .arena
@@ -248,49 +249,48 @@
             .filter(|record| record.health == MemberHealth::Dead)
             .filter(|record| record.phase != MemberPhase::Left)
             .filter(|record| record.zone == self.my_zone)
-            .map(|record| (record.place.peer, (!record.private).then(|| record.rumor())))
+            .map(|record| (record.place.peer, (!record.local_only).then(|| record.to_update())))
             .collect();
         if dead.is_empty() {
             return;
         }
-        let (peer, rumor) = &dead[self.rng.random_range(0..dead.len())];
-        let number = self.take_number();
-        self.send(now, *peer, FleetBody::Ping { number }, rumor.as_slice());
+        let (peer, update) = &dead[self.rng.random_range(0..dead.len())];
+        let number = self.allocate_number();
+        self.send(now, *peer, FleetBody::Ping { number }, update.as_slice());
     }
 
-    fn review_probes(&mut self, now: Duration) {
+    fn check_probes(&mut self, now: Duration) {
         let mut index = 0;
         while index < self.probes.len() {
             let probe = &self.probes[index];
             let waited = now.saturating_sub(probe.sent);
             if waited >= self.options.probe_timeout {
                 let probe = self.probes.swap_remove(index);
-                self.probe_failed(now, &probe);
+                self.fail_probe(now, &probe);
                 continue;
             }
-            if waited >= again_at(probe.rounds, &self.options) {
+            if waited >= retry_after(probe.retries, &self.options) {
                 let (key, peer, number) = (probe.key, probe.peer, probe.number);
-                self.probes[index].rounds += 1;
+                self.probes[index].retries += 1;
                 self.send(now, peer, FleetBody::Ping { number }, &[]);
-                self.ask_to_ping(now, key, number, self.options.relays);
+                self.request_pings(now, key, number, self.options.relays);
             }
             index += 1;
         }
     }
 
-    /// Asks others to ping. Failure: the way from here to the target is cut in
-    /// one direction, or one datagram was lost, while the target is well.
-    /// Relays are of the target's zone, which knows best; if that has no
-    /// others, of any zone.
-    fn ask_to_ping(&mut self, now: Duration, key: HostKey, number: u32, count: usize) {
+    /// Asks relays to ping. Failure: the path from here to the target is broken in one direction,
+    /// or a datagram was lost, while the target is healthy. Relays are members of the target's
+    /// zone, which determines its health; if there are not enough, members of any zone.
+    fn request_pings(&mut self, now: Duration, key: HostKey, number: u32, count: usize) {
         let Some(record) = self.arena.get(key) else { return };
         let (id, peer, zone) = (record.id, record.place.peer, record.zone);
         let mut relays = self.pick(count, |record| {
             record.key != key && record.zone == zone && record.health == MemberHealth::Alive
         });
         if relays.len() < count {
-            let rest = count - relays.len();
-            relays.extend(self.pick(rest, |record| record.zone != zone));
+            let remaining = count - relays.len();
+            relays.extend(self.pick(remaining, |record| record.zone != zone));
         }
         for relay in relays {
             let Some(to) = self.arena.get(relay).map(|record| record.place.peer) else { continue };
@@ -300,27 +300,27 @@
         }
     }
 
-    fn probe_failed(&mut self, now: Duration, probe: &Probe) {
+    fn fail_probe(&mut self, now: Duration, probe: &Probe) {
         let alive =
             self.arena.get(probe.key).is_some_and(|record| record.health == MemberHealth::Alive);
-        if !probe.judged || !alive {
+        if !probe.suspect_on_failure || !alive {
             return;
         }
         self.counters.suspicions += 1;
-        // Relays answer at once: hearing nothing at all since they were asked
-        // means that the fault is on this side, or that there is nobody else.
-        let asked = probe.sent + self.options.ack_timeout;
-        let private = self.last_heard < asked || self.is_isolated(now);
-        self.set_health(now, probe.key, MemberHealth::Suspect, private);
+        // Relays answer immediately: receiving nothing since they were asked means that this host
+        // is at fault, or that there is no other member.
+        let requested_at = probe.sent + self.options.ack_timeout;
+        let local_only = self.last_received < requested_at || self.is_isolated(now);
+        self.set_health(now, probe.key, MemberHealth::Suspect, local_only);
         if let Some(suspicion) = self.suspicions.iter_mut().find(|found| found.key == probe.key) {
-            suspicion.own = true;
-            if !private {
+            suspicion.local = true;
+            if !local_only {
                 suspicion.deadline = now + self.options.suspicion_timeout;
             }
         }
     }
 
-    fn review_suspicions(&mut self, now: Duration) {
+    fn check_suspicions(&mut self, now: Duration) {
         let due: Vec<(HostKey, MemberStamp)> = self
             .suspicions
             .iter()
@@ -328,17 +328,17 @@
             .map(|suspicion| (suspicion.key, suspicion.stamp))
             .collect();
         for (key, stamp) in due {
-            self.confirm(now, key, stamp);
+            self.confirm_death(now, key, stamp);
         }
     }
 
-    /// A suspect did not refute. A daemon that hears nobody can't know whether
-    /// it did: it waits longer and then keeps the verdict to itself.
-    fn confirm(&mut self, now: Duration, key: HostKey, stamp: MemberStamp) {
-        let silent = now.saturating_sub(self.last_heard);
+    /// Declares a suspect dead that did not refute. An isolated daemon can't know whether it did:
+    /// it waits longer and then does not gossip the verdict.
+    fn confirm_death(&mut self, now: Duration, key: HostKey, stamp: MemberStamp) {
+        let silence = now.saturating_sub(self.last_received);
         let isolated = self.is_isolated(now);
-        if isolated && silent < self.options.isolated_suspicion_timeout {
-            let deadline = self.last_heard + self.options.isolated_suspicion_timeout;
+        if isolated && silence < self.options.isolated_suspicion_timeout {
+            let deadline = self.last_received + self.options.isolated_suspicion_timeout;
             for suspicion in self.suspicions.iter_mut().filter(|found| found.key == key) {
                 suspicion.deadline = deadline;
             }
@@ -346,28 +346,28 @@
         }
         self.suspicions.retain(|suspicion| suspicion.key != key);
         let Some(record) = self.arena.get(key) else { return };
-        let doubtful = record.health == MemberHealth::Suspect || record.private;
-        if record.stamp == stamp && doubtful {
+        let unrefuted = record.health == MemberHealth::Suspect || record.local_only;
+        if record.stamp == stamp && unrefuted {
             self.counters.deaths += u64::from(record.is_live());
             self.set_health(now, key, MemberHealth::Dead, isolated);
         }
     }
 
-    /// Drops records nobody needs any more.
-    fn forget(&mut self, now: Duration) {
-        let old: Vec<HostKey> = self
+    /// Removes records whose retention has expired.
+    fn remove_expired(&mut self, now: Duration) {
+        let expired: Vec<HostKey> = self
             .arena
             .iter()
             .filter(|record| record.key != self.me && !record.is_live())
             .filter(|record| {
                 let left = record.phase == MemberPhase::Left;
-                let kept =
+                let retention =
                     if left { self.options.left_retention } else { self.options.dead_retention };
-                now.saturating_sub(record.changed_at) > kept
+                now.saturating_sub(record.changed_at) > retention
             })
             .map(|record| record.key)
             .collect();
-        for key in old {
+        for key in expired {
             self.ring.retain(|&member| member != key);
             self.arena.remove(key);
             self.actions.push_back(FleetAction::MemberRemoved(key));
--- a/crates/hawthorn-fleet/src/member/receive.rs
+++ b/crates/hawthorn-fleet/src/member/receive.rs
@@ -1,4 +1,4 @@
-//! Taking in a datagram.
+//! Handles received datagrams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,15 +19,19 @@
 use crate::message::MemberUpdate;
 use crate::message::SenderHeader;
 
-/// The most pings for others kept waiting; more are not worth passing on late.
-const RELAY_LIMIT: usize = 256;
+/// Maximum number of pending relayed pings. Beyond it, a ping would be relayed too late.
+const MAX_RELAYS: usize = 256;
 
 impl MemberTable {
-    /// Takes in a datagram. An error changes nothing but the counters.
+    /// Handles a datagram. On an error, only the counters change.
+    ///
+    /// # Errors
+    ///
+    /// The datagram is malformed or of another format, has an invalid name, or is of another fleet.
     pub fn receive(&mut self, now: Duration, from: SocketAddr, bytes: &[u8]) -> Result<(), Error> {
-        self.note_time(now);
-        let (message, rumors) = match self.read(bytes) {
-            Ok(read) => read,
+        self.detect_pause(now);
+        let (message, updates) = match self.decode(bytes) {
+            Ok(decoded) => decoded,
             Err(error) => {
                 self.counters.rejected += 1;
                 return Err(error);
@@ -35,57 +39,61 @@
         };
         self.counters.received += 1;
         if message.sender.id == self.my_id {
-            self.meet_twin(now, from, &message.sender);
+            self.handle_duplicate_host(now, from, &message.sender);
             return Ok(());
         }
-        self.note_heard(now);
-        let news = if matches!(message.body, FleetBody::SyncPage { .. }) {
-            self.apply_page(now, from, rumors)
+        self.record_receipt(now);
+        let changes = if matches!(message.body, FleetBody::SyncPage { .. }) {
+            self.apply_page(now, from, updates)
         } else {
-            rumors.into_iter().map(|rumor| self.apply(now, rumor)).filter(|&news| news).count()
+            updates
+                .into_iter()
+                .map(|update| self.apply(now, update))
+                .filter(|&changed| changed)
+                .count()
         };
         let sender = self.apply_header(now, &message.sender);
         if let Some(key) = sender {
-            self.note_sender(now, from, key, &message);
+            self.record_sender(now, from, key, &message);
         }
-        self.answer(now, from, sender, message, news);
+        self.respond(now, from, sender, message, changes);
         Ok(())
     }
 
-    fn read(&self, bytes: &[u8]) -> Result<(FleetMessage, Vec<MemberUpdate>), Error> {
-        let (message, rumors) = message::decode(bytes)?;
+    fn decode(&self, bytes: &[u8]) -> Result<(FleetMessage, Vec<MemberUpdate>), Error> {
+        let (message, updates) = message::decode(bytes)?;
         if message.fleet != self.options.fleet {
             return Err(Error::OtherFleet(message.fleet));
         }
-        Ok((message, rumors))
+        Ok((message, updates))
     }
 
-    /// Another process says it is this host.
-    fn meet_twin(&mut self, now: Duration, from: SocketAddr, sender: &SenderHeader) {
+    /// Handles a datagram from another process with this host's name.
+    fn handle_duplicate_host(&mut self, now: Duration, from: SocketAddr, sender: &SenderHeader) {
         let mut place = self.record_of_self().place.clone();
         place.peer = from;
-        let rumor = MemberUpdate {
+        let update = MemberUpdate {
             id: sender.id,
             stamp: sender.stamp,
             phase: sender.phase,
             health: MemberHealth::Alive,
             place: Some(place),
         };
-        self.apply(now, rumor);
+        self.apply(now, update);
     }
 
-    /// Hearing anyone after hearing nobody: what was suspected meanwhile gets
-    /// its full time again, as the fault was on this side, and what was held
-    /// for dead is looked at once more before anybody is told.
-    fn note_heard(&mut self, now: Duration) {
+    /// Records that something was received. At the end of an isolation, suspects get their full
+    /// timeout again, because the fault was on this side, and members considered dead are checked
+    /// once more before the verdict is gossiped.
+    fn record_receipt(&mut self, now: Duration) {
         if self.is_isolated(now) {
             self.restart_suspicions(now);
-            self.review_private(now);
+            self.recheck_local_only(now);
         }
-        self.last_heard = now;
+        self.last_received = now;
     }
 
-    fn note_sender(
+    fn record_sender(
         &mut self,
         now: Duration,
         from: SocketAddr,
@@ -94,9 +102,9 @@
     ) {
         let Some(record) = self.arena.get(key) else { return };
         let zone = record.zone;
-        self.zones.hear(now, zone);
+        self.zones.record_contact(now, zone);
         if zone == self.my_zone {
-            self.zones.hear_ages(now, &message.zones);
+            self.zones.merge_ages(now, &message.zones);
         }
         if message.sender.fingerprint != self.arena.fingerprint() {
             self.repair_peer = Some(from);
@@ -105,36 +113,36 @@
             .push_back(FleetAction::DigestReceived { peer: key, digest: message.sender.digest });
     }
 
-    fn answer(
+    fn respond(
         &mut self,
         now: Duration,
         from: SocketAddr,
         sender: Option<HostKey>,
         message: FleetMessage,
-        news: usize,
+        changes: usize,
     ) {
-        let front = self.doubts_of(&message.sender);
+        let priority_updates = self.refutable_update(&message.sender);
         match message.body {
             FleetBody::Ping { number } => {
                 let unknown = sender.is_none();
-                self.send(now, from, FleetBody::Ack { number, unknown }, &front);
+                self.send(now, from, FleetBody::Ack { number, unknown }, &priority_updates);
             }
             FleetBody::Ack { number, unknown } => {
-                self.take_ack(now, from, message.sender.id, number);
+                self.handle_ack(now, from, message.sender.id, number);
                 if unknown {
-                    let own = self.own_rumor();
+                    let own = self.own_update();
                     self.send(now, from, FleetBody::Gossip, &[own]);
                 }
             }
             FleetBody::PingRequest { number, target, peer } => {
-                self.pass_ping(now, from, number, target, peer);
+                self.relay_ping(now, from, number, target, peer);
             }
-            FleetBody::Gossip if !front.is_empty() => {
-                self.send(now, from, FleetBody::Gossip, &front);
+            FleetBody::Gossip if !priority_updates.is_empty() => {
+                self.send(now, from, FleetBody::Gossip, &priority_updates);
             }
             FleetBody::Gossip => {}
             FleetBody::SyncRequest { after } => self.send_page(now, from, after),
-            FleetBody::SyncPage { next } => self.take_page(now, from, next, news),
+            FleetBody::SyncPage { next } => self.handle_page(now, from, next, changes),
             FleetBody::Payload(payload) => {
                 // Payloads from hosts that are not members are ignored.
                 if sender.is_some() {
@@ -149,28 +157,28 @@
         }
     }
 
-    /// What the sender should know is said of it, so that it can refute.
-    fn doubts_of(&self, sender: &SenderHeader) -> SmallVec<[MemberUpdate; 1]> {
+    /// The update that the sender must refute or catch up with, if any.
+    fn refutable_update(&self, sender: &SenderHeader) -> SmallVec<[MemberUpdate; 1]> {
         let record = self.arena.by_id(sender.id).filter(|record| {
-            !record.private
+            !record.local_only
                 && record.stamp >= sender.stamp
                 && (record.stamp > sender.stamp || record.health != MemberHealth::Alive)
         });
         record
-            .map(|record| MemberUpdate { place: Some(record.place.clone()), ..record.rumor() })
+            .map(|record| MemberUpdate { place: Some(record.place.clone()), ..record.to_update() })
             .into_iter()
             .collect()
     }
 
-    /// A ping was answered, by the host it was meant for or by one that passed it on.
+    /// Handles the answer to a ping, from its target or from a relay.
     ///
-    /// Failure: a host goes, another has its address and answers the pings meant
-    /// for the first, which stays live for ever.
-    fn take_ack(&mut self, now: Duration, from: SocketAddr, sender: MemberId, number: u32) {
+    /// Failure: a host goes away, another one gets its address and answers its pings, so that the
+    /// first would stay live forever.
+    fn handle_ack(&mut self, now: Duration, from: SocketAddr, sender: MemberId, number: u32) {
         if let Some(index) = self.probes.iter().position(|probe| probe.number == number) {
             let probe = &self.probes[index];
-            let meant = self.arena.get(probe.key).map(|record| record.id);
-            if from != probe.peer || meant.is_none_or(|id| id == sender) {
+            let expected = self.arena.get(probe.key).map(|record| record.id);
+            if from != probe.peer || expected.is_none_or(|id| id == sender) {
                 self.probes.remove(index);
             }
         }
@@ -183,9 +191,9 @@
         }
     }
 
-    /// Pings for another. If the target is known to be gone, the asker is told
-    /// so at once: this is how other zones learn of a death they missed.
-    fn pass_ping(
+    /// Pings on behalf of another member. If the target is known to be gone, the requester is
+    /// informed immediately: this is how other zones learn of a death that they missed.
+    fn relay_ping(
         &mut self,
         now: Duration,
         origin: SocketAddr,
@@ -193,30 +201,30 @@
         target: MemberId,
         peer: SocketAddr,
     ) {
-        let gone = self
+        let known_gone = self
             .arena
             .by_id(target)
-            .filter(|record| !record.is_live() && !record.private)
+            .filter(|record| !record.is_live() && !record.local_only)
             .filter(|record| record.zone == self.my_zone);
-        if let Some(record) = gone {
-            let rumor = record.rumor();
-            return self.send(now, origin, FleetBody::Gossip, &[rumor]);
+        if let Some(record) = known_gone {
+            let update = record.to_update();
+            return self.send(now, origin, FleetBody::Gossip, &[update]);
         }
-        if self.relays.len() >= RELAY_LIMIT {
+        if self.relays.len() >= MAX_RELAYS {
             return;
         }
-        // Tells the asker that it can still hear: see `MemberTable::is_isolated`.
+        // Shows the requester that it still receives: see `MemberTable::is_isolated`.
         self.send(now, origin, FleetBody::Gossip, &[]);
-        let number = self.take_number();
+        let number = self.allocate_number();
         let expires = now + self.options.probe_timeout;
         self.relays.push(Relay { number, target, origin, origin_number, expires });
-        let front: SmallVec<[MemberUpdate; 1]> = self
+        let priority_updates: SmallVec<[MemberUpdate; 1]> = self
             .arena
             .by_id(target)
-            .filter(|record| record.health != MemberHealth::Alive && !record.private)
-            .map(super::MemberRecord::rumor)
+            .filter(|record| record.health != MemberHealth::Alive && !record.local_only)
+            .map(super::MemberRecord::to_update)
             .into_iter()
             .collect();
-        self.send(now, peer, FleetBody::Ping { number }, &front);
+        self.send(now, peer, FleetBody::Ping { number }, &priority_updates);
     }
 }
--- a/crates/hawthorn-fleet/src/member/send.rs
+++ b/crates/hawthorn-fleet/src/member/send.rs
@@ -1,4 +1,4 @@
-//! Sending: every datagram carries the header and the rumors that fit.
+//! Sends datagrams, each with the header and the updates that fit.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,43 +20,43 @@
 use crate::message::MemberPhase;
 use crate::message::MemberUpdate;
 
-/// Rumors looked at for one datagram; more never fit in its part for rumors.
-const RUMORS_TRIED: usize = 24;
+/// Updates considered for one datagram; more never fit into its share of bytes.
+const MAX_UPDATES_TRIED: usize = 24;
 
 impl MemberTable {
-    /// Sends `body`, first the rumors in `front`, then others that fit.
+    /// Sends `body` with the updates in `priority_updates` first, then queued ones that fit.
     pub(super) fn send(
         &mut self,
         now: Duration,
         to: SocketAddr,
         body: FleetBody,
-        front: &[MemberUpdate],
+        priority_updates: &[MemberUpdate],
     ) {
         let mut writer = DatagramWriter::new(&self.message(now, to, body));
-        for rumor in front {
-            writer.push(rumor, DATAGRAM_LIMIT);
+        for update in priority_updates {
+            writer.push(update, DATAGRAM_LIMIT);
         }
-        self.add_rumors(&mut writer, front);
+        self.add_updates(&mut writer, priority_updates);
         self.send_bytes(to, writer.finish());
     }
 
-    /// Moves this host to a phase and tells a few members at once.
+    /// Moves this host to a phase and notifies a few members immediately.
     pub(super) fn announce(&mut self, now: Duration, phase: MemberPhase) {
         self.arena.update(self.me, |record| {
             record.phase = phase;
             record.stamp.sequence += 1;
             record.changed_at = now;
         });
-        self.rumors.push(self.my_id);
+        self.gossip.push(self.my_id);
         self.view_changed = true;
-        self.push_notice(now);
-        self.notice_zones(now);
+        self.push_update(now);
+        self.push_to_other_zones(now);
     }
 
-    /// Sends a notice to one member of each other zone: rumors cross between
-    /// zones once a second at most, and a phase is worth knowing sooner.
-    fn notice_zones(&mut self, now: Duration) {
-        let own = self.own_rumor();
+    /// Pushes this host's record to one member of each other zone: gossip crosses zones at most
+    /// once a second, and a phase change must be known sooner.
+    fn push_to_other_zones(&mut self, now: Duration) {
+        let own = self.own_update();
         for zone in self.other_zones() {
             let picked = self.pick(1, |record| record.zone == zone);
             let peer = picked.first().and_then(|&key| self.arena.get(key));
@@ -65,9 +65,9 @@
         }
     }
 
-    /// Sends a notice to a few members of the own zone and one of another.
-    pub(super) fn push_notice(&mut self, now: Duration) {
-        let own = self.own_rumor();
+    /// Pushes this host's record to a few members of the own zone and one of another.
+    pub(super) fn push_update(&mut self, now: Duration) {
+        let own = self.own_update();
         let zone = self.my_zone;
         let mut peers = self.pick(self.options.push_fanout, |record| record.zone == zone);
         peers.extend(self.pick(1, |record| record.zone != zone));
@@ -77,29 +77,28 @@
         }
     }
 
-    /// All zones but the own one.
     pub(super) fn other_zones(&self) -> impl Iterator<Item = ZoneKey> + use<> {
         let own = self.my_zone;
         self.zones.keys().filter(move |&zone| zone != own)
     }
 
-    /// This host's whole record.
-    pub(super) fn own_rumor(&self) -> MemberUpdate {
+    /// This host's record with its place.
+    pub(super) fn own_update(&self) -> MemberUpdate {
         let record = self.record_of_self();
-        MemberUpdate { place: Some(record.place.clone()), ..record.rumor() }
+        MemberUpdate { place: Some(record.place.clone()), ..record.to_update() }
     }
 
-    /// Up to `count` live members, at random, among those that `fits` allows.
+    /// Up to `count` random live members that satisfy `accepts`.
     pub(super) fn pick(
         &mut self,
         count: usize,
-        fits: impl Fn(&MemberRecord) -> bool,
+        accepts: impl Fn(&MemberRecord) -> bool,
     ) -> Vec<HostKey> {
         let mut keys: Vec<HostKey> = self
             .arena
             .iter()
             .filter(|record| record.key != self.me && record.is_live())
-            .filter(|record| fits(record))
+            .filter(|record| accepts(record))
             .map(|record| record.key)
             .collect();
         let mut picked = Vec::with_capacity(count);
@@ -111,37 +110,41 @@
     }
 
     pub(super) fn message(&self, now: Duration, to: SocketAddr, body: FleetBody) -> FleetMessage {
-        let near = self.arena.by_peer(to).is_some_and(|record| record.zone == self.my_zone);
+        let same_zone = self.arena.by_peer(to).is_some_and(|record| record.zone == self.my_zone);
         FleetMessage {
             format: MESSAGE_FORMAT,
             fleet: self.options.fleet,
             sender: self.header(now),
             body,
-            zones: if near { self.zones.ages(now, self.counters.sent) } else { Default::default() },
+            zones: if same_zone {
+                self.zones.ages(now, self.counters.sent)
+            } else {
+                Default::default()
+            },
         }
     }
 
-    fn add_rumors(&mut self, writer: &mut DatagramWriter, front: &[MemberUpdate]) {
+    fn add_updates(&mut self, writer: &mut DatagramWriter, priority_updates: &[MemberUpdate]) {
         let limit = writer.len() + self.options.gossip_bytes;
         let members = u32::try_from(self.arena.len()).unwrap_or(u32::MAX);
-        let times = members.max(1).ilog2() + 1 + self.options.extra_transmissions;
-        for id in self.rumors.first(RUMORS_TRIED) {
-            if front.iter().any(|rumor| rumor.id == id) {
+        let transmissions = members.max(1).ilog2() + 1 + self.options.extra_transmissions;
+        for id in self.gossip.least_sent(MAX_UPDATES_TRIED) {
+            if priority_updates.iter().any(|update| update.id == id) {
                 continue;
             }
-            let Some(rumor) = self.rumor_of(id) else {
-                self.rumors.remove(id);
+            let Some(update) = self.update_for(id) else {
+                self.gossip.remove(id);
                 continue;
             };
-            if !writer.push(&rumor, limit) {
+            if !writer.push(&update, limit) {
                 break;
             }
-            self.rumors.mark_sent(id, times);
+            self.gossip.mark_sent(id, transmissions);
         }
     }
 
-    fn rumor_of(&self, id: MemberId) -> Option<MemberUpdate> {
-        self.arena.by_id(id).filter(|record| !record.private).map(MemberRecord::rumor)
+    fn update_for(&self, id: MemberId) -> Option<MemberUpdate> {
+        self.arena.by_id(id).filter(|record| !record.local_only).map(MemberRecord::to_update)
     }
 
     pub(super) fn send_bytes(&mut self, to: SocketAddr, bytes: Vec<u8>) {
