--- a/crates/hawthorn-fleet/src/handover/action.rs
+++ b/crates/hawthorn-fleet/src/handover/action.rs
@@ -1,24 +1,24 @@
-//! What the hand-over asks of the daemon, and counts.
+//! Actions and counters of the handover.
 
 use super::SlotShare;
 use crate::message::HandoverMessage;
 use crate::message::MemberId;
 
-/// What the daemon must do.
+/// An action for the daemon to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HandoverAction {
     /// Pass to [`MemberTable::send_handover`](crate::MemberTable::send_handover).
     Send {
         /// The other owner.
         to: MemberId,
-        /// What to tell it.
+        /// The message.
         message: HandoverMessage,
     },
     /// This host's share of a bucket changed.
     ShareChanged {
         /// The bucket.
         bucket: u16,
-        /// The share from now on.
+        /// The new share.
         share: SlotShare,
     },
 }
@@ -26,12 +26,12 @@
 /// Counts since the start, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HandoverCounters {
-    /// Buckets taken over.
+    /// Buckets acquired.
     pub acquired: u64,
-    /// Buckets handed over.
+    /// Buckets yielded to another owner.
     pub yielded: u64,
-    /// Claims by others on buckets owned here.
+    /// Ownership requests by others for buckets owned here.
     pub contested: u64,
-    /// Buckets taken whole though a live former owner never let go.
+    /// Buckets taken over in full although the former owner, while live, never released them.
     pub forced: u64,
 }
--- a/crates/hawthorn-fleet/src/handover/bucket.rs
+++ b/crates/hawthorn-fleet/src/handover/bucket.rs
@@ -1,67 +1,72 @@
-//! The life of one bucket at one host.
+//! State of one bucket at one host.
 
 use std::time::Duration;
 
 use super::SlotShare;
 use crate::message::MemberId;
 
-/// Where a bucket stands: foreign, taking, owned, yielding, draining, foreign.
+/// Ownership state of a bucket: remote, acquiring, owned, yielding, draining, remote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BucketState {
-    /// Another host owns it; nothing of it runs here.
-    Foreign,
+    /// Another host owns it; no request of it runs here.
+    Remote,
     /// Owned, but another host may still use it.
-    Taking(TakingState),
-    /// Owned alone.
+    Acquiring(AcquiringState),
+    /// Owned exclusively.
     Owned {
-        /// Another host claims it until then; past when nobody does.
+        /// Until when another host's ownership request counts; in the past if there is none.
         contested: Duration,
     },
-    /// Another host owns it; fronts that have not heard are still served.
+    /// Another host owns it; front ends that don't know yet are still served.
     Yielding {
         /// The new owner.
         to: Option<MemberId>,
-        /// When it was lost.
+        /// When ownership was lost.
         since: Duration,
     },
-    /// Nothing new is started; what runs may finish.
+    /// No request is started; those in flight may finish.
     Draining {
-        /// The new owner, told when nothing runs any more.
+        /// The new owner, notified when no request runs any more.
         to: Option<MemberId>,
-        /// Not told before this time.
+        /// The earliest time to notify it.
         until: Duration,
     },
 }
 
-/// A bucket that is being taken over.
+/// A bucket that is being acquired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct TakingState {
-    /// Who owned it before, if known.
+pub(super) struct AcquiringState {
+    /// The previous owner, if known.
     pub(super) former: Option<MemberId>,
-    /// When it was gained.
+    /// When ownership was gained.
     pub(super) since: Duration,
-    /// When `former` was last asked to let go, or found to be gone.
-    pub(super) asked: Option<Duration>,
-    /// Whether `former` uses at most half by now: it said so, or is gone.
-    pub(super) noted: bool,
+    /// When `former` was last asked to release it, or found to be gone.
+    pub(super) requested_at: Option<Duration>,
+    /// Whether `former` uses at most half by now: it acknowledged, or is gone.
+    pub(super) acknowledged: bool,
 }
 
 impl BucketState {
-    /// Owned alone and claimed by nobody.
+    /// Owned exclusively, without an ownership request from another host.
     pub(super) const OWNED: Self = Self::Owned { contested: Duration::ZERO };
 
-    /// Just gained.
-    pub(super) fn taking(now: Duration, former: Option<MemberId>) -> Self {
-        Self::Taking(TakingState { former, since: now, asked: None, noted: false })
+    /// The state of a bucket that was just gained.
+    pub(super) fn acquiring(now: Duration, former: Option<MemberId>) -> Self {
+        Self::Acquiring(AcquiringState {
+            former,
+            since: now,
+            requested_at: None,
+            acknowledged: false,
+        })
     }
 
-    /// The share in this state. A daemon that may be the cut-off one never
-    /// uses more than half: the others may have taken over already.
+    /// The share in this state. A daemon that may be isolated never uses more than half, because
+    /// the others may have taken over already.
     pub(super) fn share(self, now: Duration, quorate: bool) -> SlotShare {
         match self {
-            Self::Foreign | Self::Draining { .. } => SlotShare::None,
-            Self::Taking(taking) if !taking.noted => SlotShare::None,
-            Self::Taking(_) | Self::Yielding { .. } => SlotShare::Half,
+            Self::Remote | Self::Draining { .. } => SlotShare::None,
+            Self::Acquiring(acquiring) if !acquiring.acknowledged => SlotShare::None,
+            Self::Acquiring(_) | Self::Yielding { .. } => SlotShare::Half,
             Self::Owned { contested } if contested > now || !quorate => SlotShare::Half,
             Self::Owned { .. } => SlotShare::Full,
         }
--- a/crates/hawthorn-fleet/src/handover/mod.rs
+++ b/crates/hawthorn-fleet/src/handover/mod.rs
@@ -1,19 +1,18 @@
-//! How many slots of a group a host may use while the group changes hands.
+//! How many slots of a group a host may use while the group changes owner.
 //!
-//! Two hosts may both believe they own a target, as their views of the zone
-//! differ for a while. The target's slots would then be used twice. So a new
-//! owner asks the former one, which drops to half at once and says so; the new
-//! one then begins with the other half, and takes all only when the former has
-//! let go, has left, or has been dead for a stated window. Connections are
-//! meant to be limited to half by each owner, whatever the share, so that a
-//! target's connection limit holds even when two owners last.
+//! Two hosts may both believe that they own a target while their views of the zone differ, and
+//! would use the target's slots twice. A new owner therefore sends an ownership request to the
+//! former one, which drops to half immediately and acknowledges. The new owner then starts with the
+//! other half, and takes all only when the former has released the bucket, has left, or has been
+//! dead for a fixed window. Each owner is expected to limit its connections to half, whatever its
+//! share, so that a target's connection limit holds even while there are two owners.
 //!
-//! | seen at the former owner | its share | seen at the new owner | its share |
+//! | seen by the former owner | its share | seen by the new owner | its share |
 //! |---|---|---|---|
-//! | the new owner, by its word | half | the former, live | none until it says half |
-//! | the new owner, in its view | half, then none | the former, at half | half until it lets go |
-//! | nobody of its zone, or a minority | half | the former, dead | half for the window, then all |
-//! | that it stood still or was held for dead | none until the runner-up is at half | the former, left | all |
+//! | a request by the new owner | half | the former, live | none until it acknowledges half |
+//! | the new owner, in its view | half, then none | the former, at half | half until it releases |
+//! | no host of its zone, or a minority | half | the former, dead | half for the window, then all |
+//! | its pause or refuted death | none until the runner-up is at half | the former, left | all |
 
 mod action;
 mod bucket;
@@ -37,17 +36,17 @@
 use crate::ownership::OwnerCandidate;
 pub use action::HandoverAction;
 pub use action::HandoverCounters;
+use bucket::AcquiringState;
 use bucket::BucketState;
-use bucket::TakingState;
 pub use options::Options;
 pub use view::HostStatus;
 pub use view::SlotShare;
 pub use view::ZoneView;
 
-/// Buckets named in one message; at most three bytes each, so that it fits a datagram.
-const BUCKETS_SENT: usize = 256;
+/// Maximum number of buckets in one message, at most three bytes each, so that it fits a datagram.
+const MAX_BUCKETS_PER_MESSAGE: usize = 256;
 
-/// Shares of all buckets of this daemon's zone. One lives as long as the process.
+/// Shares of all buckets of this daemon's zone. Exists once per process.
 #[derive(Debug)]
 pub struct Handover {
     options: Options,
@@ -57,38 +56,38 @@
     shares: Vec<SlotShare>,
     /// The owner of each bucket in the last view.
     owners: Vec<Option<MemberId>>,
-    noted: BTreeMap<MemberId, BucketList>,
-    released: BTreeMap<MemberId, BucketList>,
-    asked: BTreeMap<MemberId, BucketList>,
+    acknowledgements: BTreeMap<MemberId, BucketList>,
+    releases: BTreeMap<MemberId, BucketList>,
+    requests: BTreeMap<MemberId, BucketList>,
     actions: VecDeque<HandoverAction>,
     counters: HandoverCounters,
 }
 
 impl Handover {
-    /// Owns nothing yet.
+    /// A handover that owns nothing yet.
     pub fn new(me: MemberId, options: Options) -> Self {
         let count = usize::from(options.buckets);
         Self {
             options,
             me,
             view: ZoneView::default(),
-            buckets: vec![BucketState::Foreign; count],
+            buckets: vec![BucketState::Remote; count],
             shares: vec![SlotShare::None; count],
             owners: vec![None; count],
-            noted: BTreeMap::new(),
-            released: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            acknowledgements: BTreeMap::new(),
+            releases: BTreeMap::new(),
+            requests: BTreeMap::new(),
             actions: VecDeque::new(),
             counters: HandoverCounters::default(),
         }
     }
 
-    /// Takes a new view of the zone. Call it when the view changed and about
-    /// every heartbeat, as silence changes it too.
+    /// Sets a new view of the zone. Call it when the view changed and about every heartbeat,
+    /// because silence changes it too.
     pub fn observe(&mut self, now: Duration, view: ZoneView) {
-        let moved = view.hosts != self.view.hosts || view.zone != self.view.zone;
+        let changed = view.hosts != self.view.hosts || view.zone != self.view.zone;
         self.view = view;
-        if moved {
+        if changed {
             self.reassign(now);
         }
         self.refresh(now);
@@ -98,12 +97,12 @@
         let candidates = self.candidates();
         for bucket in 0..self.options.buckets {
             let group = GroupId::new(&self.view.zone, bucket);
-            let (owner, second) = ownership::ranked(group, candidates.iter().copied());
+            let (owner, runner_up) = ownership::ranked(group, candidates.iter().copied());
             let index = usize::from(bucket);
-            let before = self.owners[index].filter(|&id| id != self.me);
+            let previous = self.owners[index].filter(|&id| id != self.me);
             self.owners[index] = owner.map(|candidate| candidate.id);
             let mine = owner.is_some_and(|candidate| candidate.id == self.me);
-            let former = before.or(second.map(|candidate| candidate.id));
+            let former = previous.or(runner_up.map(|candidate| candidate.id));
             let state = self.buckets[index];
             self.buckets[index] = if mine {
                 self.gain(now, state, former)
@@ -115,12 +114,12 @@
 
     fn gain(&mut self, now: Duration, state: BucketState, former: Option<MemberId>) -> BucketState {
         match state {
-            BucketState::Foreign | BucketState::Draining { .. } => {
+            BucketState::Remote | BucketState::Draining { .. } => {
                 self.counters.acquired += 1;
-                BucketState::taking(now, former)
+                BucketState::acquiring(now, former)
             }
-            BucketState::Yielding { to, .. } => BucketState::taking(now, to),
-            BucketState::Taking(_) | BucketState::Owned { .. } => state,
+            BucketState::Yielding { to, .. } => BucketState::acquiring(now, to),
+            BucketState::Acquiring(_) | BucketState::Owned { .. } => state,
         }
     }
 
@@ -130,33 +129,33 @@
                 self.counters.yielded += 1;
                 BucketState::Yielding { to, since: now }
             }
-            // The owner before may still be at half, and the next one will be:
-            // nothing is left for this host. It waits until the one before has
-            // surely stopped yielding, as the next one asks this host alone.
-            BucketState::Taking(_) => {
+            // The previous owner may still be at half, and the next one will be, so nothing is left
+            // for this host. It waits until the previous one has certainly stopped yielding,
+            // because the next one asks only this host.
+            BucketState::Acquiring(_) => {
                 self.counters.yielded += 1;
                 BucketState::Draining { to, until: now + self.options.yield_window }
             }
             BucketState::Yielding { since, .. } => BucketState::Yielding { to, since },
             BucketState::Draining { until, .. } => BucketState::Draining { to, until },
-            BucketState::Foreign => state,
+            BucketState::Remote => state,
         }
     }
 
-    /// Serving hosts; the key is not needed here.
+    /// Hosts that may own groups; the key is not needed here.
     fn candidates(&self) -> Vec<OwnerCandidate> {
         self.view
             .hosts
             .iter()
-            .filter(|(_, standing)| **standing == HostStatus::Serving)
+            .filter(|(_, status)| **status == HostStatus::Serving)
             .map(|(&id, _)| OwnerCandidate { key: HostKey::default(), id })
             .collect()
     }
 
-    /// This process stood still or was held for dead: another may have taken
-    /// its buckets meanwhile. Failure: a paused owner wakes and goes on at all
-    /// slots beside the new one. Each bucket falls back to no slot until the
-    /// runner-up says that it uses half or nothing: one round trip.
+    /// Returns all owned buckets to acquiring after this process was paused or considered dead,
+    /// because another host may have taken them over. Failure: a paused owner resumes with all
+    /// slots beside the new owner. Each bucket drops to no slot until the runner-up reports that it
+    /// uses half or nothing, which takes one round trip.
     pub fn reacquire(&mut self, now: Duration) {
         let candidates = self.candidates();
         for bucket in 0..self.options.buckets {
@@ -166,93 +165,97 @@
             }
             let group = GroupId::new(&self.view.zone, bucket);
             let others = candidates.iter().copied().filter(|other| other.id != self.me);
-            let second = ownership::ranked(group, others).0;
-            self.buckets[index] = BucketState::taking(now, second.map(|other| other.id));
+            let runner_up = ownership::ranked(group, others).0;
+            self.buckets[index] = BucketState::acquiring(now, runner_up.map(|other| other.id));
         }
         self.refresh(now);
     }
 
-    /// Does what is due. `busy` tells whether requests of a bucket still run here.
+    /// Runs what is due. `busy` returns whether requests of a bucket are still in flight here.
     pub fn tick(&mut self, now: Duration, busy: impl Fn(u16) -> bool) {
         let quorate = self.is_quorate(now);
         for bucket in 0..self.options.buckets {
             let state = self.buckets[usize::from(bucket)];
             let next = match state {
-                BucketState::Taking(taking) => self.advance(now, bucket, quorate, taking),
+                BucketState::Acquiring(acquiring) => self.advance(now, bucket, quorate, acquiring),
                 BucketState::Yielding { to, since } => {
-                    let over = now.saturating_sub(since) >= self.options.yield_window;
-                    if over { BucketState::Draining { to, until: now } } else { state }
+                    let expired = now.saturating_sub(since) >= self.options.yield_window;
+                    if expired { BucketState::Draining { to, until: now } } else { state }
                 }
                 BucketState::Draining { to, until } if now >= until && !busy(bucket) => {
                     if let Some(to) = to {
-                        self.released.entry(to).or_default().push(bucket);
+                        self.releases.entry(to).or_default().push(bucket);
                     }
-                    BucketState::Foreign
+                    BucketState::Remote
                 }
-                BucketState::Draining { .. } | BucketState::Owned { .. } | BucketState::Foreign => {
+                BucketState::Draining { .. } | BucketState::Owned { .. } | BucketState::Remote => {
                     state
                 }
             };
             self.buckets[usize::from(bucket)] = next;
         }
         self.refresh(now);
-        self.flush();
+        self.flush_messages();
     }
 
-    /// Moves a bucket that is being taken over as far as its former owner allows.
+    /// Advances the acquisition of a bucket as far as its former owner allows.
     fn advance(
         &mut self,
         now: Duration,
         bucket: u16,
         quorate: bool,
-        mut taking: TakingState,
+        mut acquiring: AcquiringState,
     ) -> BucketState {
-        let waited = now.saturating_sub(taking.since);
-        let standing = taking.former.and_then(|id| self.view.hosts.get(&id).copied());
-        let gone_since = match standing {
+        let elapsed = now.saturating_sub(acquiring.since);
+        let status = acquiring.former.and_then(|id| self.view.hosts.get(&id).copied());
+        let gone_since = match status {
             Some(HostStatus::Left) => return BucketState::OWNED,
-            Some(HostStatus::Dead(at)) => Some(at.max(taking.since)),
+            Some(HostStatus::Dead(at)) => Some(at.max(acquiring.since)),
             Some(HostStatus::Serving | HostStatus::Idle) => None,
-            None => Some(taking.since),
+            None => Some(acquiring.since),
         };
         if let Some(since) = gone_since {
-            taking.noted = true;
-            taking.asked = Some(now);
-            let over = now.saturating_sub(since) >= self.options.dead_window;
-            return if over && quorate { BucketState::OWNED } else { BucketState::Taking(taking) };
+            acquiring.acknowledged = true;
+            acquiring.requested_at = Some(now);
+            let expired = now.saturating_sub(since) >= self.options.dead_window;
+            return if expired && quorate {
+                BucketState::OWNED
+            } else {
+                BucketState::Acquiring(acquiring)
+            };
         }
-        if waited >= self.options.release_timeout {
+        if elapsed >= self.options.release_timeout {
             self.counters.forced += 1;
             return BucketState::OWNED;
         }
-        taking.noted |= waited >= self.options.acknowledgement_timeout;
-        self.ask(now, bucket, &mut taking);
-        BucketState::Taking(taking)
+        acquiring.acknowledged |= elapsed >= self.options.acknowledgement_timeout;
+        self.request_release(now, bucket, &mut acquiring);
+        BucketState::Acquiring(acquiring)
     }
 
-    /// Asks the former owner to let go, if it is time to.
-    fn ask(&mut self, now: Duration, bucket: u16, taking: &mut TakingState) {
-        let Some(former) = taking.former else { return };
-        let wait = self.wait(taking);
-        if taking.asked.is_none_or(|at| now.saturating_sub(at) >= wait) {
-            taking.asked = Some(now);
-            self.asked.entry(former).or_default().push(bucket);
+    /// Asks the former owner to release the bucket if a request is due.
+    fn request_release(&mut self, now: Duration, bucket: u16, acquiring: &mut AcquiringState) {
+        let Some(former) = acquiring.former else { return };
+        let interval = self.request_interval(acquiring);
+        if acquiring.requested_at.is_none_or(|at| now.saturating_sub(at) >= interval) {
+            acquiring.requested_at = Some(now);
+            self.requests.entry(former).or_default().push(bucket);
         }
     }
 
-    /// When `tick` is worth calling next, none while no bucket changes hands.
+    /// When to call `tick` next, or `None` while no bucket changes owner.
     pub fn next_wake(&self, now: Duration) -> Option<Duration> {
         self.buckets.iter().filter_map(|state| self.due(now, *state)).min()
     }
 
     fn due(&self, now: Duration, state: BucketState) -> Option<Duration> {
         match state {
-            BucketState::Foreign => None,
-            BucketState::Taking(taking) => {
-                Some(taking.asked.map_or(now, |at| at + self.wait(&taking)))
-            }
+            BucketState::Remote => None,
+            BucketState::Acquiring(acquiring) => Some(
+                acquiring.requested_at.map_or(now, |at| at + self.request_interval(&acquiring)),
+            ),
             BucketState::Yielding { since, .. } => Some(since + self.options.yield_window),
-            // Until then, or until what runs has ended, which is looked at often.
+            // At `until`, then polled at a short interval until the requests in flight have ended.
             BucketState::Draining { until, .. } => {
                 Some(until.max(now + self.options.initial_request_interval))
             }
@@ -260,9 +263,9 @@
         }
     }
 
-    /// Between requests to the former owner of a bucket.
-    fn wait(&self, taking: &TakingState) -> Duration {
-        if taking.noted {
+    /// Interval between requests to the former owner of a bucket.
+    fn request_interval(&self, acquiring: &AcquiringState) -> Duration {
+        if acquiring.acknowledged {
             self.options.request_interval
         } else {
             self.options.initial_request_interval
@@ -274,7 +277,7 @@
         self.shares.get(usize::from(bucket)).copied().unwrap_or_default()
     }
 
-    /// The next thing to do.
+    /// The next action, or `None` if there is none.
     pub fn poll_action(&mut self) -> Option<HandoverAction> {
         self.actions.pop_front()
     }
@@ -284,20 +287,19 @@
         self.counters
     }
 
-    /// Whether this daemon may hold that hosts it can't hear are gone.
+    /// Whether this daemon may assume that unreachable hosts are gone.
     ///
-    /// Failure: a zone splits, both sides hold the other for dead, and both
-    /// take all slots. A side that hears another zone is taken to be the one
-    /// that counts, as hosts of other zones ping on behalf of its probes;
-    /// without other zones, the greater half. The other side stays at half
-    /// until the dead have been so for the split window: by then it is more
-    /// likely that they really are, and half of the slots for longer would do
-    /// more harm to callers than targets that shed.
+    /// Failure: a zone is partitioned, both sides consider the other dead, and both take all slots.
+    /// A side that receives from another zone is assumed to be the surviving one, because hosts of
+    /// other zones relay its pings; without other zones, the majority is. The other side stays at
+    /// half until the hosts have been dead for the partition window. By then they are more likely
+    /// to be really gone, and staying at half of the slots would harm callers more than targets
+    /// that shed load.
     pub fn is_quorate(&self, now: Duration) -> bool {
         let mut live = 1usize;
         let mut dead = 0usize;
-        for (&id, standing) in &self.view.hosts {
-            match standing {
+        for (&id, status) in &self.view.hosts {
+            match status {
                 _ if id == self.me => {}
                 HostStatus::Serving | HostStatus::Idle => live += 1,
                 HostStatus::Dead(at) if now.saturating_sub(*at) < self.options.partition_window => {
@@ -312,7 +314,7 @@
         !self.view.isolated && (self.view.other_zones_reachable || live > dead)
     }
 
-    /// Works the shares out again and reports those that changed.
+    /// Recomputes the shares and reports those that changed.
     fn refresh(&mut self, now: Duration) {
         let quorate = self.is_quorate(now);
         for bucket in 0..self.options.buckets {
@@ -325,26 +327,26 @@
         }
     }
 
-    fn flush(&mut self) {
-        for (to, buckets) in std::mem::take(&mut self.asked) {
-            self.send_parts(to, &buckets, HandoverMessage::Request);
+    fn flush_messages(&mut self) {
+        for (to, buckets) in std::mem::take(&mut self.requests) {
+            self.send_chunks(to, &buckets, HandoverMessage::Request);
         }
-        for (to, buckets) in std::mem::take(&mut self.noted) {
-            self.send_parts(to, &buckets, HandoverMessage::Acknowledged);
+        for (to, buckets) in std::mem::take(&mut self.acknowledgements) {
+            self.send_chunks(to, &buckets, HandoverMessage::Acknowledged);
         }
-        for (to, buckets) in std::mem::take(&mut self.released) {
-            self.send_parts(to, &buckets, HandoverMessage::Released);
+        for (to, buckets) in std::mem::take(&mut self.releases) {
+            self.send_chunks(to, &buckets, HandoverMessage::Released);
         }
     }
 
-    fn send_parts(
+    fn send_chunks(
         &mut self,
         to: MemberId,
         buckets: &[u16],
         message: impl Fn(BucketList) -> HandoverMessage,
     ) {
-        for part in buckets.chunks(BUCKETS_SENT) {
-            let message = message(SmallVec::from_slice(part));
+        for chunk in buckets.chunks(MAX_BUCKETS_PER_MESSAGE) {
+            let message = message(SmallVec::from_slice(chunk));
             self.actions.push_back(HandoverAction::Send { to, message });
         }
     }
--- a/crates/hawthorn-fleet/src/handover/options.rs
+++ b/crates/hawthorn-fleet/src/handover/options.rs
@@ -1,34 +1,34 @@
-//! Times and sizes of the hand-over.
+//! Options of the handover.
 
 use std::time::Duration;
 
 use crate::ownership;
 
-/// Times and sizes of the hand-over.
+/// Windows, intervals and sizes of the handover.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Buckets of a zone.
+    /// Number of buckets of a zone.
     pub buckets: u16,
-    /// How long a new owner stays at half after the former was held for dead.
-    /// Longer than a cut-off host needs to notice (600 ms of silence) plus the
-    /// longest request that it may still run.
+    /// How long a new owner stays at half after the former owner was declared dead. Longer than an
+    /// isolated host needs to detect its isolation (600 ms of silence) plus the longest request
+    /// that it may still run.
     pub dead_window: Duration,
-    /// How long a former owner goes on at half for fronts that have not heard.
-    /// A rumor reaches a zone of 160 hosts within this time.
+    /// How long a former owner continues at half for front ends that don't know yet. Gossip reaches
+    /// all hosts of a zone of 160 within this time.
     pub yield_window: Duration,
-    /// Between requests to let go.
+    /// Interval between requests to release.
     pub request_interval: Duration,
-    /// Between first requests, while the new owner may use nothing yet.
+    /// Interval between the first requests, while the new owner may use nothing yet.
     pub initial_request_interval: Duration,
-    /// How long a new owner waits with no slot for a live former owner to say
-    /// that it is at half. Longer than a dead one takes to be found out.
+    /// How long a new owner waits without slots for a live former owner to acknowledge that it is
+    /// at half. Longer than the detection of a dead one takes.
     pub acknowledgement_timeout: Duration,
-    /// How long a new owner waits for a live former owner that never lets go.
+    /// How long a new owner waits for a live former owner to release.
     pub release_timeout: Duration,
-    /// How long another host's claim keeps an owner at half.
+    /// How long another host's ownership request keeps an owner at half.
     pub contest_window: Duration,
-    /// How long dead hosts of the zone count when a daemon asks itself whether
-    /// it is in the smaller part of a split zone.
+    /// How long dead hosts of the zone count in the decision whether this daemon is in the minority
+    /// of a partitioned zone.
     pub partition_window: Duration,
 }
 
--- a/crates/hawthorn-fleet/src/handover/receive.rs
+++ b/crates/hawthorn-fleet/src/handover/receive.rs
@@ -1,42 +1,42 @@
-//! Messages between the former and the new owner.
+//! Handles messages between the former and the new owner.
 
 use std::time::Duration;
 
 use super::Handover;
+use super::bucket::AcquiringState;
 use super::bucket::BucketState;
-use super::bucket::TakingState;
 use crate::message::HandoverMessage;
 use crate::message::MemberId;
 
 impl Handover {
-    /// Takes a message of another host of the zone.
+    /// Handles a message of another host of the zone.
     pub fn receive(&mut self, now: Duration, from: MemberId, message: HandoverMessage) {
         match message {
             HandoverMessage::Request(buckets) => {
                 for bucket in buckets {
-                    self.take_ask(now, from, bucket);
+                    self.handle_request(now, from, bucket);
                 }
             }
             HandoverMessage::Acknowledged(buckets) => {
                 for bucket in buckets {
-                    self.take_note(from, bucket);
+                    self.handle_acknowledgement(from, bucket);
                 }
             }
             HandoverMessage::Released(buckets) => {
                 for bucket in buckets {
-                    self.take_release(from, bucket);
+                    self.handle_release(from, bucket);
                 }
             }
         }
         self.refresh(now);
-        self.flush();
+        self.flush_messages();
     }
 
-    fn take_ask(&mut self, now: Duration, from: MemberId, bucket: u16) {
+    fn handle_request(&mut self, now: Duration, from: MemberId, bucket: u16) {
         let Some(state) = self.buckets.get_mut(usize::from(bucket)) else { return };
         match state {
-            BucketState::Foreign => {
-                self.released.entry(from).or_default().push(bucket);
+            BucketState::Remote => {
+                self.releases.entry(from).or_default().push(bucket);
                 return;
             }
             BucketState::Owned { contested } => {
@@ -44,28 +44,30 @@
                 *contested = now + self.options.contest_window;
             }
             BucketState::Yielding { to, .. } | BucketState::Draining { to, .. } => *to = Some(from),
-            // Two hosts take over from each other, each after standing still:
-            // the one that was asked first is at half and says so.
-            BucketState::Taking(_) => {}
+            // Two hosts acquire the bucket from each other, each after a pause: the one that
+            // receives a request first is at half and acknowledges it.
+            BucketState::Acquiring(_) => {}
         }
-        self.noted.entry(from).or_default().push(bucket);
+        self.acknowledgements.entry(from).or_default().push(bucket);
     }
 
-    fn take_note(&mut self, from: MemberId, bucket: u16) {
-        if let Some(taking) = self.taking_from(from, bucket) {
-            taking.noted = true;
+    fn handle_acknowledgement(&mut self, from: MemberId, bucket: u16) {
+        if let Some(acquiring) = self.acquiring_from(from, bucket) {
+            acquiring.acknowledged = true;
         }
     }
 
-    fn take_release(&mut self, from: MemberId, bucket: u16) {
-        if self.taking_from(from, bucket).is_some() {
+    fn handle_release(&mut self, from: MemberId, bucket: u16) {
+        if self.acquiring_from(from, bucket).is_some() {
             self.buckets[usize::from(bucket)] = BucketState::OWNED;
         }
     }
 
-    fn taking_from(&mut self, from: MemberId, bucket: u16) -> Option<&mut TakingState> {
+    fn acquiring_from(&mut self, from: MemberId, bucket: u16) -> Option<&mut AcquiringState> {
         match self.buckets.get_mut(usize::from(bucket)) {
-            Some(BucketState::Taking(taking)) if taking.former == Some(from) => Some(taking),
+            Some(BucketState::Acquiring(acquiring)) if acquiring.former == Some(from) => {
+                Some(acquiring)
+            }
             _ => None,
         }
     }
--- a/crates/hawthorn-fleet/src/handover/view.rs
+++ b/crates/hawthorn-fleet/src/handover/view.rs
@@ -1,11 +1,11 @@
-//! What goes into the hand-over, and the share that comes out.
+//! Inputs of the handover, and the resulting share.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::message::MemberId;
 
-/// How much of a group's slots this host may use now.
+/// The share of a group's slots that this host may use.
 #[derive(
     Clone,
     Copy,
@@ -21,7 +21,7 @@
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum SlotShare {
-    /// None: start nothing; what runs may finish.
+    /// None: start no request; those in flight may finish.
     #[default]
     None,
     /// Half, rounded up: see [`SlotShare::slots`].
@@ -31,8 +31,8 @@
 }
 
 impl SlotShare {
-    /// How many of a target's `slots` may be used. Half of an odd number is
-    /// rounded up, so that a target with one slot is served at all.
+    /// The number of a target's `slots` that may be used. Half of an odd number is rounded up, so
+    /// that a target with one slot is served at all.
     pub fn slots(self, slots: u32) -> u32 {
         match self {
             SlotShare::None => 0,
@@ -42,28 +42,28 @@
     }
 }
 
-/// What this daemon knows of one host of its zone.
+/// Status of one host of the zone as known to this daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostStatus {
     /// May own groups.
     Serving,
-    /// Runs, but owns nothing new: joining or leaving.
+    /// Running, but owns nothing new: joining or leaving.
     Idle,
-    /// Held for dead since this time.
+    /// Considered dead since this time.
     Dead(Duration),
-    /// Said that it stopped.
+    /// Announced that it stopped.
     Left,
 }
 
-/// This daemon's zone as it sees it, from [`MemberTable::zone_view`](crate::MemberTable::zone_view).
+/// This daemon's view of its zone, from [`MemberTable::zone_view`](crate::MemberTable::zone_view).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ZoneView {
     /// The zone.
     pub zone: String,
-    /// All known hosts of the zone, this one included.
+    /// All known hosts of the zone, including this one.
     pub hosts: BTreeMap<MemberId, HostStatus>,
-    /// This daemon hears nobody although it should.
+    /// This daemon receives from no member although it should.
     pub isolated: bool,
-    /// This daemon hears from another zone.
+    /// This daemon receives from another zone.
     pub other_zones_reachable: bool,
 }
