--- a/crates/hawthorn-fleet/src/action.rs
+++ b/crates/hawthorn-fleet/src/action.rs
@@ -1,4 +1,4 @@
-//! What the daemon must do or know, polled from [`MemberTable`](crate::MemberTable).
+//! Actions and events for the daemon, polled from [`MemberTable`](crate::MemberTable).
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use crate::message::MemberDigest;
 use crate::message::MemberId;
 
-/// One thing to do, or one change worth knowing, in the order it came about.
+/// An action to execute, or an event, in the order of occurrence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetAction {
-    /// Send these bytes as one datagram. It may be lost.
+    /// Send these bytes as one datagram, without a delivery guarantee.
     Send {
         /// The peer's UDP address.
         to: SocketAddr,
@@ -23,47 +23,48 @@
     MemberUp(HostKey),
     /// A member is dead or has left.
     MemberDown(HostKey),
-    /// A member finishes what it has and takes nothing new.
+    /// A member finishes its requests in flight and accepts no new ones.
     MemberLeaving(HostKey),
-    /// The key is no longer valid and may be given to another host later.
+    /// The record was removed; its key is no longer valid and may be reused for another host.
     MemberRemoved(HostKey),
-    /// Nothing has been heard from any member of the zone for the zone timeout.
+    /// Nothing was received from any member of the zone within the zone timeout.
     ZoneLost(String),
-    /// A lost zone, or a new one, was heard from.
+    /// The zone is new, or reachable again.
     ZoneFound(String),
-    /// A peer's heartbeat carried this digest. Hand it to [`PropagationState::receive_digest`](crate::PropagationState::receive_digest).
+    /// A peer's heartbeat carried this digest. Pass it to
+    /// [`PropagationState::receive_digest`](crate::PropagationState::receive_digest).
     DigestReceived {
         /// The peer.
         peer: HostKey,
         /// Its digest, with `confirmed_ms` as of now.
         digest: MemberDigest,
     },
-    /// Hand it to [`Handover::receive`](crate::handover::Handover::receive).
+    /// Pass it to [`Handover::receive`](crate::handover::Handover::receive).
     HandoverReceived {
         /// The peer.
         peer: MemberId,
-        /// What it says.
+        /// The message.
         message: HandoverMessage,
     },
     /// A member sent a [`Payload`](crate::message::FleetBody::Payload).
     PayloadReceived {
         /// The member's address.
         from: SocketAddr,
-        /// What it sent.
+        /// The payload.
         payload: Vec<u8>,
     },
-    /// This process itself stood still for so long: leases may have lapsed and
-    /// others may have taken over. Hand it to [`Handover::reacquire`](crate::handover::Handover::reacquire).
+    /// This process was paused for this long: leases may have expired and other hosts may have
+    /// taken over. Call [`Handover::reacquire`](crate::handover::Handover::reacquire).
     ProcessPaused(Duration),
-    /// A peer held this host for dead, and others may have taken over; it has
-    /// been refuted. Hand it to [`Handover::reacquire`](crate::handover::Handover::reacquire) too.
+    /// A peer considered this host dead, and others may have taken over. The host has refuted it.
+    /// Call [`Handover::reacquire`](crate::handover::Handover::reacquire).
     DeathRefuted,
-    /// Another live process with this host's name and a later incarnation runs
-    /// at this address: stop this one.
+    /// Another live process with this host's name and a later incarnation runs at this address:
+    /// stop this one.
     Superseded(SocketAddr),
-    /// The whole member list has been read from a peer once since the start.
+    /// The full member list has been read from a peer once since the start.
     Synced,
-    /// Members, phases or reachable zones changed; ownership is worth
-    /// computing again. Comes once for each poll that saw changes.
+    /// Members, phases or reachable zones changed, so ownership must be recomputed. Emitted once
+    /// for each poll that found changes.
     ViewChanged(u64),
 }
--- a/crates/hawthorn-fleet/src/lib.rs
+++ b/crates/hawthorn-fleet/src/lib.rs
@@ -1,32 +1,32 @@
-//! Membership, ownership of target groups, and the spread of configuration, as pure state machines.
+//! Membership, ownership of target groups, and propagation of configuration, as pure state
+//! machines.
 //!
 //! Nothing here opens a socket, reads a clock or starts a thread. Time is a
-//! [`Duration`](std::time::Duration) since any fixed instant of the process
-//! and only moves forward; randomness comes from a seed. The daemon hands in
-//! datagrams and time, and carries out the actions that are polled.
+//! [`Duration`](std::time::Duration) since any fixed instant of the process and only moves forward;
+//! randomness comes from a seed. The daemon passes in datagrams and the time, and executes the
+//! actions that it polls.
 //!
 //! - [`member`]: which hosts are live, by heartbeats over UDP.
 //! - [`ownership`]: which host owns a group of targets, by rendezvous hashing.
-//! - [`handover`]: how many slots an owner may use while owners change.
-//! - [`propagation`]: which configuration revision is in force, and whom to ask.
+//! - [`handover`]: how many slots an owner may use while ownership changes.
+//! - [`propagation`]: which configuration revision is in force, and where to fetch a newer one.
 //! - [`message`]: the datagrams between daemons.
 //!
-//! # Driving it
+//! # Driving the state machines
 //!
-//! For each datagram: `table.receive`. At `table.next_wake` and
-//! `handover.next_wake`, whichever is earlier: `table.tick`, `handover.observe`
-//! with `table.zone_view`, `handover.tick`, `propagation.set_zone` with
-//! `table.active_hosts` of the own zone, `propagation.tick`. After each of these:
-//! `table.set_digest` with `propagation.digest`, then poll the actions of all three
-//! until none is left. A process that may have stood still does this before it
-//! hands out any slot, as the shares are of the time before until then.
+//! For each datagram: `table.receive`. At `table.next_wake` and `handover.next_wake`, whichever is
+//! earlier: `table.tick`, `handover.observe` with `table.zone_view`, `handover.tick`,
+//! `propagation.set_zone` with `table.active_hosts` of the own zone, `propagation.tick`. After each
+//! of these: `table.set_digest` with `propagation.digest`, then poll the actions of all three until
+//! none is left. A process that may have been paused does this before it grants any slot, because
+//! its shares date from before the pause.
 //!
 //! | action of the table | goes to |
 //! |---|---|
 //! | `DigestReceived` | `propagation.receive_digest` |
 //! | `HandoverReceived` | `handover.observe`, then `handover.receive` |
 //! | `ProcessPaused`, `DeathRefuted` | `handover.reacquire` |
-//! | `ViewChanged` | `handover.observe`, and fronts choose owners anew |
+//! | `ViewChanged` | `handover.observe`, and front ends choose owners again |
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms)]
 
--- a/crates/hawthorn-fleet/src/message.rs
+++ b/crates/hawthorn-fleet/src/message.rs
@@ -1,9 +1,8 @@
 //! Datagrams between daemons, in the postcard format.
 //!
-//! A datagram is a [`FleetMessage`] followed by as many [`MemberUpdate`]s as
-//! fit. Sent by any daemon to any other over UDP; may be lost, doubled or
-//! reordered. One postcard value after the other, so that a sender can stop at
-//! the byte limit and a reader at the end.
+//! A datagram is a [`FleetMessage`] followed by as many [`MemberUpdate`]s as fit. Any daemon may
+//! send one to any other over UDP, which may lose, duplicate or reorder it. The postcard values are
+//! concatenated, so that a sender can stop at the byte limit and a reader at the end.
 
 use std::net::SocketAddr;
 
@@ -15,22 +14,22 @@
 
 use hawthorn_types::ConfigRevision;
 
-/// The most bytes in one datagram: below the 1,500 of an Ethernet frame less
-/// headers, as a fragmented datagram is lost when any fragment is.
+/// Maximum size of a datagram in bytes. Below the 1,500 of an Ethernet frame minus headers, because
+/// a fragmented datagram is lost when any fragment is.
 pub const DATAGRAM_LIMIT: usize = 1_400;
 
-/// The maximum size of a [`Payload`](FleetBody::Payload) in bytes, which leaves room for the
-/// header and zones in a datagram.
+/// Maximum size of a [`Payload`](FleetBody::Payload) in bytes, which leaves room for the header and
+/// zones in a datagram.
 pub const PAYLOAD_LIMIT: usize = 1_150;
 
-/// The longest host or zone name, in bytes, so that one record always fits.
+/// Maximum length of a host or zone name in bytes, so that one record always fits.
 pub const NAME_LIMIT: usize = 64;
 
-/// The version of datagrams and of calls between hosts; others are refused, so
-/// that hosts of two formats are no peers of each other.
+/// The version of datagrams and of calls between hosts. Other versions are rejected, so that hosts
+/// with different formats never become peers.
 pub const MESSAGE_FORMAT: u8 = 4;
 
-/// Names a host everywhere: a hash of the host's name.
+/// Identifies a host across the fleet: a hash of the host's name.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -44,19 +43,18 @@
     }
 }
 
-/// Orders what is said of one host: the later stamp wins.
+/// Orders updates about one host: the greater stamp wins.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct MemberStamp {
-    /// When the process started, Unix milliseconds. A restart is greater.
+    /// When the process started, in Unix milliseconds. Greater after each restart.
     pub incarnation: u64,
-    /// Raised by the host itself, and by nobody else, with each announcement
-    /// and to refute a suspicion.
+    /// Incremented only by the host itself, with each announcement and to refute a suspicion.
     pub sequence: u32,
 }
 
-/// How far the host is in its life, announced by itself alone.
+/// Lifecycle phase of a host, announced only by the host itself.
 #[derive(
     Clone,
     Copy,
@@ -74,18 +72,18 @@
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum MemberPhase {
-    /// Runs, but has no configuration yet: owns nothing.
+    /// Running without a configuration; owns nothing.
     #[default]
     Joining,
-    /// Takes work.
+    /// Accepts requests.
     Serving,
-    /// Finishes what it has and takes nothing new.
+    /// Finishes its requests in flight and accepts no new ones.
     Leaving,
-    /// Has stopped by plan.
+    /// Stopped as planned.
     Left,
 }
 
-/// What its zone's members hold of the host.
+/// Health of a host as determined by the members of its zone.
 #[derive(
     Clone,
     Copy,
@@ -103,16 +101,16 @@
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum MemberHealth {
-    /// Answers.
+    /// Answers pings.
     #[default]
     Alive,
-    /// Did not answer, directly or through others; may still refute.
+    /// Did not answer, directly or through relays; may still refute.
     Suspect,
     /// Did not refute in time.
     Dead,
 }
 
-/// Where a host is.
+/// Name and location of a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberPlace {
     /// The host's name.
@@ -121,36 +119,36 @@
     pub zone: String,
     /// Its peer interface.
     pub peer: SocketAddr,
-    /// Thousandths of a processor core that it may use; 0 where it does not say.
+    /// Thousandths of a processor core that it may use; 0 if not stated.
     pub capacity: u32,
 }
 
-/// What is said of one host.
+/// The known state of one host, as spread by gossip.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
     /// The host.
     pub id: MemberId,
-    /// Orders rumors of the host.
+    /// Orders updates about the host.
     pub stamp: MemberStamp,
     /// What the host announced with this stamp.
     pub phase: MemberPhase,
-    /// What its zone holds of it.
+    /// Health as determined by its zone.
     pub health: MemberHealth,
-    /// Where it is; left out when it is dead or has left.
+    /// Name and location; omitted once the host is dead or has left.
     pub place: Option<MemberPlace>,
 }
 
-/// What a host says of itself in each heartbeat.
+/// The state that a host reports in each heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct MemberDigest {
     /// The configuration revision in force; 0 when there is none.
     pub revision: ConfigRevision,
     /// A hash of the edit id of that revision.
     pub edit: u64,
-    /// Milliseconds since the store, perhaps through peers, last confirmed
-    /// this revision as the newest; `u32::MAX` when it never did.
+    /// Milliseconds since the store, directly or through peers, last confirmed this revision as the
+    /// newest; `u32::MAX` if never.
     pub confirmed_ms: u32,
-    /// Whether the host takes work.
+    /// Whether the host accepts requests.
     pub ready: bool,
     /// A hash of the index versions that its targets hold.
     pub versions: u64,
@@ -158,7 +156,7 @@
     pub quarantine: u64,
 }
 
-/// Says who sends.
+/// Identity and state of the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SenderHeader {
     /// The sender.
@@ -169,34 +167,34 @@
     pub phase: MemberPhase,
     /// Its digest.
     pub digest: MemberDigest,
-    /// A hash of its member list; lists that differ are compared.
+    /// A hash of its member list. Hosts whose hashes differ compare their lists.
     pub fingerprint: u64,
 }
 
-/// When the sender, or one it heard from, last heard from a zone.
+/// When the sender, or a member of its zone, last received anything from a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneAge {
     /// A hash of the zone's name.
     pub zone: u32,
-    /// Milliseconds ago.
+    /// Age in milliseconds.
     pub age_ms: u16,
 }
 
-/// Numbers of buckets of the sender's zone.
+/// Bucket numbers of the sender's zone.
 pub type BucketList = SmallVec<[u16; 16]>;
 
-/// What owners of one zone tell each other while groups change hands.
+/// Messages between the owners of one zone while groups change owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HandoverMessage {
-    /// The sender now owns these buckets and asks the former owner to let go.
+    /// The sender now owns these buckets and asks the former owner to release them.
     Request(BucketList),
-    /// The sender was asked, and uses at most half of the slots of these buckets.
+    /// The sender received a request and uses at most half of the slots of these buckets.
     Acknowledged(BucketList),
     /// The sender no longer uses any slot of these buckets.
     Released(BucketList),
 }
 
-/// What the datagram is for.
+/// The purpose of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FleetBody {
     /// Asks for an [`Ack`](FleetBody::Ack) with the same number.
@@ -204,64 +202,64 @@
         /// Unique within the sender's recent pings.
         number: u32,
     },
-    /// Answers a ping, or a ping request once its target answered.
+    /// Answers a ping, or a ping request once its target has answered.
     Ack {
         /// Echo of the ping's number.
         number: u32,
-        /// The answerer lacks the pinger's place and asks for it.
+        /// The sender does not know the pinger's place and asks for it.
         unknown: bool,
     },
-    /// Asks the receiver to ping `target` and to pass the ack on.
+    /// Asks the receiver to ping `target` and to relay the ack.
     PingRequest {
         /// The number for the ack.
         number: u32,
-        /// Whom to ping.
+        /// The host to ping.
         target: MemberId,
         /// Its address.
         peer: SocketAddr,
     },
-    /// Carries the header and rumors alone.
+    /// Carries only the header and updates.
     Gossip,
-    /// Asks for the part of the member list after this id.
+    /// Requests the page of the member list after this id.
     SyncRequest {
-        /// The last id that the asker has; 0 to begin.
+        /// The last id that the requester has; 0 for the first page.
         after: u64,
     },
-    /// The part asked for, as rumors.
+    /// The requested page, as updates.
     SyncPage {
-        /// Where the next part begins; absent at the end.
+        /// Where the next page begins; absent on the last page.
         next: Option<u64>,
     },
-    /// Between owners of one zone.
+    /// A message between owners of one zone.
     Handover(HandoverMessage),
     /// An opaque message of another subsystem.
     Payload(Vec<u8>),
 }
 
-/// A datagram without its rumors.
+/// A datagram without its updates.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetMessage {
     /// [`MESSAGE_FORMAT`].
     pub format: u8,
-    /// A hash of the fleet's name: two fleets never mix.
+    /// A hash of the fleet's name, which keeps fleets separate.
     pub fleet: u32,
-    /// Who sends.
+    /// Identity and state of the sender.
     pub sender: SenderHeader,
-    /// What for.
+    /// The purpose.
     pub body: FleetBody,
-    /// Zones that the sender heard from; sent only within its own zone.
+    /// Zones that the sender has heard from; sent only within its own zone.
     pub zones: SmallVec<[ZoneAge; 4]>,
 }
 
 quick_error! {
-    /// Why a datagram was refused.
+    /// Why a datagram was rejected.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Error {
         /// Longer than [`DATAGRAM_LIMIT`].
         TooLong(len: usize) {
             display("datagram of {} bytes is longer than {}", len, DATAGRAM_LIMIT)
         }
-        /// Not a message, or one cut short.
+        /// Not a message, or a truncated one.
         Malformed(cause: postcard::Error) {
             display("datagram is not a fleet message: {}", cause)
             from()
@@ -276,51 +274,55 @@
         }
         /// A host or zone name is longer than [`NAME_LIMIT`], or does not hash to its id.
         BadName {
-            display("datagram names a host or zone wrongly")
+            display("datagram contains an invalid host or zone name")
         }
     }
 }
 
-/// Reads a datagram: the message and its rumors.
+/// Decodes a datagram into the message and its updates.
+///
+/// # Errors
+///
+/// Every [`Error`] but [`Error::OtherFleet`], which the caller checks.
 pub fn decode(bytes: &[u8]) -> Result<(FleetMessage, Vec<MemberUpdate>), Error> {
     if bytes.len() > DATAGRAM_LIMIT {
         return Err(Error::TooLong(bytes.len()));
     }
-    let (message, mut rest) = postcard::take_from_bytes::<FleetMessage>(bytes)?;
+    let (message, mut remaining) = postcard::take_from_bytes::<FleetMessage>(bytes)?;
     if message.format != MESSAGE_FORMAT {
         return Err(Error::OtherFormat(message.format));
     }
-    let mut rumors = Vec::new();
-    while !rest.is_empty() {
-        let (rumor, left) = postcard::take_from_bytes::<MemberUpdate>(rest)?;
-        check_names(&rumor)?;
-        rumors.push(rumor);
-        rest = left;
+    let mut updates = Vec::new();
+    while !remaining.is_empty() {
+        let (update, after) = postcard::take_from_bytes::<MemberUpdate>(remaining)?;
+        check_names(&update)?;
+        updates.push(update);
+        remaining = after;
     }
-    Ok((message, rumors))
+    Ok((message, updates))
 }
 
-fn check_names(rumor: &MemberUpdate) -> Result<(), Error> {
-    let Some(place) = &rumor.place else { return Ok(()) };
+fn check_names(update: &MemberUpdate) -> Result<(), Error> {
+    let Some(place) = &update.place else { return Ok(()) };
     let fits = place.host.len() <= NAME_LIMIT && place.zone.len() <= NAME_LIMIT;
-    if fits && MemberId::of(&place.host) == rumor.id { Ok(()) } else { Err(Error::BadName) }
+    if fits && MemberId::of(&place.host) == update.id { Ok(()) } else { Err(Error::BadName) }
 }
 
-/// Writes a datagram piece by piece, up to a limit.
+/// Writes a datagram incrementally, up to a size limit.
 pub struct DatagramWriter {
     bytes: Vec<u8>,
 }
 
 impl DatagramWriter {
-    /// A datagram that holds the message and no rumors yet.
+    /// A datagram that holds the message and no updates yet.
     pub fn new(message: &FleetMessage) -> Self {
         let bytes = postcard::to_stdvec(message).expect("plain data always encodes into memory");
         Self { bytes }
     }
 
-    /// Adds the rumor if the datagram then stays within `limit` bytes.
-    pub fn push(&mut self, rumor: &MemberUpdate, limit: usize) -> bool {
-        let encoded = postcard::to_stdvec(rumor).expect("plain data always encodes into memory");
+    /// Adds the update if the datagram then stays within `limit` bytes.
+    pub fn push(&mut self, update: &MemberUpdate, limit: usize) -> bool {
+        let encoded = postcard::to_stdvec(update).expect("plain data always encodes into memory");
         let fits = self.bytes.len() + encoded.len() <= limit.min(DATAGRAM_LIMIT);
         if fits {
             self.bytes.extend_from_slice(&encoded);
@@ -328,7 +330,7 @@
         fits
     }
 
-    /// Bytes so far.
+    /// Size so far in bytes.
     #[expect(clippy::len_without_is_empty, reason = "a datagram always holds a message")]
     pub fn len(&self) -> usize {
         self.bytes.len()
--- a/crates/hawthorn-fleet/src/ownership.rs
+++ b/crates/hawthorn-fleet/src/ownership.rs
@@ -1,9 +1,9 @@
 //! Which host owns a group of targets: rendezvous (highest random weight) hashing.
 //!
-//! A group is all targets of one zone whose shard hashes to one bucket. Each
-//! host scores every group, and the live host with the highest score owns it.
-//! Every daemon with the same list of hosts names the same owner without a
-//! word exchanged, and a host that joins or leaves moves only its own groups.
+//! A group is all targets of one zone whose shard hashes to one bucket. Each host has a score for
+//! every group, and the live host with the highest score owns it. Daemons with the same list of
+//! hosts agree on the owner without coordination, and a host that joins or leaves moves only its
+//! own groups.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -14,16 +14,15 @@
 
 use crate::message::MemberId;
 
-/// Buckets of one zone, unless the settings say otherwise. The same on all
-/// daemons of a fleet.
+/// Default number of buckets of a zone. Must be the same on all daemons of a fleet.
 ///
-/// Made for zones of 2 to 4 hosts. Sixteen or more buckets for each host keep
-/// the fullest host below twice the mean, so a zone of 160 hosts needs 4,096.
-/// More cost no batches, as a query sends one to each owner and not to each
-/// bucket, but each change of hosts scores every bucket for every host.
+/// Sized for zones of 2 to 4 hosts. Sixteen or more buckets per host keep the host with the most
+/// buckets below twice the mean, so a zone of 160 hosts needs 4,096. More buckets do not increase
+/// the number of batches, because a query sends one per owner and not per bucket, but each change
+/// of hosts scores every bucket for every host.
 pub const DEFAULT_BUCKETS: u16 = 64;
 
-/// Names a group everywhere: a hash of its zone and bucket.
+/// Identifies a group across the fleet: a hash of its zone and bucket.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -37,27 +36,27 @@
     }
 }
 
-/// The bucket, below `buckets`, that a shard (`service/number`) falls into.
+/// The bucket, below `buckets`, of a shard (`service/number`).
 pub fn bucket(shard: &str, buckets: u16) -> u16 {
-    let share = xxh3_64(shard.as_bytes()) % u64::from(buckets.max(1));
-    u16::try_from(share).expect("a remainder is smaller than its u16 divisor")
+    let remainder = xxh3_64(shard.as_bytes()) % u64::from(buckets.max(1));
+    u16::try_from(remainder).expect("a remainder is smaller than its u16 divisor")
 }
 
 /// A host that may own groups.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnerCandidate {
-    /// The host in this process.
+    /// Key of the host in this process.
     pub key: HostKey,
-    /// The host everywhere; what is hashed.
+    /// Id of the host across the fleet; this is what is hashed.
     pub id: MemberId,
 }
 
-/// The host that owns the group, none when there are no hosts.
+/// The host that owns the group, or `None` if there are no hosts.
 pub fn owner(group: GroupId, hosts: impl IntoIterator<Item = OwnerCandidate>) -> Option<HostKey> {
     ranked(group, hosts).0.map(|candidate| candidate.key)
 }
 
-/// The owner of the group and the runner-up, which owns it when the owner goes.
+/// The owner of the group and the runner-up, which becomes the owner when the owner goes away.
 pub fn ranked(
     group: GroupId,
     hosts: impl IntoIterator<Item = OwnerCandidate>,
@@ -75,8 +74,8 @@
     (first.map(|scored| scored.1), second.map(|scored| scored.1))
 }
 
-/// How strongly the host claims the group. The incarnation is left out, so
-/// that a restart gets its groups back.
+/// The host's weight for the group. The incarnation is not part of it, so that a restarted host
+/// owns the same groups again.
 pub fn score(group: GroupId, host: MemberId) -> u64 {
     xxh3_64_with_seed(&host.0.to_le_bytes(), group.0)
 }
--- a/crates/hawthorn-fleet/src/propagation/mod.rs
+++ b/crates/hawthorn-fleet/src/propagation/mod.rs
@@ -1,12 +1,12 @@
-//! Which configuration revision is in force, whom to pull a newer one from,
-//! and whether this daemon asks the store.
+//! Propagation of configuration: which revision is in force, which peer to pull a newer one from,
+//! and whether this daemon calls the store.
 //!
-//! Two daemons of each zone, chosen by rendezvous, watch the store. All others
-//! learn of a revision from heartbeats, pushed at once by whoever adopts it,
-//! and pull the document from a peer that has it. A revision never goes back.
+//! Two daemons of each zone, selected by rendezvous hashing, watch the store. All others learn of a
+//! revision from heartbeats, pushed immediately by each daemon that adopts it, and pull the
+//! document from a peer that has it. A revision never goes back.
 //!
-//! What travels here is the pair of revision and edit: the document itself is
-//! the daemon's business.
+//! Only the pair of revision and edit is handled here; the daemon fetches and checks the document
+//! itself.
 
 mod action;
 mod options;
@@ -32,14 +32,14 @@
 pub use watch::StoreAnswer;
 use watch::WatchState;
 
-/// The bucket whose rendezvous chooses a zone's watchers; beyond all buckets
-/// of targets, so that watching and owning are spread independently.
+/// The bucket whose rendezvous hash selects a zone's watchers. Outside the buckets of targets, so
+/// that watchers and owners are selected independently.
 const WATCH_BUCKET: u16 = u16::MAX;
 
-/// Peers remembered as having a newer revision.
-const PULL_PEERS: usize = 4;
+/// Maximum number of peers remembered as having a newer revision.
+const MAX_NEWER_PEERS: usize = 4;
 
-/// Names a revision together with the edit that made it.
+/// Identifies a revision together with the edit that made it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Default)]
 pub struct ConfigEdition {
     /// The revision.
@@ -48,17 +48,17 @@
     pub edit: u64,
 }
 
-/// What became of a document offered to [`PropagationState::adopt`].
+/// Result of offering a document to [`PropagationState::adopt`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Outcome {
-    /// It is in force now: apply it and set the digest of the heartbeats.
+    /// Now in force: apply it and set the digest of the heartbeats.
     Adopted,
-    /// It was in force already.
+    /// Already in force.
     InForce,
-    /// It is older than what is in force: refused.
+    /// Older than the edition in force: rejected.
     Older,
-    /// It is another edit of the revision in force: refused.
+    /// Another edit of the revision in force: rejected.
     Fork,
 }
 
@@ -69,99 +69,99 @@
     pub store_calls: u64,
     /// Calls to the store that failed.
     pub store_failures: u64,
-    /// Documents asked of peers.
+    /// Documents requested from peers.
     pub pulls: u64,
-    /// Documents that peers did not give.
+    /// Requests for a document that a peer did not fulfil.
     pub pull_failures: u64,
     /// Editions adopted.
     pub adopted: u64,
-    /// Documents and digests refused because they would go back or fork.
+    /// Documents and digests rejected because they are older or a fork.
     pub rejected: u64,
 }
 
-/// A document asked of a peer.
+/// A request for a document in flight to a peer.
 #[derive(Clone, Copy, Debug)]
 struct Pull {
     peer: HostKey,
     deadline: Duration,
 }
 
-/// The spread at one daemon. One lives as long as the process.
+/// Propagation state of one daemon. Exists once per process.
 #[derive(Debug)]
 pub struct PropagationState {
     options: Options,
     in_force: Option<ConfigEdition>,
-    /// When the store, through whatever peers, confirmed `in_force` as newest.
+    /// When the store, directly or through peers, last confirmed `in_force` as the newest.
     confirmed: Option<Duration>,
-    /// The latest of the start, the last adoption and the last confirmation:
-    /// stand-ins count from here.
-    quiet_since: Option<Duration>,
-    /// The first call.
+    /// The latest of the start, the last adoption and the last confirmation: the delay of standby
+    /// watchers starts here.
+    unconfirmed_since: Option<Duration>,
+    /// Time of the first tick.
     started: Option<Duration>,
     /// Peers known to have a newer revision, newest first.
-    ahead: SmallVec<[(ConfigRevision, HostKey); PULL_PEERS]>,
+    newer_peers: SmallVec<[(ConfigRevision, HostKey); MAX_NEWER_PEERS]>,
     pull: Option<Pull>,
     watch: WatchState,
-    heard_peers: BTreeSet<HostKey>,
-    alarmed: BTreeSet<PropagationAlarm>,
+    known_peers: BTreeSet<HostKey>,
+    raised_alarms: BTreeSet<PropagationAlarm>,
     actions: VecDeque<PropagationAction>,
     counters: PropagationCounters,
 }
 
 impl PropagationState {
-    /// Nothing is in force yet.
+    /// A state without a configuration in force.
     pub fn new(options: Options) -> Self {
         Self {
             options,
             in_force: None,
             confirmed: None,
-            quiet_since: None,
+            unconfirmed_since: None,
             started: None,
-            ahead: SmallVec::new(),
+            newer_peers: SmallVec::new(),
             pull: None,
             watch: WatchState::default(),
-            heard_peers: BTreeSet::new(),
-            alarmed: BTreeSet::new(),
+            known_peers: BTreeSet::new(),
+            raised_alarms: BTreeSet::new(),
             actions: VecDeque::new(),
             counters: PropagationCounters::default(),
         }
     }
 
-    /// Takes what a peer's heartbeat says.
+    /// Processes the digest in a peer's heartbeat.
     pub fn receive_digest(&mut self, now: Duration, peer: HostKey, digest: MemberDigest) {
-        if self.heard_peers.len() < self.options.ready_peers {
-            self.heard_peers.insert(peer);
+        if self.known_peers.len() < self.options.ready_peers {
+            self.known_peers.insert(peer);
         }
         if digest.revision == ConfigRevision::default() {
             return;
         }
         let theirs = ConfigEdition { revision: digest.revision, edit: digest.edit };
         match self.compare(theirs) {
-            Outcome::Adopted => self.note_ahead(now, peer, theirs.revision),
-            Outcome::InForce => self.take_confirmation(now, digest.confirmed_ms),
+            Outcome::Adopted => self.add_newer_peer(now, peer, theirs.revision),
+            Outcome::InForce => self.handle_confirmation(now, digest.confirmed_ms),
             Outcome::Older => {}
-            Outcome::Fork => self.refuse_fork(theirs),
+            Outcome::Fork => self.reject_fork(theirs),
         }
     }
 
-    /// Offers a document, from a peer, the store, or an edit made here. The
-    /// caller has checked that the document holds what the edition says.
+    /// Offers a document, from a peer, the store, or an edit made here. The caller has checked that
+    /// the document matches the edition.
     pub fn adopt(&mut self, now: Duration, edition: ConfigEdition) -> Outcome {
         self.pull = None;
         let outcome = self.compare(edition);
         match outcome {
-            Outcome::Adopted => self.put_in_force(now, edition),
+            Outcome::Adopted => self.activate(now, edition),
             Outcome::InForce => {}
             Outcome::Older => self.counters.rejected += 1,
-            Outcome::Fork => self.refuse_fork(edition),
+            Outcome::Fork => self.reject_fork(edition),
         }
         self.start_pull(now);
         outcome
     }
 
-    /// A peer did not give the document.
+    /// Handles a pull that failed.
     pub fn pull_failed(&mut self, now: Duration, peer: HostKey) {
-        self.ahead.retain(|entry| entry.1 != peer);
+        self.newer_peers.retain(|entry| entry.1 != peer);
         if self.pull.is_some_and(|pull| pull.peer == peer) {
             self.counters.pull_failures += 1;
             self.pull = None;
@@ -169,7 +169,7 @@
         self.start_pull(now);
     }
 
-    /// Says which hosts of the own zone could watch, and which one this is.
+    /// Sets the hosts of the own zone that may watch the store, and which one this is.
     pub fn set_zone(
         &mut self,
         zone: &str,
@@ -177,74 +177,79 @@
         hosts: impl IntoIterator<Item = OwnerCandidate>,
     ) {
         let group = GroupId::new(zone, WATCH_BUCKET);
-        let mine = ownership::score(group, me);
+        let own_score = ownership::score(group, me);
         let rank = hosts
             .into_iter()
-            .filter(|host| host.id != me && ownership::score(group, host.id) > mine)
+            .filter(|host| host.id != me && ownership::score(group, host.id) > own_score)
             .count();
         self.watch.set_rank(rank);
     }
 
-    /// Takes the store's answer to a watch or a read. A newer document must be
-    /// offered to [`adopt`](Self::adopt) first.
+    /// Processes the store's answer to a watch or a read. A newer document must be offered to
+    /// [`adopt`](Self::adopt) first.
     pub fn store_answered(&mut self, now: Duration, answer: StoreAnswer) {
-        let refused = matches!(answer, StoreAnswer::Holds(edition)
+        let rejected = matches!(answer, StoreAnswer::Holds(edition)
             if self.compare(edition) != Outcome::InForce);
-        self.watch.answered(now, answer, refused, &self.options);
+        self.watch.record_answer(now, answer, rejected, &self.options);
         match answer {
             StoreAnswer::Failed => self.counters.store_failures += 1,
             StoreAnswer::Unchanged => self.confirm(now),
-            StoreAnswer::Holds(edition) => self.take_store(now, edition),
+            StoreAnswer::Holds(edition) => self.handle_store_edition(now, edition),
             StoreAnswer::Empty => {
                 if let Some(edition) = self.in_force {
-                    self.alarm(PropagationAlarm::StoreEmpty { in_force: edition.revision });
+                    self.raise_alarm(PropagationAlarm::StoreEmpty { in_force: edition.revision });
                 }
             }
         }
     }
 
-    fn take_store(&mut self, now: Duration, edition: ConfigEdition) {
+    fn handle_store_edition(&mut self, now: Duration, edition: ConfigEdition) {
         match self.compare(edition) {
             Outcome::InForce => self.confirm(now),
-            Outcome::Fork => self.refuse_fork(edition),
+            Outcome::Fork => self.reject_fork(edition),
             Outcome::Older => {
                 self.counters.rejected += 1;
                 let in_force = self.revision();
-                self.alarm(PropagationAlarm::StoreBehind { store: edition.revision, in_force });
+                self.raise_alarm(PropagationAlarm::StoreBehind {
+                    store: edition.revision,
+                    in_force,
+                });
             }
-            // Not adopted by the daemon, such as a document that fails its checks.
+            // Not adopted by the daemon, for example because the document is invalid.
             Outcome::Adopted => {}
         }
     }
 
-    /// Does what is due; call it about every heartbeat.
+    /// Runs what is due; call it about every heartbeat.
     pub fn tick(&mut self, now: Duration) {
         if let Some(pull) = self.pull.filter(|pull| pull.deadline <= now) {
             self.pull_failed(now, pull.peer);
         }
-        let quiet = self.quiet(now);
+        let unconfirmed_for = self.unconfirmed_for(now);
         let started = *self.started.get_or_insert(now);
         if now.saturating_sub(started) < self.options.startup_delay {
             return;
         }
-        if let Some(call) = self.watch.due(now, quiet, self.revision(), &self.options) {
+        if let Some(call) =
+            self.watch.next_call(now, unconfirmed_for, self.revision(), &self.options)
+        {
             self.counters.store_calls += 1;
             self.actions.push_back(call);
         }
     }
 
-    /// The next thing to do.
+    /// The next action, or `None` if there is none.
     pub fn poll_action(&mut self) -> Option<PropagationAction> {
         self.actions.pop_front()
     }
 
-    /// What is in force.
+    /// The edition in force.
     pub fn in_force(&self) -> Option<ConfigEdition> {
         self.in_force
     }
 
-    /// How long ago the store, through whatever peers, confirmed what is in
-    /// force as the newest. None when it never did.
+    /// Time since the store, directly or through peers, confirmed the edition in force as the
+    /// newest. `None` if it never did.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.confirmed.map(|at| now.saturating_sub(at))
     }
@@ -265,24 +270,23 @@
         }
     }
 
-    /// Whether this daemon knows enough to begin to serve. For the start
-    /// alone: it is false again while a newer revision is being pulled, which
-    /// is no reason to stop.
+    /// Whether this daemon knows enough to start serving. Use it only at startup: it is false again
+    /// while a newer revision is being pulled, which is no reason to stop.
     ///
-    /// Failure: a daemon that starts while the store is down takes the first
-    /// document it gets, perhaps an old one, and serves by it. So it needs the
-    /// store's word, its own or passed on, or to have heard several peers (all
-    /// of them when there are fewer) without one being ahead.
+    /// Failure: a daemon that starts during a store outage adopts the first document that it
+    /// receives, possibly an old one, and serves with it. It therefore needs a confirmation by the
+    /// store, directly or through peers, or digests of several peers (all of them if there are
+    /// fewer) none of which has a newer revision.
     pub fn is_ready(&self, live_peers: usize) -> bool {
-        let heard = self.heard_peers.len();
-        let enough = heard > 0 && heard >= self.options.ready_peers.min(live_peers);
+        let known = self.known_peers.len();
+        let enough = known > 0 && known >= self.options.ready_peers.min(live_peers);
         let informed = self.confirmed.is_some() || enough;
-        self.in_force.is_some() && self.ahead.is_empty() && informed
+        self.in_force.is_some() && self.newer_peers.is_empty() && informed
     }
 
     /// Whether this daemon watches the store now.
     pub fn is_watching(&self, now: Duration) -> bool {
-        let since = self.quiet_since.unwrap_or(now);
+        let since = self.unconfirmed_since.unwrap_or(now);
         self.watch.is_watcher(now.saturating_sub(since), &self.options)
     }
 
@@ -295,7 +299,7 @@
         self.in_force.unwrap_or_default().revision
     }
 
-    /// What adopting `edition` would come to.
+    /// The result of adopting `edition`.
     fn compare(&self, edition: ConfigEdition) -> Outcome {
         let Some(mine) = self.in_force else { return Outcome::Adopted };
         match edition.revision.cmp(&mine.revision) {
@@ -306,43 +310,47 @@
         }
     }
 
-    /// How long nothing was confirmed, from the first call on.
-    fn quiet(&mut self, now: Duration) -> Duration {
-        let since = *self.quiet_since.get_or_insert(now);
+    /// Time since the last confirmation, or since the first call.
+    fn unconfirmed_for(&mut self, now: Duration) -> Duration {
+        let since = *self.unconfirmed_since.get_or_insert(now);
         now.saturating_sub(since)
     }
 
-    /// The store, or a peer that heard it at `at`, has nothing newer.
+    /// The store, or a peer that asked it at `at`, has nothing newer.
     fn confirm(&mut self, at: Duration) {
         if self.in_force.is_none() {
             return;
         }
         self.confirmed = self.confirmed.max(Some(at));
-        self.quiet_since = self.quiet_since.max(Some(at));
+        self.unconfirmed_since = self.unconfirmed_since.max(Some(at));
     }
 
-    fn put_in_force(&mut self, now: Duration, edition: ConfigEdition) {
+    fn activate(&mut self, now: Duration, edition: ConfigEdition) {
         self.counters.adopted += 1;
         self.in_force = Some(edition);
-        // The confirmation belonged to the edition before.
+        // The confirmation applied to the previous edition.
         self.confirmed = None;
-        self.quiet_since = Some(now);
-        self.ahead.retain(|entry| entry.0 > edition.revision);
+        self.unconfirmed_since = Some(now);
+        self.newer_peers.retain(|entry| entry.0 > edition.revision);
     }
 
-    fn refuse_fork(&mut self, theirs: ConfigEdition) {
+    fn reject_fork(&mut self, theirs: ConfigEdition) {
         let mine = self.in_force.unwrap_or_default().edit;
         self.counters.rejected += 1;
-        self.alarm(PropagationAlarm::Fork { revision: theirs.revision, mine, theirs: theirs.edit });
+        self.raise_alarm(PropagationAlarm::Fork {
+            revision: theirs.revision,
+            mine,
+            theirs: theirs.edit,
+        });
     }
 
-    fn alarm(&mut self, alarm: PropagationAlarm) {
-        if self.alarmed.insert(alarm) {
+    fn raise_alarm(&mut self, alarm: PropagationAlarm) {
+        if self.raised_alarms.insert(alarm) {
             self.actions.push_back(PropagationAction::Alarm(alarm));
         }
     }
 
-    fn take_confirmation(&mut self, now: Duration, confirmed_ms: u32) {
+    fn handle_confirmation(&mut self, now: Duration, confirmed_ms: u32) {
         if confirmed_ms == u32::MAX {
             return;
         }
@@ -350,21 +358,21 @@
         self.confirm(at);
     }
 
-    fn note_ahead(&mut self, now: Duration, peer: HostKey, revision: ConfigRevision) {
-        self.ahead.retain(|entry| entry.1 != peer);
-        self.ahead.push((revision, peer));
-        self.ahead.sort_by_key(|entry| std::cmp::Reverse(entry.0));
-        self.ahead.truncate(PULL_PEERS);
+    fn add_newer_peer(&mut self, now: Duration, peer: HostKey, revision: ConfigRevision) {
+        self.newer_peers.retain(|entry| entry.1 != peer);
+        self.newer_peers.push((revision, peer));
+        self.newer_peers.sort_by_key(|entry| std::cmp::Reverse(entry.0));
+        self.newer_peers.truncate(MAX_NEWER_PEERS);
         self.start_pull(now);
     }
 
-    /// Asks the peer with the newest revision, one at a time: a second copy of
-    /// a document of up to a megabyte would only slow the first.
+    /// Pulls from the peer with the newest revision, one at a time: a second copy of a document of
+    /// up to a megabyte would only slow down the first.
     fn start_pull(&mut self, now: Duration) {
         if self.pull.is_some() {
             return;
         }
-        let Some(&(revision, peer)) = self.ahead.first() else { return };
+        let Some(&(revision, peer)) = self.newer_peers.first() else { return };
         self.pull = Some(Pull { peer, deadline: now + self.options.pull_timeout });
         self.counters.pulls += 1;
         self.actions.push_back(PropagationAction::Pull { peer, revision });
--- a/crates/hawthorn-fleet/src/propagation/options.rs
+++ b/crates/hawthorn-fleet/src/propagation/options.rs
@@ -1,40 +1,40 @@
-//! Times and bounds of the spread.
+//! Options of the configuration propagation.
 
 use std::time::Duration;
 
-/// Times and bounds of the spread.
+/// Intervals and limits of the configuration propagation.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Daemons of each zone that watch the store. Two, so that one that hangs
-    /// delays nobody; not more, as each waiting watch counts as a call.
+    /// Number of daemons of each zone that watch the store. Two, so that one that hangs causes no
+    /// delay; not more, because each open watch counts as a call.
     pub watchers: usize,
-    /// Further daemons that watch when no confirmation came for long: the
-    /// watchers may be cut off from the store alone. Bounded, since in an
-    /// outage of the store the whole fleet would otherwise call it.
+    /// Number of further daemons that watch after a long time without a confirmation, because the
+    /// watchers alone may be cut off from the store. Limited, because otherwise the whole fleet
+    /// would call the store during an outage.
     pub standbys: usize,
-    /// The age of the last confirmation at which the first stand-in watches;
-    /// the next one at twice this age.
+    /// Age of the last confirmation at which the first standby watches; the next one starts at
+    /// twice this age.
     pub standby_delay: Duration,
-    /// How long a daemon waits before its first call. Failure: when all daemons
-    /// of a fleet start at once, each knows nobody yet and takes itself for a
-    /// watcher. Within this time it hears who else is there.
+    /// How long a daemon waits before its first call. Failure: when all daemons of a fleet start at
+    /// once, each knows no other and considers itself a watcher. Within this time it learns of the
+    /// others.
     pub startup_delay: Duration,
     /// How long the store may hold a watch open.
     pub watch_timeout: Duration,
-    /// Every so many calls the key is read whole, as a watch can't show that
-    /// the store went back to an older value.
+    /// Every this many calls the key is read in full, because a watch can't show that the store
+    /// went back to an older value.
     pub full_read_every: u32,
-    /// Between an answer and the next call: bounds the calls of a watcher
-    /// during a burst of edits to ten a second.
+    /// Interval between an answer and the next call: limits a watcher to ten calls a second during
+    /// a burst of edits.
     pub min_call_interval: Duration,
     /// The first wait after a failed call; doubles up to `max_backoff`.
     pub initial_backoff: Duration,
-    /// The longest wait after a failed call.
+    /// Maximum wait after a failed call.
     pub max_backoff: Duration,
-    /// A pull without a result for so long is tried at another peer.
+    /// Time without a result after which a pull is retried at another peer.
     pub pull_timeout: Duration,
-    /// Peers that must be heard before a daemon that can't reach the store
-    /// trusts that it knows the newest revision.
+    /// Peers whose digest a daemon that can't reach the store must receive before it assumes that
+    /// it knows the newest revision.
     pub ready_peers: usize,
 }
 
--- a/crates/hawthorn-fleet/src/propagation/watch.rs
+++ b/crates/hawthorn-fleet/src/propagation/watch.rs
@@ -1,4 +1,4 @@
-//! When this daemon calls the store.
+//! Schedules this daemon's calls to the store.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use super::Options;
 use super::PropagationAction;
 
-/// What a call to the store came to.
+/// Result of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreAnswer {
     /// It holds this edition.
@@ -17,17 +17,17 @@
     Unchanged,
     /// It holds no document.
     Empty,
-    /// No answer, an error, or a refusal over the rate.
+    /// No answer, an error, or rejected by the rate limit.
     Failed,
 }
 
-/// The call that is out and the one due next.
+/// The call in flight and the time of the next one.
 #[derive(Debug, Default)]
 pub(super) struct WatchState {
-    /// How many hosts of the zone come before this one; none until the zone is known.
+    /// Number of hosts of the zone that rank before this one; `None` until the zone is known.
     rank: Option<usize>,
-    waiting: bool,
-    due: Duration,
+    in_flight: bool,
+    next_call_at: Duration,
     failures: u32,
     calls: u32,
 }
@@ -37,59 +37,59 @@
         self.rank = Some(rank);
     }
 
-    /// Whether this host watches: one of the first in rank, or a stand-in when
-    /// nothing was confirmed for long.
-    pub(super) fn is_watcher(&self, quiet: Duration, options: &Options) -> bool {
+    /// Whether this host watches: one of the first in rank, or a standby after a long time without
+    /// a confirmation.
+    pub(super) fn is_watcher(&self, unconfirmed_for: Duration, options: &Options) -> bool {
         let Some(rank) = self.rank else { return false };
         if rank < options.watchers {
             return true;
         }
-        let order = rank - options.watchers + 1;
-        let order_limit = u32::try_from(order).unwrap_or(u32::MAX);
-        let patience = options.standby_delay.saturating_mul(order_limit);
-        order <= options.standbys && quiet > patience
+        let standby_rank = rank - options.watchers + 1;
+        let delays = u32::try_from(standby_rank).unwrap_or(u32::MAX);
+        let delay = options.standby_delay.saturating_mul(delays);
+        standby_rank <= options.standbys && unconfirmed_for > delay
     }
 
     /// The call to make now, if any.
-    pub(super) fn due(
+    pub(super) fn next_call(
         &mut self,
         now: Duration,
-        quiet: Duration,
+        unconfirmed_for: Duration,
         after: ConfigRevision,
         options: &Options,
     ) -> Option<PropagationAction> {
-        if self.waiting || now < self.due || !self.is_watcher(quiet, options) {
+        if self.in_flight || now < self.next_call_at || !self.is_watcher(unconfirmed_for, options) {
             return None;
         }
-        self.waiting = true;
-        let whole = self.calls.is_multiple_of(options.full_read_every.max(1));
+        self.in_flight = true;
+        let full_read = self.calls.is_multiple_of(options.full_read_every.max(1));
         self.calls = self.calls.wrapping_add(1);
-        if whole {
+        if full_read {
             return Some(PropagationAction::ReadStore);
         }
         Some(PropagationAction::Watch { after, wait: options.watch_timeout })
     }
 
-    /// Notes an answer; `refused` when it held something that must not come
-    /// into force here.
-    pub(super) fn answered(
+    /// Records an answer. `rejected` is set if it held an edition that can't come into force here.
+    pub(super) fn record_answer(
         &mut self,
         now: Duration,
         answer: StoreAnswer,
-        refused: bool,
+        rejected: bool,
         options: &Options,
     ) {
-        self.waiting = false;
+        self.in_flight = false;
         if answer == StoreAnswer::Failed {
-            let doubled = options.initial_backoff.saturating_mul(1 << self.failures.min(16));
+            let backoff = options.initial_backoff.saturating_mul(1 << self.failures.min(16));
             self.failures = self.failures.saturating_add(1);
-            self.due = now + doubled.min(options.max_backoff);
+            self.next_call_at = now + backoff.min(options.max_backoff);
             return;
         }
         self.failures = 0;
-        // A store that answers a watch at once, empty or behind, is not asked
+        // A store that answers a watch immediately because it is empty or behind must not be called
         // in a tight loop.
-        let settled = answer != StoreAnswer::Empty && !refused;
-        self.due = now + if settled { options.min_call_interval } else { options.max_backoff };
+        let usable = answer != StoreAnswer::Empty && !rejected;
+        self.next_call_at =
+            now + if usable { options.min_call_interval } else { options.max_backoff };
     }
 }
