--- a/crates/hawthorn-fleet/examples/scaling.rs
+++ b/crates/hawthorn-fleet/examples/scaling.rs
@@ -1,11 +1,10 @@
-//! Measures what membership and the spread of configuration cost one daemon,
-//! and how fast they are, at several sizes of the fleet, on virtual time.
+//! Measures the cost per daemon of membership and configuration propagation, and their latency, for
+//! several fleet sizes, on virtual time.
 //!
-//! `cargo run --release -p hawthorn-fleet --example slopes [SIZE...]`
+//! `cargo run --release -p hawthorn-fleet --example scaling [SIZE...]`
 //!
-//! Bytes and datagrams are what a daemon sends, without UDP and IP headers.
-//! Processor time is wall time spent inside the state machines of all daemons
-//! over daemon-seconds of virtual time.
+//! Bytes and datagrams are what a daemon sends, without UDP and IP headers. Processor time is wall
+//! time spent inside the state machines of all daemons divided by daemon-seconds of virtual time.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -21,11 +20,11 @@
 use hawthorn_fleet::propagation::ConfigEdition;
 use hawthorn_types::ConfigRevision;
 use hawthorn_types::HostKey;
-use support::Switch;
+use support::Simulation;
 use support::ms;
 
 const SIZES: [usize; 4] = [8, 64, 256, 1024];
-/// Restarts a second in a fleet of 4,000: 18,000 a day.
+/// Restarts per second in a fleet of 4,000: 18,000 a day.
 const RESTARTS_PER_SECOND: f64 = 18_000.0 / 86_400.0;
 const LOSS: f64 = 0.05;
 const EDITS: u64 = 20;
@@ -42,8 +41,9 @@
 }
 
 fn main() {
-    let asked: Vec<usize> = std::env::args().skip(1).filter_map(|arg| arg.parse().ok()).collect();
-    let sizes = if asked.is_empty() { SIZES.to_vec() } else { asked };
+    let requested: Vec<usize> =
+        std::env::args().skip(1).filter_map(|arg| arg.parse().ok()).collect();
+    let sizes = if requested.is_empty() { SIZES.to_vec() } else { requested };
     for hosts in ZONE_SIZES {
         print_balance(hosts);
     }
@@ -55,31 +55,30 @@
 fn measure(size: usize) {
     let zones = (size / 128).clamp(3, 25);
     println!("{size} daemons in {zones} zones");
-    let mut switch = Switch::with(size as u64, size, zones);
-    switch.write_store(edition(1));
-    let met = switch.run_until(ms(120_000), complete);
-    println!("  all met and ready after {}", seconds(met));
-    switch.run_for(ms(20_000));
-    print_cost("20 s after the start", &cost(&mut switch, ms(20_000), None));
-    let memory = switch.daemons[0].table.memory_bytes();
+    let mut sim = Simulation::with(size as u64, size, zones);
+    sim.write_store(edition(1));
+    let converged = sim.run_until(ms(120_000), complete);
+    println!("  all converged and ready after {}", seconds(converged));
+    sim.run_for(ms(20_000));
+    print_cost("20 s after the start", &cost(&mut sim, ms(20_000), None));
+    let memory = sim.daemons[0].table.memory_bytes();
     println!("  memory: {memory} bytes, {} a member", memory / size);
     let every = Duration::from_secs_f64(1.0 / RESTARTS_PER_SECOND);
-    print_cost("18,000 restarts a day", &cost(&mut switch, ms(60_000), Some(every)));
-    switch.run_for(ms(10_000));
-    switch.loss = LOSS;
-    print_cost("5 % lost", &cost(&mut switch, ms(20_000), None));
-    measure_propagation(&mut switch);
-    switch.loss = 0.0;
-    switch.run_for(ms(10_000));
-    measure_kills(&mut switch);
-    print_cost("at rest, long after the start", &cost(&mut switch, ms(20_000), None));
+    print_cost("18,000 restarts a day", &cost(&mut sim, ms(60_000), Some(every)));
+    sim.run_for(ms(10_000));
+    sim.loss = LOSS;
+    print_cost("5 % lost", &cost(&mut sim, ms(20_000), None));
+    measure_propagation(&mut sim);
+    sim.loss = 0.0;
+    sim.run_for(ms(10_000));
+    measure_kills(&mut sim);
+    print_cost("at rest, long after the start", &cost(&mut sim, ms(20_000), None));
     print_movement(size / zones);
 }
 
-fn complete(switch: &Switch) -> bool {
-    let count = switch.daemons.len();
-    switch
-        .daemons
+fn complete(sim: &Simulation) -> bool {
+    let count = sim.daemons.len();
+    sim.daemons
         .iter()
         .all(|daemon| daemon.table.records().filter(|record| record.may_own()).count() == count)
 }
@@ -88,35 +87,35 @@
     ConfigEdition { revision: ConfigRevision(revision), edit: revision }
 }
 
-/// Runs for `time`, restarting a daemon every so often.
-fn cost(switch: &mut Switch, time: Duration, every: Option<Duration>) -> Cost {
-    let before = switch.sent;
-    let work = switch.work;
-    let dead = deaths(switch);
-    let end = switch.now + time;
+/// Runs for `time` and restarts a daemon at each interval.
+fn cost(sim: &mut Simulation, time: Duration, every: Option<Duration>) -> Cost {
+    let before = sim.sent;
+    let busy_time = sim.busy_time;
+    let dead = deaths(sim);
+    let end = sim.now + time;
     let mut next = 0;
-    while switch.now < end {
-        let step = every.unwrap_or(time).min(end - switch.now);
-        switch.run_for(step);
+    while sim.now < end {
+        let step = every.unwrap_or(time).min(end - sim.now);
+        sim.run_for(step);
         if every.is_some() {
-            next = (next + 7) % switch.daemons.len();
-            // Planned: it says that it leaves before it stops.
-            let now = switch.now;
-            switch.act(next, |daemon, now| daemon.table.depart(now));
-            switch.restart(next, now.as_millis() as u64);
+            next = (next + 7) % sim.daemons.len();
+            // A planned restart: the daemon announces that it leaves before it stops.
+            let now = sim.now;
+            sim.act(next, |daemon, now| daemon.table.depart(now));
+            sim.restart(next, now.as_millis() as u64);
         }
     }
-    let daemon_seconds = switch.daemons.len() as f64 * time.as_secs_f64();
+    let daemon_seconds = sim.daemons.len() as f64 * time.as_secs_f64();
     Cost {
-        bytes: (switch.sent.1 - before.1) as f64 / daemon_seconds,
-        datagrams: (switch.sent.0 - before.0) as f64 / daemon_seconds,
-        cpu_percent: 100.0 * (switch.work - work).as_secs_f64() / daemon_seconds,
-        deaths: deaths(switch).saturating_sub(dead),
+        bytes: (sim.sent.1 - before.1) as f64 / daemon_seconds,
+        datagrams: (sim.sent.0 - before.0) as f64 / daemon_seconds,
+        cpu_percent: 100.0 * (sim.busy_time - busy_time).as_secs_f64() / daemon_seconds,
+        deaths: deaths(sim).saturating_sub(dead),
     }
 }
 
-fn deaths(switch: &Switch) -> u64 {
-    switch.daemons.iter().map(|daemon| daemon.table.counters().deaths).sum()
+fn deaths(sim: &Simulation) -> u64 {
+    sim.daemons.iter().map(|daemon| daemon.table.counters().deaths).sum()
 }
 
 fn print_cost(name: &str, cost: &Cost) {
@@ -126,15 +125,15 @@
     );
 }
 
-/// Writes editions to the store and notes when each is in force everywhere.
-fn measure_propagation(switch: &mut Switch) {
+/// Writes editions to the store and records when each is in force everywhere.
+fn measure_propagation(sim: &mut Simulation) {
     let mut times = Vec::new();
-    let calls = switch.store.calls;
+    let calls = sim.store.calls;
     for revision in 2..2 + EDITS {
-        let start = switch.now;
-        switch.write_store(edition(revision));
-        switch.run_for(ms(9_000));
-        for daemon in &switch.daemons {
+        let start = sim.now;
+        sim.write_store(edition(revision));
+        sim.run_for(ms(9_000));
+        for daemon in &sim.daemons {
             let adopted = daemon.adopted.iter().find(|entry| entry.1 == edition(revision));
             times.push(adopted.map_or(Duration::MAX, |entry| entry.0 - start));
         }
@@ -146,24 +145,24 @@
         at(0.5).as_millis(),
         at(0.999).as_millis(),
         at(1.0).as_millis(),
-        switch.store.calls - calls,
+        sim.store.calls - calls,
         9 * EDITS
     );
 }
 
-fn measure_kills(switch: &mut Switch) {
+fn measure_kills(sim: &mut Simulation) {
     let mut first = Vec::new();
     let mut zone = Vec::new();
     let mut fleet = Vec::new();
     for kill in 0..KILLS {
-        let victim = switch.daemons.len() - 1 - kill;
-        let id = MemberId::of(&switch.daemons[victim].name);
-        let start = switch.now;
-        switch.kill(victim);
-        switch.run_for(ms(20_000));
-        let mut near = Vec::new();
+        let victim = sim.daemons.len() - 1 - kill;
+        let id = MemberId::of(&sim.daemons[victim].name);
+        let start = sim.now;
+        sim.kill(victim);
+        sim.run_for(ms(20_000));
+        let mut same_zone = Vec::new();
         let mut all = Vec::new();
-        for daemon in switch.daemons.iter().filter(|daemon| daemon.up) {
+        for daemon in sim.daemons.iter().filter(|daemon| daemon.up) {
             let down = daemon.events.iter().find(|(at, event)| {
                 *at > start
                     && matches!(event, FleetAction::MemberDown(key)
@@ -171,12 +170,12 @@
             });
             let time = down.map_or(Duration::MAX, |entry| entry.0 - start);
             all.push(time);
-            if daemon.zone == switch.daemons[victim].zone {
-                near.push(time);
+            if daemon.zone == sim.daemons[victim].zone {
+                same_zone.push(time);
             }
         }
-        first.extend(near.iter().min());
-        zone.extend(near.iter().max());
+        first.extend(same_zone.iter().min());
+        zone.extend(same_zone.iter().max());
         fleet.extend(all.iter().max());
     }
     println!(
@@ -205,28 +204,28 @@
         .collect()
 }
 
-/// How many of `buckets` each host owns, and how long all scores took.
+/// The number of `buckets` that each host owns, and the time to compute all scores.
 fn owned(hosts: usize, buckets: u16) -> (Vec<usize>, Duration) {
     let candidates = candidates(hosts);
     let mut counts = vec![0; hosts];
-    let begun = Instant::now();
+    let started = Instant::now();
     for bucket in 0..buckets {
         let group = GroupId::new("zone-0", bucket);
         if let Some(owner) = ownership::owner(group, candidates.iter().copied()) {
             counts[owner.index()] += 1;
         }
     }
-    (counts, begun.elapsed())
+    (counts, started.elapsed())
 }
 
-/// The fullest host over the mean, hosts without a bucket, and the time that
-/// one look at all buckets takes.
+/// Prints the most buckets of a host relative to the mean, hosts without a bucket, and the time to
+/// score all buckets once.
 fn print_balance(hosts: usize) {
     for buckets in BUCKETS {
         let (counts, time) = owned(hosts, buckets);
-        let most = counts.iter().max().copied().unwrap_or_default();
+        let max_owned = counts.iter().max().copied().unwrap_or_default();
         let none = counts.iter().filter(|&&count| count == 0).count();
-        let share = (most * hosts) as f64 / f64::from(buckets);
+        let share = (max_owned * hosts) as f64 / f64::from(buckets);
         println!(
             "{hosts} hosts, {buckets} buckets: fullest {share:.2} of the mean, {none} own none, {} us",
             time.as_micros()
@@ -234,7 +233,7 @@
     }
 }
 
-/// The share of groups that change owner when one host joins `hosts` others.
+/// Prints the share of groups that change owner when one host joins `hosts` others.
 fn print_movement(hosts: usize) {
     let candidates = candidates(hosts + 1);
     let moved = (0..GROUPS)
--- a/crates/hawthorn-fleet/src/propagation/options.rs
+++ b/crates/hawthorn-fleet/src/propagation/options.rs
@@ -8,9 +8,9 @@
     /// Number of daemons of each zone that watch the store. Two, so that one that hangs causes no
     /// delay; not more, because each open watch counts as a call.
     pub watchers: usize,
-    /// Number of further daemons that watch after a long time without a confirmation, because the
-    /// watchers alone may be cut off from the store. Limited, because otherwise the whole fleet
-    /// would call the store during an outage.
+    /// Number of further daemons that watch after a long time without a confirmation, in case only
+    /// the watchers are cut off from the store. Limited, because otherwise the whole fleet would
+    /// call the store during an outage.
     pub standbys: usize,
     /// Age of the last confirmation at which the first standby watches; the next one starts at
     /// twice this age.
--- a/crates/hawthorn-fleet/tests/message.rs
+++ b/crates/hawthorn-fleet/tests/message.rs
@@ -1,4 +1,4 @@
-//! Datagrams: what is written is read, what is not a message is refused.
+//! Datagrams: encoding round trips, and invalid datagrams are rejected.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -51,7 +51,7 @@
     }
 }
 
-fn rumor(host: &str) -> Result<MemberUpdate, Box<dyn Error>> {
+fn update(host: &str) -> Result<MemberUpdate, Box<dyn Error>> {
     Ok(MemberUpdate {
         id: MemberId::of(host),
         stamp: MemberStamp { incarnation: 1_700_000_000_000, sequence: 1 },
@@ -67,45 +67,45 @@
 }
 
 #[test]
-fn what_is_written_is_read_and_fits() -> TestResult {
+fn datagrams_round_trip_within_the_limit() -> TestResult {
     let message = message(FleetBody::Ping { number: 9 });
     let mut writer = DatagramWriter::new(&message);
-    let mut written = Vec::new();
+    let mut pushed = Vec::new();
     for number in 0..100 {
-        let rumor = rumor(&format!("host-{number}"))?;
-        if writer.push(&rumor, usize::MAX) {
-            written.push(rumor);
+        let update = update(&format!("host-{number}"))?;
+        if writer.push(&update, usize::MAX) {
+            pushed.push(update);
         }
     }
     let bytes = writer.finish();
-    assert!(bytes.len() <= DATAGRAM_LIMIT && written.len() > 20, "{} bytes", bytes.len());
-    assert_eq!(message::decode(&bytes)?, (message, written));
+    assert!(bytes.len() <= DATAGRAM_LIMIT && pushed.len() > 20, "{} bytes", bytes.len());
+    assert_eq!(message::decode(&bytes)?, (message, pushed));
     Ok(())
 }
 
 #[test]
-fn wrong_datagrams_are_refused() -> TestResult {
+fn invalid_datagrams_are_rejected() -> TestResult {
     let mut other_format = message(FleetBody::Gossip);
     other_format.format += 1;
     let mut bad_name = DatagramWriter::new(&message(FleetBody::Gossip));
-    bad_name.push(&MemberUpdate { id: MemberId(5), ..rumor("host-a")? }, usize::MAX);
+    bad_name.push(&MemberUpdate { id: MemberId(5), ..update("host-a")? }, usize::MAX);
     let mut long_name = DatagramWriter::new(&message(FleetBody::Gossip));
-    long_name.push(&rumor(&"h".repeat(NAME_LIMIT + 1))?, usize::MAX);
-    let refused = |bytes: &[u8]| message::decode(bytes).err();
-    let format = refused(&DatagramWriter::new(&other_format).finish());
+    long_name.push(&update(&"h".repeat(NAME_LIMIT + 1))?, usize::MAX);
+    let rejection = |bytes: &[u8]| message::decode(bytes).err();
+    let format = rejection(&DatagramWriter::new(&other_format).finish());
     assert_eq!(format, Some(message::Error::OtherFormat(MESSAGE_FORMAT + 1)));
-    assert_eq!(refused(&bad_name.finish()), Some(message::Error::BadName));
-    assert_eq!(refused(&long_name.finish()), Some(message::Error::BadName));
+    assert_eq!(rejection(&bad_name.finish()), Some(message::Error::BadName));
+    assert_eq!(rejection(&long_name.finish()), Some(message::Error::BadName));
     let long = vec![0; DATAGRAM_LIMIT + 1];
-    assert_eq!(refused(&long), Some(message::Error::TooLong(DATAGRAM_LIMIT + 1)));
+    assert_eq!(rejection(&long), Some(message::Error::TooLong(DATAGRAM_LIMIT + 1)));
     Ok(())
 }
 
-/// The daemon stops. Order: anyone sends it garbage, or the start of a message.
+/// Guards against a daemon that panics on random bytes or a corrupted message.
 #[test]
 fn random_bytes_never_panic_and_change_no_member() -> TestResult {
     let from: SocketAddr = "10.0.0.9:7000".parse()?;
-    let place = rumor("host-b")?.place.ok_or("a place")?;
+    let place = update("host-b")?.place.ok_or("a place")?;
     let valid = DatagramWriter::new(&message(FleetBody::SyncRequest { after: 0 })).finish();
     let bytes = prop_oneof![
         proptest::collection::vec(any::<u8>(), 0..1_500),
@@ -117,7 +117,7 @@
     ];
     runner(2_000).run(&bytes, |bytes| {
         let mut table = MemberTable::new(place.clone(), 5, Options::default(), 1);
-        let _refused = table.receive(Duration::from_secs(1), from, &bytes);
+        let _rejected = table.receive(Duration::from_secs(1), from, &bytes);
         prop_assert_eq!(table.records().count(), 1);
         while let Some(action) = table.poll_action() {
             if let FleetAction::Send { bytes, .. } = action {
--- a/crates/hawthorn-fleet/tests/ownership.rs
+++ b/crates/hawthorn-fleet/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Rendezvous ownership: who owns, and what moves.
+//! Rendezvous ownership: which host owns a group, and which groups move.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -32,26 +32,26 @@
     before.iter().zip(after).filter(|(before, after)| before != after).count()
 }
 
-/// Every connection is opened anew at 6 ms each when a host joins, if the
-/// hash moves more than it must. Each host of the zone takes its turn to
-/// leave, which is also its join seen backwards.
+/// Guards against a hash that moves more groups than necessary when a host joins: every moved
+/// connection is reopened at 6 ms each. Each host of the zone leaves in turn, which is equivalent
+/// to its join in reverse.
 #[test]
-fn movement_stays_near_the_least_possible() -> TestResult {
+fn movement_stays_near_the_minimum() -> TestResult {
     for count in [3, 8, 32] {
         let all = hosts(count);
         let before = owners(&all);
-        let mut sum = 0;
-        for leaver in 0..count {
+        let mut total = 0;
+        for leaving in 0..count {
             let mut rest = all.clone();
-            let gone = rest.remove(leaver).key;
+            let removed = rest.remove(leaving).key;
             let after = owners(&rest);
-            let owned = before.iter().filter(|owner| **owner == Some(gone)).count();
-            assert_eq!(moved(&before, &after), owned, "only the groups of host {leaver} move");
-            sum += owned;
+            let owned = before.iter().filter(|owner| **owner == Some(removed)).count();
+            assert_eq!(moved(&before, &after), owned, "only the groups of host {leaving} move");
+            total += owned;
         }
-        let mean = sum as f64 / count as f64;
-        let least = f64::from(GROUPS) / count as f64;
-        assert!(mean <= 1.1 * least, "{count} hosts: {mean} moved, {least} is least");
+        let mean = total as f64 / count as f64;
+        let minimum = f64::from(GROUPS) / count as f64;
+        assert!(mean <= 1.1 * minimum, "{count} hosts: {mean} moved, the minimum is {minimum}");
     }
     Ok(())
 }
@@ -63,9 +63,12 @@
         for owner in owners(&hosts(count)).into_iter().flatten() {
             *counts.entry(owner).or_default() += 1;
         }
-        let most = counts.values().max().copied().unwrap_or_default();
+        let max_owned = counts.values().max().copied().unwrap_or_default();
         assert_eq!(counts.len(), count, "every host owns something");
-        assert!(most * count < 2 * usize::from(GROUPS), "{count} hosts: {most} is the most");
+        assert!(
+            max_owned * count < 2 * usize::from(GROUPS),
+            "{count} hosts: {max_owned} is the maximum"
+        );
     }
     Ok(())
 }
@@ -79,7 +82,7 @@
         let rest = all.iter().copied().filter(|host| Some(*host) != first);
         assert_eq!(ownership::owner(group, rest), second.map(|host| host.key));
         let reversed = all.iter().rev().copied();
-        assert_eq!(ownership::ranked(group, reversed), (first, second), "order is of no account");
+        assert_eq!(ownership::ranked(group, reversed), (first, second), "the order is irrelevant");
     }
     assert_eq!(ownership::ranked(GroupId(1), []), (None, None));
     Ok(())
--- a/crates/hawthorn-fleet/tests/support/daemon.rs
+++ b/crates/hawthorn-fleet/tests/support/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon of the state machines alone, and the stand-in of the store.
+//! A daemon that consists only of the state machines, and an in-memory store.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 use hawthorn_fleet::propagation::StoreAnswer;
 
 use super::Event;
-use super::Switch;
+use super::Simulation;
 use super::ms;
 
 pub const STORE_DELAY: Duration = Duration::from_millis(5);
@@ -39,9 +39,9 @@
     pub events: Vec<(Duration, FleetAction)>,
     pub alarms: Vec<PropagationAlarm>,
     pub adopted: Vec<(Duration, ConfigEdition)>,
-    pub(super) held: Vec<Event>,
+    pub(super) queued: Vec<Event>,
     pub(super) wake_at: Duration,
-    pub(super) life: u32,
+    pub(super) generation: u32,
 }
 
 impl Daemon {
@@ -60,9 +60,9 @@
             events: Vec::new(),
             alarms: Vec::new(),
             adopted: Vec::new(),
-            held: Vec::new(),
+            queued: Vec::new(),
             wake_at: Duration::MAX,
-            life: 0,
+            generation: 0,
         }
     }
 }
@@ -74,8 +74,8 @@
     pub calls: u64,
 }
 
-impl Switch {
-    /// Whether `index` holds `other` for live.
+impl Simulation {
+    /// Whether daemon `index` considers `other` live.
     pub fn sees(&self, index: usize, other: usize) -> bool {
         let id = MemberId::of(&self.daemons[other].name);
         let table = &self.daemons[index].table;
@@ -112,7 +112,7 @@
         daemon.ready |= ready && (daemon.table.is_synced() || live == 1);
     }
 
-    pub(super) fn drain(&mut self, index: usize) {
+    pub(super) fn execute_actions(&mut self, index: usize) {
         let now = self.now;
         let daemon = &mut self.daemons[index];
         daemon.table.set_digest(now, daemon.propagation.digest(now, daemon.ready, 0));
@@ -184,16 +184,18 @@
                 self.sequence += 1;
                 let watch = self.sequence;
                 self.push(self.now + at, index, Event::Stored { watch: Some(watch) });
-                self.watches.insert(watch, (index, self.daemons[index].life));
+                self.watches.insert(watch, (index, self.daemons[index].generation));
             }
         }
     }
 
     pub(super) fn pulled(&mut self, index: usize, from: usize) {
-        let cut = self.cuts.contains(&(from, index)) || self.cuts.contains(&(index, from));
+        let is_blocked =
+            self.blocked.contains(&(from, index)) || self.blocked.contains(&(index, from));
         let source = &self.daemons[from];
-        let edition = source.propagation.in_force().filter(|_| source.up && !source.paused && !cut);
-        // Without one the connection hangs, and the state machine times out.
+        let edition =
+            source.propagation.in_force().filter(|_| source.up && !source.paused && !is_blocked);
+        // Without an edition the connection hangs, and the state machine times out.
         if let Some(edition) = edition {
             self.adopt(index, edition);
         }
@@ -209,7 +211,7 @@
 
     pub(super) fn stored(&mut self, index: usize, watch: Option<u64>) {
         let (now, up, edition) = (self.now, self.store.up, self.store.edition);
-        // Answered already, by a write or by the end of its wait.
+        // Already answered, by a write or by its timeout.
         if watch.is_some_and(|watch| self.watches.remove(&watch).is_none()) {
             return;
         }
--- a/crates/hawthorn-fleet/tests/support/mod.rs
+++ b/crates/hawthorn-fleet/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! An in-memory message switch on virtual time: it loses, delays, doubles and
-//! cuts. The daemons at its ports run only the state machines of this crate.
+//! A simulated network on virtual time that loses, delays, duplicates and blocks datagrams. Its
+//! daemons run only the state machines of this crate.
 #![allow(dead_code, reason = "each test uses a part")]
 
 mod daemon;
@@ -36,21 +36,21 @@
     Stored { watch: Option<u64> },
 }
 
-/// When, in which order, for which daemon and its which life.
+/// Time, sequence number, index of the daemon, its process generation, and the event.
 type Entry = (Duration, u64, usize, u32, Event);
 
-pub struct Switch {
+pub struct Simulation {
     pub now: Duration,
     pub daemons: Vec<Daemon>,
     pub store: Store,
-    /// Shares of datagrams lost and doubled.
+    /// Ratios of datagrams lost and duplicated.
     pub loss: f64,
-    pub doubled: f64,
+    pub duplication: f64,
     pub delay: (u64, u64),
-    /// Pairs (from, to) that no datagram passes.
-    pub cuts: BTreeSet<(usize, usize)>,
+    /// Pairs (from, to) between which all datagrams are dropped.
+    pub blocked: BTreeSet<(usize, usize)>,
     /// Wall time spent inside the state machines.
-    pub work: Duration,
+    pub busy_time: Duration,
     /// Datagrams and bytes sent by all daemons.
     pub sent: (u64, u64),
     queue: BinaryHeap<Reverse<Entry>>,
@@ -60,17 +60,17 @@
     sequence: u64,
 }
 
-impl Switch {
+impl Simulation {
     pub fn new(seed: u64) -> Self {
         Self {
             now: ms(1_000),
             daemons: Vec::new(),
             store: Store { up: true, ..Store::default() },
             loss: 0.0,
-            doubled: 0.0,
+            duplication: 0.0,
             delay: (500, 1_500),
-            cuts: BTreeSet::new(),
-            work: Duration::ZERO,
+            blocked: BTreeSet::new(),
+            busy_time: Duration::ZERO,
             sent: (0, 0),
             queue: BinaryHeap::new(),
             watches: BTreeMap::new(),
@@ -80,14 +80,14 @@
         }
     }
 
-    /// Daemons spread evenly over zones, all started now and knowing the first
-    /// of each zone.
+    /// A simulation of daemons distributed evenly over zones, all started now with the first
+    /// daemons as seeds.
     pub fn with(seed: u64, count: usize, zones: usize) -> Self {
-        let mut switch = Self::new(seed);
+        let mut sim = Self::new(seed);
         for index in 0..count {
-            switch.add(&format!("zone-{}", index % zones));
+            sim.add(&format!("zone-{}", index % zones));
         }
-        switch
+        sim
     }
 
     pub fn address(index: usize) -> SocketAddr {
@@ -114,11 +114,11 @@
         self.push(start, index, Event::Wake);
     }
 
-    /// Does something at a daemon, and carries out what comes of it.
+    /// Runs `action` on a daemon and executes the resulting actions.
     pub fn act(&mut self, index: usize, action: impl FnOnce(&mut Daemon, Duration)) {
         let now = self.now;
         action(&mut self.daemons[index], now);
-        self.drain(index);
+        self.execute_actions(index);
     }
 
     /// Gives a daemon the address of another one, which must be down.
@@ -127,7 +127,7 @@
         self.take_address_at(index, other, now);
     }
 
-    /// As [`Switch::take_address`], by a process whose own clock tells its incarnation.
+    /// As [`Simulation::take_address`], with an incarnation by the new process's own clock.
     pub fn take_address_at(&mut self, index: usize, other: usize, incarnation: u64) {
         self.daemons[index].peer = self.daemons[other].peer;
         self.by_peer.insert(self.daemons[other].peer, index);
@@ -136,7 +136,7 @@
 
     pub fn kill(&mut self, index: usize) {
         self.daemons[index].up = false;
-        self.daemons[index].life += 1;
+        self.daemons[index].generation += 1;
     }
 
     /// A new process of the same host at the same address.
@@ -144,33 +144,33 @@
         self.kill(index);
         let daemon = &mut self.daemons[index];
         let (name, zone, peer) = (daemon.name.clone(), daemon.zone.clone(), daemon.peer);
-        let life = daemon.life;
-        let seed = u64::from(life) << 32 | index as u64;
+        let generation = daemon.generation;
+        let seed = u64::from(generation) << 32 | index as u64;
         let old = std::mem::replace(daemon, Daemon::new(name, &zone, peer, incarnation, seed));
-        daemon.life = life;
+        daemon.generation = generation;
         daemon.events = old.events;
         daemon.alarms = old.alarms;
         daemon.adopted = old.adopted;
         self.seed(index);
     }
 
-    /// Stops the process; what arrives is kept for it, as in a socket's buffer.
+    /// Pauses the process; incoming events are queued, as in a socket's buffer.
     pub fn pause(&mut self, index: usize) {
         self.daemons[index].paused = true;
     }
 
     pub fn resume(&mut self, index: usize) {
         self.daemons[index].paused = false;
-        let held = std::mem::take(&mut self.daemons[index].held);
-        for event in held {
+        let queued = std::mem::take(&mut self.daemons[index].queued);
+        for event in queued {
             self.push(self.now, index, event);
         }
     }
 
-    /// Cuts both ways between the two sides.
-    pub fn cut(&mut self, left: &[usize], right: &[usize]) {
+    /// Blocks both directions between the two sides.
+    pub fn partition(&mut self, left: &[usize], right: &[usize]) {
         for &a in left {
-            self.cuts.extend(right.iter().flat_map(|&b| [(a, b), (b, a)]));
+            self.blocked.extend(right.iter().flat_map(|&b| [(a, b), (b, a)]));
         }
     }
 
@@ -178,11 +178,11 @@
         (0..self.daemons.len()).filter(|&index| self.daemons[index].zone == zone).collect()
     }
 
-    /// Writes to the store, whatever it held.
+    /// Writes to the store, regardless of its content.
     pub fn write_store(&mut self, edition: ConfigEdition) {
         self.store.edition = Some(edition);
-        for (watch, (index, life)) in self.watches.clone() {
-            if life == self.daemons[index].life {
+        for (watch, (index, generation)) in self.watches.clone() {
+            if generation == self.daemons[index].generation {
                 self.push(self.now + STORE_DELAY, index, Event::Stored { watch: Some(watch) });
             }
         }
@@ -194,14 +194,14 @@
             if *at > end {
                 break;
             }
-            let Some(Reverse((at, _, index, life, event))) = self.queue.pop() else { break };
+            let Some(Reverse((at, _, index, generation, event))) = self.queue.pop() else { break };
             self.now = at;
-            self.handle(index, life, event);
+            self.handle(index, generation, event);
         }
         self.now = end;
     }
 
-    /// Runs in steps of 10 ms until `done`, at most `limit`; the time it took.
+    /// Runs in steps of 10 ms until `done`, for at most `limit`; returns the elapsed time.
     pub fn run_until(&mut self, limit: Duration, done: impl Fn(&Self) -> bool) -> Option<Duration> {
         let start = self.now;
         while self.now - start < limit {
@@ -215,40 +215,40 @@
 
     fn push(&mut self, at: Duration, index: usize, event: Event) {
         self.sequence += 1;
-        let life = self.daemons[index].life;
-        self.queue.push(Reverse((at, self.sequence, index, life, event)));
+        let generation = self.daemons[index].generation;
+        self.queue.push(Reverse((at, self.sequence, index, generation, event)));
     }
 
-    fn handle(&mut self, index: usize, life: u32, event: Event) {
+    fn handle(&mut self, index: usize, generation: u32, event: Event) {
         let daemon = &mut self.daemons[index];
         let packet = matches!(event, Event::Packet { .. });
-        if !daemon.up || (life != daemon.life && !packet) {
+        if !daemon.up || (generation != daemon.generation && !packet) {
             return;
         }
         if daemon.paused {
-            daemon.held.push(event);
+            daemon.queued.push(event);
             return;
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         match event {
             Event::Wake => self.wake(index),
             Event::Packet { from, bytes } => {
-                let _refused = self.daemons[index].table.receive(self.now, from, &bytes);
+                let _rejected = self.daemons[index].table.receive(self.now, from, &bytes);
             }
             Event::Pulled { from } => self.pulled(index, from),
             Event::Stored { watch } => self.stored(index, watch),
         }
-        self.drain(index);
-        self.work += begun.elapsed();
+        self.execute_actions(index);
+        self.busy_time += started.elapsed();
     }
 
     fn transmit(&mut self, index: usize, to: SocketAddr, bytes: Vec<u8>) {
         let Some(&target) = self.by_peer.get(&to) else { return };
         let from = self.daemons[index].peer;
         self.sent = (self.sent.0 + 1, self.sent.1 + bytes.len() as u64);
-        let copies = 1 + u32::from(self.rng.random_bool(self.doubled));
+        let copies = 1 + u32::from(self.rng.random_bool(self.duplication));
         for _ in 0..copies {
-            let lost = self.rng.random_bool(self.loss) || self.cuts.contains(&(index, target));
+            let lost = self.rng.random_bool(self.loss) || self.blocked.contains(&(index, target));
             let delay = self.rng.random_range(self.delay.0..=self.delay.1);
             if !lost {
                 let at = self.now + Duration::from_micros(delay);
