--- a/crates/hawthorn-daemon/src/owner/finish.rs
+++ b/crates/hawthorn-daemon/src/owner/finish.rs
@@ -30,7 +30,7 @@
             PieceResult::NotRun(reason) => self.end_run(piece, OnceOutcome::NotRun(reason)),
             PieceResult::Unknown(reason) => self.end_run(piece, OnceOutcome::Unknown(reason)),
             PieceResult::Failed(reason) => self.end_run(piece, OnceOutcome::Failed(reason)),
-            PieceResult::Withdrawn { .. } => {
+            PieceResult::Cancelled { .. } => {
                 self.table.pieces.remove(&piece);
             }
         }
--- a/crates/hawthorn-daemon/src/owner/intent.rs
+++ b/crates/hawthorn-daemon/src/owner/intent.rs
@@ -261,7 +261,7 @@
         SeenRecord {
             target: self.target_names.name(key.0).clone(),
             phase,
-            in_flight: u32::from(self.state.slots_taken(key)),
+            in_flight: u32::from(self.state.slots_in_use(key)),
         }
     }
 }
--- a/crates/hawthorn-daemon/src/owner/relay.rs
+++ b/crates/hawthorn-daemon/src/owner/relay.rs
@@ -127,7 +127,7 @@
 
     /// Sets when the piece is relayed unless it has ended by then.
     pub(super) fn arm_relay(&mut self, piece: PieceKey, shard: ShardKey) {
-        let here = self.state.service_time(shard);
+        let here = self.state.p90_service_time(shard);
         let elsewhere = self.time_elsewhere(self.shard_names.name(shard.0));
         let delay = relay::delay(here, elsewhere, &self.relays.options);
         self.relays.due.push(Reverse((self.now().after(delay), piece)));
@@ -135,7 +135,7 @@
 
     /// Whether a piece that another owner relays may be worked on here.
     pub(super) fn may_take_relayed(&self, shard: ShardKey) -> bool {
-        relay::may_take(self.state.expected_wait(shard, hawthorn_types::UrgencyClass::Normal))
+        relay::may_accept(self.state.expected_wait(shard, hawthorn_types::UrgencyClass::Normal))
     }
 
     /// Relays what is due.
--- a/crates/hawthorn-daemon/src/owner/take.rs
+++ b/crates/hawthorn-daemon/src/owner/take.rs
@@ -65,7 +65,7 @@
                 deadline,
                 waits_since: Some(now),
             };
-            let relayed = hop == BatchHop::Front && self.has_relay(&open.shard);
+            let relayable = hop == BatchHop::Front && self.has_relay(&open.shard);
             let key = self.table.add_piece(open);
             let Some(shard) = shard else {
                 self.end_search_piece(key, PieceOutcome::NotOwner);
@@ -83,8 +83,8 @@
                 version,
                 deadline,
                 expected_cost: None,
-                once: false,
-                relayed,
+                at_most_once: false,
+                relayable,
             };
             self.submit(queued);
         }
@@ -94,7 +94,7 @@
         let outcome = self.state.submit(self.now(), queued);
         if let hawthorn_decide::admit::Outcome::Refused { reason, .. } = outcome {
             self.end_missing(queued.piece, missing_for(reason));
-        } else if queued.relayed {
+        } else if queued.relayable {
             self.arm_relay(queued.piece, queued.shard);
         }
     }
@@ -133,8 +133,8 @@
             version,
             deadline,
             expected_cost: None,
-            once: true,
-            relayed: false,
+            at_most_once: true,
+            relayable: false,
         };
         let outcome = self.state.submit(now, queued);
         if let hawthorn_decide::admit::Outcome::Refused { reason, .. } = outcome {
--- a/crates/hawthorn-daemon/src/owner/tell.rs
+++ b/crates/hawthorn-daemon/src/owner/tell.rs
@@ -29,7 +29,7 @@
         let gauges = OwnerGauges {
             batches: self.table.batches.len() as u64,
             queued: counters.waiting.iter().map(|&count| u64::from(count)).sum(),
-            slots_in_use: u64::from(counters.slots_taken),
+            slots_in_use: u64::from(counters.slots_in_use),
             targets: self.targets.len() as u64,
             attempts: counters.attempts,
             extra_attempts: extra_attempts(counters),
@@ -38,7 +38,7 @@
         let counters = counters.clone();
         self.metrics.count_owner(&self.counted, &counters);
         self.counted = counters;
-        let running = self.buckets.iter().filter(|(key, _)| self.state.slots_taken(**key) > 0);
+        let running = self.buckets.iter().filter(|(key, _)| self.state.slots_in_use(**key) > 0);
         let busy: HashSet<u16> = running.map(|(_, &bucket)| bucket).collect();
         if **self.busy.borrow() != busy {
             self.busy.send_replace(Arc::new(busy));
@@ -69,7 +69,7 @@
         let now = self.now();
         ShardTimes {
             wait_us: micros(self.state.current_wait(now, key, UrgencyClass::Urgent)),
-            service_us: micros(self.state.typical_time(now, key)),
+            service_us: micros(self.state.best_replica_latency(now, key)),
         }
     }
 }
--- a/crates/hawthorn-daemon/src/process/options.rs
+++ b/crates/hawthorn-daemon/src/process/options.rs
@@ -61,7 +61,7 @@
 pub fn owner(settings: &DaemonSettings) -> owner::Options {
     let mut decide = hawthorn_decide::owner::Options::default();
     decide.queue.waiting_limit = settings.limits.group_queue;
-    decide.hedge.least_delay = settings.hedge.min_delay;
+    decide.hedge.min_delay = settings.hedge.min_delay;
     decide.budget.share = f64::from(settings.hedge.budget_percent) / PERCENT;
     decide.shift.probe_interval = settings.probe.interval;
     owner::Options {
--- a/crates/hawthorn-decide/benches/decide.rs
+++ b/crates/hawthorn-decide/benches/decide.rs
@@ -82,8 +82,8 @@
                 version: IndexVersion(1),
                 deadline: TickTime(self.now + SECOND),
                 expected_cost: None,
-                once: false,
-                relayed: false,
+                at_most_once: false,
+                relayable: false,
             },
         );
         black_box(outcome);
--- a/crates/hawthorn-decide/src/counter.rs
+++ b/crates/hawthorn-decide/src/counter.rs
@@ -20,7 +20,7 @@
     /// Non-idempotent pieces that ran and whose answer cannot be used.
     pub failed: u64,
     /// Pieces withdrawn by the front.
-    pub withdrawn: u64,
+    pub cancelled: u64,
     /// Hedges not made because no slot was spare.
     pub hedges_without_slot: u64,
     /// Attempts cancelled and sent again in their own place; counted as hedges too.
@@ -42,7 +42,7 @@
     /// Gauge: pieces waiting, urgent and normal.
     pub waiting: [u32; 2],
     /// Gauge: slots taken.
-    pub slots_taken: u32,
+    pub slots_in_use: u32,
     refused: [u64; RefusalReason::COUNT],
     missing: [u64; MissingReason::COUNT],
     unknown: [u64; UnknownReason::COUNT],
@@ -56,7 +56,7 @@
             answered: 0,
             attempts: 0,
             failed: 0,
-            withdrawn: 0,
+            cancelled: 0,
             hedges_without_slot: 0,
             restarts: 0,
             hedges_without_budget: 0,
@@ -67,7 +67,7 @@
             ejections: 0,
             ejections_spared: 0,
             waiting: [0; 2],
-            slots_taken: 0,
+            slots_in_use: 0,
             refused: [0; RefusalReason::COUNT],
             missing: [0; MissingReason::COUNT],
             unknown: [0; UnknownReason::COUNT],
--- a/crates/hawthorn-decide/src/hedge.rs
+++ b/crates/hawthorn-decide/src/hedge.rs
@@ -25,7 +25,7 @@
     pub patient_factor: f64,
     /// Never sooner than this. 1 ms: twice the way between zones, so that a
     /// hedge is not spent on the network.
-    pub least_delay: Duration,
+    pub min_delay: Duration,
     /// Attempts of one piece that may be on their way at once. 3: a second
     /// straggler in a row happens in a query of 20 shards once in 500 when 1 %
     /// straggle and once in 20 when 5 % do, a third once in 400.
@@ -37,7 +37,7 @@
         Self {
             eager_factor: 1.25,
             patient_factor: 2.0,
-            least_delay: Duration::from_millis(1),
+            min_delay: Duration::from_millis(1),
             most_attempts: 3,
         }
     }
@@ -50,8 +50,8 @@
 pub(crate) fn delay(times: &ServiceTimes, cost: u64, fullness: f64, options: Options) -> u64 {
     let spread = options.patient_factor - options.eager_factor;
     let factor = options.eager_factor + (1.0 - fullness) * spread;
-    let delay = times.ninetieth() as f64 * factor * stretch(times, cost);
-    (delay as u64).max(micros(options.least_delay))
+    let delay = times.p90() as f64 * factor * stretch(times, cost);
+    (delay as u64).max(micros(options.min_delay))
 }
 
 /// How much longer than usual a caller's work takes, when it is long work: the
--- a/crates/hawthorn-decide/src/latency.rs
+++ b/crates/hawthorn-decide/src/latency.rs
@@ -21,7 +21,7 @@
     total: u32,
     fresh: u32,
     median: u64,
-    ninetieth: u64,
+    p90: u64,
 }
 
 impl ServiceTimes {
@@ -32,7 +32,7 @@
             total: 0,
             fresh: 0,
             median: guess,
-            ninetieth: guess.saturating_mul(2),
+            p90: guess.saturating_mul(2),
         }
     }
 
@@ -42,8 +42,8 @@
     }
 
     /// Nine in ten requests take at most so long, in microseconds.
-    pub fn ninetieth(&self) -> u64 {
-        self.ninetieth
+    pub fn p90(&self) -> u64 {
+        self.p90
     }
 
     /// Takes in one request's time, or for a cancelled one the time it had
@@ -71,7 +71,7 @@
     fn refresh(&mut self) {
         self.fresh = 0;
         self.median = self.quantile(0.5);
-        self.ninetieth = self.quantile(0.9);
+        self.p90 = self.quantile(0.9);
     }
 
     fn quantile(&self, share: f64) -> u64 {
--- a/crates/hawthorn-decide/src/message.rs
+++ b/crates/hawthorn-decide/src/message.rs
@@ -97,10 +97,10 @@
     /// the caller's average.
     pub expected_cost: Option<Duration>,
     /// A non-idempotent request: sent at most once, never hedged or retried.
-    pub once: bool,
+    pub at_most_once: bool,
     /// Another zone's owner can be asked in its stead: a second attempt at a
     /// target that already has one would spend the budget on the worse chance.
-    pub relayed: bool,
+    pub relayable: bool,
 }
 
 /// How an attempt ended.
@@ -144,7 +144,7 @@
     /// A non-idempotent piece ran and its answer cannot be used.
     Failed(FailureReason),
     /// It was cancelled by the front.
-    Withdrawn {
+    Cancelled {
         /// Whether an attempt may have reached a target.
         sent: bool,
     },
--- a/crates/hawthorn-decide/src/owner/dispatch.rs
+++ b/crates/hawthorn-decide/src/owner/dispatch.rs
@@ -160,7 +160,7 @@
         }
         self.shards[shard.index()].queue.charge_lane(lane, cost);
         self.attempt(now, handle, target);
-        if !self.pieces.at(handle.index).ask.once {
+        if !self.pieces.at(handle.index).ask.at_most_once {
             let delay = self.piece_delay(self.pieces.at(handle.index));
             self.timers.arm(now.plus(delay), TimerAlarm::Hedge(handle));
         }
@@ -188,7 +188,7 @@
         piece.attempts.push(attempt);
         piece.sent = true;
         self.counters.attempts += 1;
-        self.counters.slots_taken += 1;
+        self.counters.slots_in_use += 1;
         self.actions.push_back(OwnerAction::Send {
             attempt: LiveAttempt::id(attempt),
             piece: piece.ask.piece,
@@ -244,7 +244,7 @@
             return true;
         }
         let wait = live.queue.backlog(live.times.median()) / self.slots_of(live).max(1);
-        wait <= live.times.ninetieth()
+        wait <= live.times.p90()
     }
 
     fn put_off_hedge(&mut self, now: TickTime, handle: ArenaHandle) {
@@ -337,7 +337,7 @@
             };
             each.used = piece.attempts.iter().any(busy);
         }
-        if piece.ask.relayed {
+        if piece.ask.relayable {
             candidates.retain(|each| !each.used);
         }
         let options = place::Options { waited: 0, hedge: true, tie };
--- a/crates/hawthorn-decide/src/owner/finish.rs
+++ b/crates/hawthorn-decide/src/owner/finish.rs
@@ -50,7 +50,7 @@
     /// Gives the slot back and settles the caller's account.
     fn release(&mut self, now: TickTime, attempt: &LiveAttempt) {
         self.targets[attempt.target.index()].count.give_back();
-        self.counters.slots_taken -= 1;
+        self.counters.slots_in_use -= 1;
         let taken = now.micros_since(attempt.sent_at);
         let queue = &mut self.shards[attempt.shard.index()].queue;
         queue.settle(attempt.caller, attempt.charged, taken);
@@ -125,7 +125,7 @@
     ) {
         let piece = self.pieces.at_mut(attempt.piece.index);
         piece.attempts.retain(|each| *each != handle);
-        let once = piece.ask.once;
+        let once = piece.ask.at_most_once;
         let target = attempt.target;
         match result {
             AttemptResult::Answered => {
@@ -225,7 +225,7 @@
             PieceResult::NotRun(reason) => self.counters.count_refused(reason),
             PieceResult::Unknown(reason) => self.counters.count_unknown(reason),
             PieceResult::Failed(_) => self.counters.failed += 1,
-            PieceResult::Withdrawn { .. } => {}
+            PieceResult::Cancelled { .. } => {}
         }
         self.actions.push_back(OwnerAction::Finish { piece: piece.ask.piece, result });
     }
@@ -270,7 +270,7 @@
     /// The piece's time is up, wherever it is.
     pub(super) fn expire(&mut self, now: TickTime, handle: ArenaHandle) {
         let piece = self.pieces.at(handle.index);
-        let result = match (piece.ask.once, piece.sent, piece.waiting) {
+        let result = match (piece.ask.at_most_once, piece.sent, piece.waiting) {
             (true, true, _) => PieceResult::Unknown(UnknownReason::DeadlinePast),
             (true, false, _) => PieceResult::NotRun(RefusalReason::ExpiredInQueue),
             (false, false, _) => PieceResult::Missing(MissingReason::QueuedPastDeadline),
--- a/crates/hawthorn-decide/src/owner/mod.rs
+++ b/crates/hawthorn-decide/src/owner/mod.rs
@@ -172,8 +172,8 @@
     pub fn cancel(&mut self, now: TickTime, piece: PieceKey) {
         let Some(&handle) = self.by_key.get(&piece) else { return };
         let sent = self.pieces.get(handle).is_some_and(|piece| piece.sent);
-        self.counters.withdrawn += 1;
-        self.finish(now, handle, PieceResult::Withdrawn { sent });
+        self.counters.cancelled += 1;
+        self.finish(now, handle, PieceResult::Cancelled { sent });
     }
 
     /// Takes the next action; the daemon calls it until there is none.
@@ -204,7 +204,7 @@
     /// late; zero when the shard is unknown. Fronts place by it: a zone whose
     /// only replica has become slow shows no queue while nobody asks it, and
     /// its quantiles follow only after hundreds of slow answers.
-    pub fn typical_time(&self, now: TickTime, shard: ShardKey) -> Duration {
+    pub fn best_replica_latency(&self, now: TickTime, shard: ShardKey) -> Duration {
         let Some(live) = self.shards.get(shard.index()) else { return Duration::ZERO };
         let median = live.times.median();
         let replicas = live.replicas.iter().map(|key| &self.targets[key.index()]);
@@ -218,15 +218,15 @@
     pub fn current_wait(&self, now: TickTime, shard: ShardKey, urgency: UrgencyClass) -> Duration {
         let wait = self.expected_wait(shard, urgency);
         let median = self.shards.get(shard.index()).map_or(0, |live| live.times.median());
-        let pace = self.typical_time(now, shard).as_secs_f64()
+        let pace = self.best_replica_latency(now, shard).as_secs_f64()
             / Duration::from_micros(median.max(1)).as_secs_f64();
         wait.mul_f64(pace.max(1.0))
     }
 
     /// The 90th percentile of a shard's service time, as seen by this owner.
-    pub fn service_time(&self, shard: ShardKey) -> Duration {
+    pub fn p90_service_time(&self, shard: ShardKey) -> Duration {
         let known = self.shards.get(shard.index());
-        Duration::from_micros(known.map_or(0, |shard| shard.times.ninetieth()))
+        Duration::from_micros(known.map_or(0, |shard| shard.times.p90()))
     }
 
     /// Pieces that wait for a shard, urgent and normal.
@@ -243,7 +243,7 @@
     }
 
     /// Slots taken of a target.
-    pub fn slots_taken(&self, target: TargetKey) -> u16 {
+    pub fn slots_in_use(&self, target: TargetKey) -> u16 {
         self.targets.get(target.index()).map_or(0, |target| target.count.taken())
     }
 
--- a/crates/hawthorn-decide/src/owner/watch.rs
+++ b/crates/hawthorn-decide/src/owner/watch.rs
@@ -174,7 +174,7 @@
         };
         while let Some(index) = self.shards[shard.index()].queue.any() {
             let handle = self.pieces.handle_at(index);
-            let once = self.pieces.at(index).ask.once;
+            let once = self.pieces.at(index).ask.at_most_once;
             let result =
                 if once { PieceResult::NotRun(refusal) } else { PieceResult::Missing(missing) };
             self.finish(now, handle, result);
--- a/crates/hawthorn-decide/src/relay.rs
+++ b/crates/hawthorn-decide/src/relay.rs
@@ -21,7 +21,7 @@
     pub delay_factor: f64,
     /// Never sooner than this: the way to the other zone and back would
     /// otherwise be spent on pieces about to be answered.
-    pub least_delay: Duration,
+    pub min_delay: Duration,
     /// The delay while the shard's service time is not known yet.
     pub unknown_delay: Duration,
     /// Never later than so many times what a search takes in the other zone:
@@ -34,7 +34,7 @@
     fn default() -> Self {
         Self {
             delay_factor: 1.25,
-            least_delay: Duration::from_millis(3),
+            min_delay: Duration::from_millis(3),
             unknown_delay: Duration::from_millis(10),
             other_factor: 3,
         }
@@ -44,22 +44,22 @@
 /// How long after it came in a piece is relayed, given the 90th percentile of
 /// its shard's service time here and what a search mostly takes in the other
 /// zone (each zero when unknown).
-pub fn delay(ninetieth: Duration, other: Duration, options: &Options) -> Duration {
-    let own = match ninetieth.is_zero() {
+pub fn delay(p90: Duration, other: Duration, options: &Options) -> Duration {
+    let own = match p90.is_zero() {
         true => options.unknown_delay,
-        false => ninetieth.mul_f64(options.delay_factor),
+        false => p90.mul_f64(options.delay_factor),
     };
     let most = match other.is_zero() {
         true => own,
         false => other * options.other_factor,
     };
-    own.min(most).max(options.least_delay)
+    own.min(most).max(options.min_delay)
 }
 
 /// Whether an owner takes a piece that another owner relays.
 ///
 /// Harm prevented: in saturation relays would move queues from zone to zone and
 /// every piece would be worked on twice. Only a wait of nothing will do.
-pub fn may_take(expected_wait: Duration) -> bool {
+pub fn may_accept(expected_wait: Duration) -> bool {
     expected_wait.is_zero()
 }
--- a/crates/hawthorn-decide/tests/owner.rs
+++ b/crates/hawthorn-decide/tests/owner.rs
@@ -64,7 +64,7 @@
     Model::new(owner, SLOTS)
 }
 
-fn piece(number: u64, once: bool) -> QueuedPiece {
+fn piece(number: u64, at_most_once: bool) -> QueuedPiece {
     QueuedPiece {
         piece: PieceKey(number),
         caller: CallerKey(0),
@@ -73,8 +73,8 @@
         version: IndexVersion(1),
         deadline: TickTime(SECOND),
         expected_cost: None,
-        once,
-        relayed: false,
+        at_most_once,
+        relayable: false,
     }
 }
 
@@ -173,12 +173,12 @@
     let target = model.attempts[0].target;
     model.owner.cancel(model.now, PieceKey(1));
     model.settle()?;
-    assert_eq!(model.pieces[&PieceKey(1)].1, Some(PieceResult::Withdrawn { sent: true }));
+    assert_eq!(model.pieces[&PieceKey(1)].1, Some(PieceResult::Cancelled { sent: true }));
     let grace = owner::Options::default().slots.cancel_grace;
     model.advance(grace.as_micros() as u64 - 1)?;
-    assert_eq!(model.owner.slots_taken(target), 1, "not before the grace is over");
+    assert_eq!(model.owner.slots_in_use(target), 1, "not before the grace is over");
     model.advance(1)?;
-    assert_eq!(model.owner.slots_taken(target), 0);
+    assert_eq!(model.owner.slots_in_use(target), 0);
     assert!(model.attempts[0].closed, "the connection was closed");
     assert_eq!(model.owner.counters().unacknowledged, 1);
     Ok(())
@@ -233,7 +233,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Submit { caller: u32, shard: u32, normal: bool, once: bool, wait: u64 },
+    Submit { caller: u32, shard: u32, normal: bool, at_most_once: bool, wait: u64 },
     End { which: usize, how: usize },
     EndAgain { which: usize },
     Cancel { piece: u64 },
@@ -248,7 +248,7 @@
             caller,
             shard,
             normal,
-            once: once == 0,
+            at_most_once: once == 0,
             wait,
         },
     );
@@ -302,14 +302,14 @@
 
 fn apply(model: &mut Model, number: u64, step: &Step) -> Result<(), String> {
     match *step {
-        Step::Submit { caller, shard, normal, once, wait } => {
+        Step::Submit { caller, shard, normal, at_most_once, wait } => {
             let urgency = if normal { UrgencyClass::Normal } else { UrgencyClass::Urgent };
             let ask = QueuedPiece {
                 caller: CallerKey(caller),
                 shard: ShardKey(shard),
                 urgency,
                 deadline: TickTime(model.now.0 + wait),
-                ..piece(number, once)
+                ..piece(number, at_most_once)
             };
             model.submit(ask)?;
         }
@@ -366,7 +366,7 @@
         }
         model.advance(2 * SECOND).map_err(TestCaseError::fail)?;
         let unfinished = model.pieces.values().filter(|(_, end)| end.is_none()).count();
-        if unfinished > 0 || model.owner.counters().slots_taken > 0 {
+        if unfinished > 0 || model.owner.counters().slots_in_use > 0 {
             return Err(TestCaseError::fail(format!("{unfinished} pieces or a slot left")));
         }
         Ok(())
--- a/crates/hawthorn-decide/tests/queue.rs
+++ b/crates/hawthorn-decide/tests/queue.rs
@@ -214,8 +214,8 @@
         version: IndexVersion(1),
         deadline: TickTime(1_000 * SECOND),
         expected_cost: None,
-        once: true,
-        relayed: false,
+        at_most_once: true,
+        relayable: false,
     }
 }
 
--- a/crates/hawthorn-decide/tests/relay.rs
+++ b/crates/hawthorn-decide/tests/relay.rs
@@ -34,7 +34,7 @@
 /// to zone, each would be worked on twice and all would be later still.
 #[test]
 fn only_a_free_slot_takes_a_relay() -> Result<(), Box<dyn Error>> {
-    assert!(relay::may_take(Duration::ZERO));
-    assert!(!relay::may_take(Duration::from_micros(1)));
+    assert!(relay::may_accept(Duration::ZERO));
+    assert!(!relay::may_accept(Duration::from_micros(1)));
     Ok(())
 }
--- a/crates/hawthorn-decide/tests/support/credits.rs
+++ b/crates/hawthorn-decide/tests/support/credits.rs
@@ -55,7 +55,7 @@
         let index = target as usize;
         for (front, owner) in fronts.iter().enumerate() {
             if !waits(owner, shard) {
-                let taken = owner.slots_taken(TargetKey(target));
+                let taken = owner.slots_in_use(TargetKey(target));
                 self.lent[front][index] = self.lent[front][index].min(taken);
             }
         }
@@ -83,7 +83,7 @@
     /// Slots lent or still taken.
     fn held(&self, index: usize, fronts: &[OwnerState]) -> u16 {
         let each = fronts.iter().enumerate().map(|(front, owner)| {
-            self.lent[front][index].max(owner.slots_taken(TargetKey::from(index)))
+            self.lent[front][index].max(owner.slots_in_use(TargetKey::from(index)))
         });
         each.sum()
     }
--- a/crates/hawthorn-decide/tests/support/mod.rs
+++ b/crates/hawthorn-decide/tests/support/mod.rs
@@ -325,8 +325,8 @@
                 version: IndexVersion(1),
                 deadline: TickTime(query.deadline),
                 expected_cost: None,
-                once: false,
-                relayed: false,
+                at_most_once: false,
+                relayable: false,
             };
             if self.fronts[front].submit(now, piece) != admit::Outcome::Queued {
                 self.close_piece(piece.piece.0, false);
--- a/crates/hawthorn-decide/tests/support/model.rs
+++ b/crates/hawthorn-decide/tests/support/model.rs
@@ -115,7 +115,7 @@
         if end.is_some() {
             return Err(format!("sent {piece:?} after its end"));
         }
-        if ask.once && self.attempts.iter().any(|sent| sent.piece == piece) {
+        if ask.at_most_once && self.attempts.iter().any(|sent| sent.piece == piece) {
             return Err(format!("sent the non-idempotent {piece:?} twice"));
         }
         if self.attempts.iter().any(|sent| sent.attempt == attempt) {
@@ -144,7 +144,7 @@
             return Err(format!("{piece:?} finished as {end:?} and as {result:?}"));
         }
         *end = Some(result);
-        let once = ask.once;
+        let once = ask.at_most_once;
         let mine = self.attempts.iter().filter(|sent| sent.piece == piece);
         let reached = mine.clone().any(|sent| may_have_run(sent.result));
         let truthful = match result {
@@ -156,7 +156,7 @@
             PieceResult::Missing(_) => !once,
             PieceResult::NotRun(_) => once && !reached,
             PieceResult::Unknown(_) | PieceResult::Failed(_) => once && reached,
-            PieceResult::Withdrawn { sent } => sent || !reached,
+            PieceResult::Cancelled { sent } => sent || !reached,
         };
         if truthful { Ok(()) } else { Err(format!("{piece:?} finished as {result:?}")) }
     }
--- a/crates/hawthorn-route/src/hedge.rs
+++ b/crates/hawthorn-route/src/hedge.rs
@@ -55,7 +55,7 @@
 pub fn delay(times: &ServiceTimes, aim: Duration, fullness: f64, options: &Options) -> Duration {
     let spread = options.patient_factor - options.eager_factor;
     let factor = options.eager_factor + (1.0 - fullness) * spread;
-    let learnt = Duration::from_micros((times.ninetieth() as f64 * factor) as u64);
+    let learnt = Duration::from_micros((times.p90() as f64 * factor) as u64);
     let most = aim.mul_f64(options.aim_share).max(options.least_delay);
     learnt.clamp(options.least_delay, most)
 }
