--- a/crates/hawthorn-decide/benches/decide.rs
+++ b/crates/hawthorn-decide/benches/decide.rs
@@ -1,8 +1,7 @@
-//! What one shard request costs an owner in decisions: submit, send, answer.
+//! CPU cost of an owner's decisions for one shard request: submit, send and answer.
 //!
-//! The steady path works in arenas and rings that are sized beforehand; that it
-//! allocates nothing is not counted here, as a counting allocator needs unsafe
-//! code, which the workspace forbids.
+//! Allocations are not counted, as a counting allocator needs unsafe code, which the workspace
+//! forbids. The steady state uses arenas and ring buffers sized beforehand.
 
 use std::hint::black_box;
 
@@ -35,16 +34,16 @@
 const SERVICE: u64 = 5_000;
 const SECOND: u64 = 1_000_000;
 
-/// An owner and the attempts on their way, oldest first.
-struct Drive {
+/// An owner and its attempts in flight, oldest first.
+struct OwnerDriver {
     owner: OwnerState,
     now: u64,
     next: u64,
     callers: u32,
-    on_way: std::collections::VecDeque<(u64, AttemptId)>,
+    in_flight: std::collections::VecDeque<(u64, AttemptId)>,
 }
 
-impl Drive {
+impl OwnerDriver {
     fn new(callers: u32) -> Self {
         let mut owner = OwnerState::new(owner::Options::default(), 1);
         let record = |target| TargetRecord {
@@ -55,18 +54,18 @@
         };
         let records: Vec<_> = (0..SHARDS * REPLICAS).map(record).collect();
         owner.set_targets(TickTime(0), &records);
-        Self { owner, now: 0, next: 0, callers, on_way: Default::default() }
+        Self { owner, now: 0, next: 0, callers, in_flight: Default::default() }
     }
 
-    /// One piece of each shard comes in `gap` after the last; what is due ends.
+    /// Advances time by `gap`, completes the attempts that are due and submits the next piece.
     fn step(&mut self, gap: u64) {
         self.now += gap;
         let now = TickTime(self.now);
-        while let Some((due, attempt)) = self.on_way.front().copied() {
+        while let Some((due, attempt)) = self.in_flight.front().copied() {
             if due > self.now {
                 break;
             }
-            self.on_way.pop_front();
+            self.in_flight.pop_front();
             self.owner.complete(now, attempt, AttemptResult::Answered);
         }
         self.owner.tick(now);
@@ -90,14 +89,14 @@
         self.next += 1;
         while let Some(action) = self.owner.poll_action() {
             if let OwnerAction::Send { attempt, .. } = action {
-                self.on_way.push_back((self.now + SERVICE, attempt));
+                self.in_flight.push_back((self.now + SERVICE, attempt));
             }
             black_box(&action);
         }
     }
 }
 
-/// `load` of the slots' capacity.
+/// Time between two pieces, in microseconds, at `load` times the capacity of the slots.
 fn gap(load: f64) -> u64 {
     let slots = f64::from(SHARDS * REPLICAS) * f64::from(SLOTS);
     (SERVICE as f64 / slots / load).max(1.0) as u64
@@ -108,12 +107,12 @@
     group.throughput(Throughput::Elements(1));
     for (name, load) in [("half", 0.5), ("twice", 2.0)] {
         for callers in [2, 16, 128] {
-            let mut drive = Drive::new(callers);
+            let mut driver = OwnerDriver::new(callers);
             for _ in 0..100_000 {
-                drive.step(gap(load));
+                driver.step(gap(load));
             }
             group.bench_function(BenchmarkId::new(name, callers), |bencher| {
-                bencher.iter(|| drive.step(gap(load)));
+                bencher.iter(|| driver.step(gap(load)));
             });
         }
     }
--- a/crates/hawthorn-decide/examples/tails.rs
+++ b/crates/hawthorn-decide/examples/tails.rs
@@ -1,5 +1,5 @@
-//! Prints whole-query latency, coverage and extra load of owners against the
-//! baseline, both on the same arrivals and service times.
+//! Prints query latency, coverage and extra load of owners and of the baseline, both on the same
+//! arrivals and service times.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -10,14 +10,14 @@
 use support::POLAND;
 use support::Policy;
 use support::SECOND;
+use support::Simulation;
 use support::Site;
-use support::World;
 
 const SEED: u64 = 7;
 const SECONDS: u64 = 30;
 
-fn run(site: Site, policy: Policy, load: f64) -> World {
-    let mut world = World::new(site, policy, SEED);
+fn run(site: Site, policy: Policy, load: f64) -> Simulation {
+    let mut sim = Simulation::new(site, policy, SEED);
     let rate = site.capacity() * load / 4.0;
     let loads: Vec<CallerLoad> = (0..4)
         .map(|caller| CallerLoad {
@@ -25,9 +25,9 @@
             ..CallerLoad::new(caller, rate, &site)
         })
         .collect();
-    world.add_load(&loads);
-    world.run((SECONDS + 5) * SECOND);
-    world
+    sim.add_load(&loads);
+    sim.run((SECONDS + 5) * SECOND);
+    sim
 }
 
 fn main() {
@@ -45,22 +45,22 @@
                     ..owner::Options::default()
                 };
                 let policies = [
-                    ("baseline", Policy::Naive),
+                    ("baseline", Policy::Baseline),
                     ("owner", Policy::Owners(owner::Options::default())),
                     ("owner, 6 % budget", Policy::Owners(wide)),
                 ];
                 for (policy_name, policy) in policies {
-                    let world = run(site, policy, load);
+                    let sim = run(site, policy, load);
                     println!(
                         "| {name} | {} % | {} % | {policy_name} | {:.1} | {:.1} | {:.1} | {:.6} | {:.2} % | {:.2} |",
                         stragglers * 100.0,
                         load * 100.0,
-                        world.quantile(None, 0.5) as f64 / 1e3,
-                        world.quantile(None, 0.99) as f64 / 1e3,
-                        world.quantile(None, 0.999) as f64 / 1e3,
-                        world.coverage(),
-                        world.extra() * 100.0,
-                        world.spent as f64
+                        sim.quantile(None, 0.5) as f64 / 1e3,
+                        sim.quantile(None, 0.99) as f64 / 1e3,
+                        sim.quantile(None, 0.999) as f64 / 1e3,
+                        sim.coverage(),
+                        sim.extra_ratio() * 100.0,
+                        sim.slot_time as f64
                             / (SECONDS * SECOND * u64::from(site.targets()) * u64::from(site.slots))
                                 as f64,
                     );
--- a/crates/hawthorn-decide/src/budget.rs
+++ b/crates/hawthorn-decide/src/budget.rs
@@ -1,21 +1,19 @@
-//! One budget for all extra attempts, hedges and retries alike.
+//! The budget for extra attempts, shared by hedges and retries.
 //!
-//! The load it is for: targets that slow down or fail together. The harm it
-//! prevents: a tier that answers slowness with more requests, and so keeps the
-//! targets slow after the cause has gone.
+//! When many targets slow down or fail together, unbounded extra attempts add load that keeps them
+//! slow after the cause has gone (a retry storm). The budget bounds that load.
 
 /// Limits of the budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
-    /// Extra attempts allowed for each first attempt. 0.05: targets are sized
-    /// with more than a twentieth to spare, so the extra never tips them over.
+    /// Extra attempts allowed per first attempt. 0.05: targets have more than a twentieth of their
+    /// capacity to spare, so extra attempts do not overload them.
     pub share: f64,
-    /// Extra attempts that can be saved up. 64: about the work in flight at
-    /// one zone's half of a service (32 targets of 2 slots), so that losing as
-    /// much at once still loses no shard.
+    /// Extra attempts that can accumulate. 64: about the work in flight at one zone's half of a
+    /// service (32 targets of 2 slots), all of which can be retried if it is lost at once.
     pub burst: f64,
-    /// Part of the burst that only retries may use. A hedge not made is a slow
-    /// shard, a retry not made is a missing one. 16: a rack of 8 targets.
+    /// Part of the burst reserved for retries: without a hedge a shard is slow, without a retry it
+    /// is missing. 16: the slots of a rack of 8 targets.
     pub retry_reserve: f64,
 }
 
@@ -25,8 +23,8 @@
     }
 }
 
-/// Tokens for extra attempts. Over any time, extra attempts are at most
-/// `share` of the first attempts plus `burst`.
+/// A token bucket for extra attempts. Over any period, extra attempts number at most `share` of
+/// the first attempts plus `burst`.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     options: Options,
@@ -39,30 +37,30 @@
         Self { options, tokens: options.burst }
     }
 
-    /// A first attempt was sent.
-    pub fn earn(&mut self) {
+    /// Adds the `share` of a token that a first attempt earns.
+    pub fn deposit(&mut self) {
         self.tokens = (self.tokens + self.options.share).min(self.options.burst);
     }
 
-    /// Takes a token for a retry; false when none is left.
+    /// Takes a token for a retry; returns false if none is left.
     pub fn spend_retry(&mut self) -> bool {
         self.spend(0.0)
     }
 
-    /// Takes a token for a hedge; false when only the retries' reserve is left.
+    /// Takes a token for a hedge; returns false if only the reserve for retries is left.
     pub fn spend_hedge(&mut self) -> bool {
         self.spend(self.options.retry_reserve)
     }
 
-    /// How much of what hedges may use is left, 0 to 1.
+    /// The fraction, 0 to 1, that is left of the tokens available to hedges.
     pub fn fullness(&self) -> f64 {
         let left = self.tokens - self.options.retry_reserve;
-        let whole = self.options.burst - self.options.retry_reserve;
-        if whole > 0.0 { (left / whole).clamp(0.0, 1.0) } else { 0.0 }
+        let capacity = self.options.burst - self.options.retry_reserve;
+        if capacity > 0.0 { (left / capacity).clamp(0.0, 1.0) } else { 0.0 }
     }
 
-    fn spend(&mut self, keep: f64) -> bool {
-        if self.tokens < keep + 1.0 {
+    fn spend(&mut self, reserve: f64) -> bool {
+        if self.tokens < reserve + 1.0 {
             return false;
         }
         self.tokens -= 1.0;
--- a/crates/hawthorn-decide/src/counter.rs
+++ b/crates/hawthorn-decide/src/counter.rs
@@ -1,4 +1,4 @@
-//! Counters for each refusal and retry reason, and gauges of the moment.
+//! Counters by rejection and retry reason, and gauges.
 
 use strum::EnumCount;
 
@@ -7,41 +7,40 @@
 use hawthorn_types::RetryReason;
 use hawthorn_types::UnknownReason;
 
-/// Totals since the owner started, and a few gauges. Counts are of pieces
-/// unless a field says attempts.
+/// Totals since the owner started, and gauges. Counters count pieces unless stated otherwise.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnerCounters {
     /// Pieces accepted into a queue.
     pub queued: u64,
     /// Pieces answered.
     pub answered: u64,
-    /// Attempts sent, first ones and extra ones.
+    /// Attempts sent, including hedges and retries.
     pub attempts: u64,
-    /// Non-idempotent pieces that ran and whose answer cannot be used.
+    /// Non-idempotent pieces that ran without a usable answer.
     pub failed: u64,
-    /// Pieces withdrawn by the front.
+    /// Pieces cancelled by the front.
     pub cancelled: u64,
-    /// Hedges not made because no slot was spare.
+    /// Hedges not sent because no slot was available for hedging.
     pub hedges_without_slot: u64,
-    /// Attempts cancelled and sent again in their own place; counted as hedges too.
+    /// Pieces whose attempts were cancelled and replaced by a new one; also counted as hedges.
     pub restarts: u64,
-    /// Hedges not made because the budget was spent.
+    /// Hedges and relays not sent because the budget was spent.
     pub hedges_without_budget: u64,
-    /// Answers to attempts whose piece was already finished; dropped.
+    /// Answers to attempts whose piece was already finished; discarded.
     pub late_answers: u64,
-    /// Ends of attempts that this owner does not know; dropped.
+    /// Reported ends of attempts that this owner does not know; discarded.
     pub unknown_attempts: u64,
-    /// Answers that echoed something else; dropped.
+    /// Answers that did not match their attempt; discarded.
     pub crossed_answers: u64,
-    /// Cancelled attempts that were never acknowledged; their connections were closed.
+    /// Cancelled attempts that were not acknowledged, so that their connection was closed.
     pub unacknowledged: u64,
-    /// Times a target was ejected.
+    /// Ejections of targets.
     pub ejections: u64,
-    /// Times an ejection was due and not made: too few replicas would remain.
-    pub ejections_spared: u64,
-    /// Gauge: pieces waiting, urgent and normal.
+    /// Ejections skipped because too few replicas would have remained.
+    pub ejections_skipped: u64,
+    /// Gauge: queued pieces, urgent and normal.
     pub waiting: [u32; 2],
-    /// Gauge: slots taken.
+    /// Gauge: slots in use.
     pub slots_in_use: u32,
     refused: [u64; RefusalReason::COUNT],
     missing: [u64; MissingReason::COUNT],
@@ -65,7 +64,7 @@
             crossed_answers: 0,
             unacknowledged: 0,
             ejections: 0,
-            ejections_spared: 0,
+            ejections_skipped: 0,
             waiting: [0; 2],
             slots_in_use: 0,
             refused: [0; RefusalReason::COUNT],
@@ -77,22 +76,22 @@
 }
 
 impl OwnerCounters {
-    /// Pieces not run for `reason`, refused at once or later.
+    /// Pieces not run for `reason`, rejected on arrival or later.
     pub fn refused(&self, reason: RefusalReason) -> u64 {
         self.refused[reason as usize]
     }
 
-    /// Pieces left without an answer for `reason`.
+    /// Pieces without an answer for `reason`.
     pub fn missing(&self, reason: MissingReason) -> u64 {
         self.missing[reason as usize]
     }
 
-    /// Pieces whose outcome is not known for `reason`.
+    /// Pieces whose outcome is unknown for `reason`.
     pub fn unknown(&self, reason: UnknownReason) -> u64 {
         self.unknown[reason as usize]
     }
 
-    /// Further attempts made for `reason`.
+    /// Extra attempts sent for `reason`.
     pub fn retried(&self, reason: RetryReason) -> u64 {
         self.retried[reason as usize]
     }
--- a/crates/hawthorn-decide/src/hedge.rs
+++ b/crates/hawthorn-decide/src/hedge.rs
@@ -1,10 +1,9 @@
-//! When a second attempt is worth making.
+//! When a hedged request is sent.
 //!
-//! The load it is for: one to five requests in a hundred take twenty times as
-//! long, and a query is as slow as its slowest shard. The harm it prevents:
-//! most queries waiting for a straggler. The limit: extra attempts come out of
-//! one budget, and are made only while waiting pieces wait for less than the
-//! hedge delay: under saturation there are none.
+//! One to five requests in a hundred take twenty times as long, and a query is as slow as its
+//! slowest shard, so without hedges most queries wait for a straggler. Hedges are paid for from the
+//! budget for extra attempts, and are sent only while the queueing delay is below the hedge delay,
+//! so that there are none under saturation.
 
 use std::time::Duration;
 
@@ -14,54 +13,54 @@
 /// Limits of hedging.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
-    /// While the budget is full, the delay is so many times the 90th
-    /// percentile of the service time. The 90th, because stragglers up to a
-    /// tenth of requests do not move it; a higher one becomes the stragglers'
-    /// own time and the hedge comes too late. 1.25 times, because about one
-    /// ordinary request in a hundred takes so long.
-    pub eager_factor: f64,
-    /// And so many times when it is nearly spent. 2: hardly an ordinary request
-    /// takes so long, so that what is left goes to stragglers.
-    pub patient_factor: f64,
-    /// Never sooner than this. 1 ms: twice the way between zones, so that a
-    /// hedge is not spent on the network.
+    /// Hedge delay with a full budget, as a multiple of the 90th percentile of the service time.
+    /// The 90th, as it is unaffected by stragglers of up to a tenth of the requests; a higher
+    /// percentile can become the service time of stragglers, and hedges would come too late.
+    /// 1.25: about one ordinary request in a hundred takes as long.
+    pub full_budget_factor: f64,
+    /// The multiple when the budget is nearly spent. 2: almost no ordinary request takes as long,
+    /// so that the remaining tokens go to stragglers.
+    pub low_budget_factor: f64,
+    /// Lower bound of the delay. 1 ms: twice the latency between zones, so that network latency
+    /// triggers no hedge.
     pub min_delay: Duration,
-    /// Attempts of one piece that may be on their way at once. 3: a second
-    /// straggler in a row happens in a query of 20 shards once in 500 when 1 %
-    /// straggle and once in 20 when 5 % do, a third once in 400.
-    pub most_attempts: usize,
+    /// Maximum attempts of one piece in flight. 3: in a query of 20 shards, two stragglers in a
+    /// row occur once in 500 queries if 1 % of requests are stragglers, and once in 20 if 5 % are;
+    /// three in a row then occur once in 400.
+    pub max_attempts: usize,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            eager_factor: 1.25,
-            patient_factor: 2.0,
+            full_budget_factor: 1.25,
+            low_budget_factor: 2.0,
             min_delay: Duration::from_millis(1),
-            most_attempts: 3,
+            max_attempts: 3,
         }
     }
 }
 
-/// The delay after which an attempt counts as slow, in microseconds. `fullness`
-/// is how much of the budget for hedges is left, 0 to 1; `cost` is the average
-/// slot time of the caller's work. The second hedge of a piece is always eager:
-/// few pieces come to it, and each is the slowest of its query.
+/// The delay after which an attempt is hedged, in microseconds.
+///
+/// `fullness` is the fraction of the hedge budget that is left, 0 to 1, and `cost` the average slot
+/// time of the caller's work. Callers pass a fullness of 1 for the second hedge of a piece: few
+/// pieces need one, and each of them is the slowest of its query.
 pub(crate) fn delay(times: &ServiceTimes, cost: u64, fullness: f64, options: Options) -> u64 {
-    let spread = options.patient_factor - options.eager_factor;
-    let factor = options.eager_factor + (1.0 - fullness) * spread;
-    let delay = times.p90() as f64 * factor * stretch(times, cost);
+    let spread = options.low_budget_factor - options.full_budget_factor;
+    let factor = options.full_budget_factor + (1.0 - fullness) * spread;
+    let delay = times.p90() as f64 * factor * long_work_scale(times, cost);
     (delay as u64).max(micros(options.min_delay))
 }
 
-/// How much longer than usual a caller's work takes, when it is long work: the
-/// shard's quantiles say nothing of it, and hedging it would spend the budget
-/// on requests that are not late.
-fn stretch(times: &ServiceTimes, cost: u64) -> f64 {
+/// Factor on the delay for callers whose work takes much longer than the shard's median. The
+/// shard's quantiles do not describe such work, and hedging by them would spend the budget on
+/// requests that are not late.
+fn long_work_scale(times: &ServiceTimes, cost: u64) -> f64 {
     let ratio = cost as f64 / times.median().max(1) as f64;
-    if ratio > LONG_WORK { ratio } else { 1.0 }
+    if ratio > LONG_WORK_RATIO { ratio } else { 1.0 }
 }
 
-/// Averages up to this many times the shard's median come from stragglers: at
-/// 5 % of 20 times the median the average is twice the median, and wanders.
-const LONG_WORK: f64 = 4.0;
+/// Averages up to this multiple of the shard's median can be due to stragglers: with 5 % of the
+/// requests at 20 times the median, the average varies around twice the median.
+const LONG_WORK_RATIO: f64 = 4.0;
--- a/crates/hawthorn-decide/src/lib.rs
+++ b/crates/hawthorn-decide/src/lib.rs
@@ -1,8 +1,12 @@
-//! Decisions under load: admit, queue, place, hedge, shift. No sockets, no clock, no threads.
+//! Overload decisions of an owner: admission, queueing, replica selection, hedging, and shifting
+//! traffic between targets. The crate has no sockets, no clock and no threads.
 //!
-//! [`owner::OwnerState`] is the whole: an owner's daemon tells it what happened
-//! and does what it says. The other modules each hold one decision and the
-//! limits it keeps to.
+//! An *owner* is the process that holds the lease on a target and is the only one that sends to
+//! it. A *front* is the process that receives a caller's query and splits it into *pieces*, one
+//! for each shard. An *attempt* is one transmission of a piece to a target.
+//!
+//! [`owner::OwnerState`] is the entry point: a state machine that takes events and returns
+//! actions. Each of the other modules holds one decision and its limits.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms)]
 
@@ -26,8 +30,8 @@
 
 pub use counter::OwnerCounters;
 pub use message::AttemptResult;
+pub use message::DrainSource;
 pub use message::HeldShard;
-pub use message::LeavingSource;
 pub use message::Observation;
 pub use message::OwnerAction;
 pub use message::PieceKey;
--- a/crates/hawthorn-decide/src/message.rs
+++ b/crates/hawthorn-decide/src/message.rs
@@ -1,4 +1,4 @@
-//! What the daemon tells the owner, and what the owner tells the daemon to do.
+//! Events that the daemon passes to the owner, and actions that the owner returns.
 
 use std::time::Duration;
 
@@ -19,87 +19,86 @@
 use hawthorn_types::caller::UrgencyClass;
 use hawthorn_types::target::TargetRefusal;
 
-/// Names one piece, one shard's part of one request. The daemon chooses it;
-/// unique among the pieces that are not finished.
+/// Identifies one piece: the part of a request that concerns one shard. Assigned by the daemon,
+/// unique among unfinished pieces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct PieceKey(pub u64);
 
-/// A target that this owner owns, as configured.
+/// Configuration of a target that this owner holds.
 ///
-/// Keys stay the same for the life of an owner: a target that goes and comes
-/// back has the key it had.
+/// Keys are stable for the lifetime of an owner: a target that is removed and added again keeps
+/// its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetRecord {
     /// The target.
     pub key: TargetKey,
-    /// Requests it works on at a time, as this owner may use them.
+    /// Concurrent requests that this owner may send to it.
     pub slots: u16,
-    /// What operators want of it.
+    /// The state that operators want it to be in.
     pub wanted: WantedState,
-    /// The shards it holds a replica of.
+    /// Shards of which it holds a replica.
     pub shards: SmallVec<[ShardKey; 2]>,
 }
 
-/// Where a leaving sign came from.
+/// The origin of a drain signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeavingSource {
+pub enum DrainSource {
     /// The platform's list of hosts.
     Platform,
     /// The target itself.
     Target,
-    /// The operators.
+    /// Operators.
     Operators,
 }
 
-/// A shard that a target holds at a version.
+/// A shard at an index version, as held by a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldShard {
     /// The shard.
     pub shard: ShardKey,
-    /// The version.
+    /// The index version.
     pub version: IndexVersion,
 }
 
-/// What the daemon learnt of a target other than from an attempt.
+/// Information about a target from any source but an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// The target answered `GET /state`. It may lag or mislead.
+    /// The target answered `GET /state`. The report can be stale or wrong.
     Reported {
-        /// The phase it says it is in.
+        /// The phase that it reports.
         phase: TargetPhase,
-        /// Everything it says it holds.
+        /// All shards and versions that it reports to hold.
         held: SmallVec<[HeldShard; 4]>,
     },
     /// `GET /state` was not answered.
     Unreachable,
-    /// It is leaving; nothing new goes to it from now on.
-    Leaving(LeavingSource),
-    /// The source no longer says that it is leaving.
-    Staying(LeavingSource),
+    /// The source wants the target drained: it gets no new work from now on.
+    DrainStarted(DrainSource),
+    /// The source withdrew its drain signal.
+    DrainCleared(DrainSource),
 }
 
-/// One shard at one version for one request.
+/// A piece as submitted to an owner: one shard at one version for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueuedPiece {
     /// The piece.
     pub piece: PieceKey,
-    /// Whose request it is; charged for the slot time.
+    /// The caller, which is charged for the slot time.
     pub caller: CallerKey,
-    /// How much a late answer hurts.
+    /// Priority class of the request.
     pub urgency: UrgencyClass,
     /// The shard.
     pub shard: ShardKey,
-    /// The index version; only a target holding it can answer.
+    /// The index version; only targets that hold it can answer.
     pub version: IndexVersion,
-    /// When the answer is of no more use.
+    /// Time after which the answer is useless.
     pub deadline: TickTime,
-    /// The slot time it is expected to take, when the front knows better than
-    /// the caller's average.
+    /// Expected slot time, where the front has a better estimate than the caller's average.
     pub expected_cost: Option<Duration>,
-    /// A non-idempotent request: sent at most once, never hedged or retried.
+    /// The request is not idempotent: it is sent at most once, never hedged or retried.
     pub at_most_once: bool,
-    /// Another zone's owner can be asked in its stead: a second attempt at a
-    /// target that already has one would spend the budget on the worse chance.
+    /// The piece can be relayed to another zone's owner. A second attempt at a target that already
+    /// has one is then not made, as the relay is the better use of the budget.
     pub relayable: bool,
 }
 
@@ -108,87 +107,87 @@
 pub enum AttemptResult {
     /// The target answered this attempt.
     Answered,
-    /// The target refused and did not run it.
+    /// The target rejected the request without running it.
     Refused(TargetRefusal),
-    /// The connection could not be made or broke.
+    /// The connection could not be established, or broke.
     ConnectionFailed {
         /// Whether any byte of the request may have reached the target.
         sent: bool,
     },
-    /// No answer in time; the connection is closed.
+    /// No answer before the deadline; the connection is closed.
     TimedOut,
-    /// The answer echoed something else; the connection is closed.
+    /// The answer does not match this attempt; the connection is closed.
     Crossed,
-    /// The answer was larger than the limit; the connection is closed.
+    /// The answer exceeded the size limit; the connection is closed.
     TooLarge,
     /// The target acknowledged the cancellation.
     Cancelled,
 }
 
-/// What became of a piece.
+/// The final result of a piece.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PieceResult {
-    /// Deliver the answer to this attempt, and no other.
+    /// Answered; only the answer to this attempt may be delivered.
     Answered {
-        /// The attempt that won.
+        /// The attempt whose answer is delivered.
         attempt: AttemptId,
         /// Its target.
         target: TargetKey,
     },
-    /// An idempotent piece has no answer.
+    /// An idempotent piece that has no answer.
     Missing(MissingReason),
-    /// A non-idempotent piece cannot have reached a target.
+    /// A non-idempotent piece that cannot have run.
     NotRun(RefusalReason),
-    /// A non-idempotent piece may have run.
+    /// A non-idempotent piece that may have run.
     Unknown(UnknownReason),
-    /// A non-idempotent piece ran and its answer cannot be used.
+    /// A non-idempotent piece that ran, without a usable answer.
     Failed(FailureReason),
-    /// It was cancelled by the front.
+    /// Cancelled by the front.
     Cancelled {
         /// Whether an attempt may have reached a target.
         sent: bool,
     },
 }
 
-/// Something for the daemon to do.
+/// An action for the daemon to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnerAction {
-    /// Send an attempt. Report its end with `complete`, whatever ends it.
+    /// Send an attempt. Its end, of whichever kind, is to be reported with `complete`.
     Send {
         /// The attempt.
         attempt: AttemptId,
         /// The piece it belongs to.
         piece: PieceKey,
-        /// Where to.
+        /// The target to send it to.
         target: TargetKey,
-        /// When its answer is of no more use.
+        /// Time after which the answer is useless.
         deadline: TickTime,
     },
-    /// Send `POST /cancel`; report the end of the attempt with `complete`.
+    /// Send `POST /cancel`. The end of the attempt is to be reported with `complete`.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
         /// Its target.
         target: TargetKey,
     },
-    /// Close the connection that carries the attempt: its cancellation was not
-    /// acknowledged. Nothing more needs to be reported of it.
+    /// Close the connection that carries the attempt, as its cancellation was not acknowledged.
+    /// The end of the attempt need not be reported.
     Close {
         /// The attempt.
         attempt: AttemptId,
         /// Its target.
         target: TargetKey,
     },
-    /// Tell the front; the last word on this piece.
+    /// Report the final result of a piece to the front.
     Finish {
         /// The piece.
         piece: PieceKey,
-        /// What became of it.
+        /// Its result.
         result: PieceResult,
     },
-    /// Send `GET /state` and report with `observe`, also when unanswered.
+    /// Send `GET /state` and report the outcome with `observe`, also when there is no answer.
     Probe {
-        /// Where to.
+        /// The target to probe.
         target: TargetKey,
     },
 }
--- a/crates/hawthorn-decide/src/owner/admission.rs
+++ b/crates/hawthorn-decide/src/owner/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of pieces and of whole queries, and the waits published to fronts.
+//! Admission of pieces and of batches, and the expected waits that are published to fronts.
 
 use std::time::Duration;
 
@@ -12,24 +12,23 @@
 use hawthorn_types::ShardKey;
 use hawthorn_types::caller::UrgencyClass;
 
-/// What a front asks before it sends a query's pieces.
+/// An admission request of a front for all pieces of a query at this owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BatchAsk<'a> {
-    /// Whose request it is.
+pub struct BatchRequest<'a> {
+    /// The caller.
     pub caller: CallerKey,
-    /// How much a late answer hurts.
+    /// Priority class of the request.
     pub urgency: UrgencyClass,
     /// The shards of the batch.
     pub shards: &'a [ShardKey],
-    /// When the answers are of no more use.
+    /// Time after which the answers are useless.
     pub deadline: TickTime,
 }
 
 impl OwnerState {
-    /// Whether all pieces of a query could be done in time. A front asks this
-    /// before it submits any of them: a query refused in part has cost the
-    /// targets the rest for nothing.
-    pub fn admit_batch(&mut self, now: TickTime, batch: &BatchAsk<'_>) -> admit::Outcome {
+    /// Whether all pieces of a batch can finish before their deadline. A front checks this before
+    /// it submits any of them, as work on the other pieces of a partly rejected query is wasted.
+    pub fn admit_batch(&mut self, now: TickTime, batch: &BatchRequest<'_>) -> admit::Outcome {
         for &shard in batch.shards {
             let outcome = self.admit(now, batch.caller, batch.urgency, shard, batch.deadline);
             if let admit::Outcome::Refused { reason, .. } = outcome {
@@ -40,13 +39,13 @@
         admit::Outcome::Queued
     }
 
-    /// The wait of a new piece of a caller that has nothing waiting, for fronts
-    /// to place queries by.
+    /// Expected wait of a new piece of a caller without queued pieces. Fronts use it to choose
+    /// between zones.
     pub fn expected_wait(&self, shard: ShardKey, urgency: UrgencyClass) -> Duration {
         Duration::from_micros(self.wait_of(CallerKey(u32::MAX), urgency, shard))
     }
 
-    /// The wait of a new piece of `caller`.
+    /// Expected wait of a new piece of `caller`.
     pub fn expected_wait_of(
         &self,
         caller: CallerKey,
@@ -57,16 +56,16 @@
     }
 
     pub(super) fn admit_piece(&self, now: TickTime, piece: &QueuedPiece) -> admit::Outcome {
-        let least = self.options.admit.least_retry;
+        let min_retry = self.options.admit.min_retry_after;
         if piece.caller.0 >= self.options.queue.caller_limit {
-            return refuse(RefusalReason::UnknownCaller, self.options.admit.most_retry);
+            return refuse(RefusalReason::UnknownCaller, self.options.admit.max_retry_after);
         }
-        // Two pieces of one key could not be told apart when they finish.
+        // Two pieces with one key would be indistinguishable when they finish.
         if self.by_key.contains_key(&piece.piece) {
-            return refuse(RefusalReason::BadRequest, least);
+            return refuse(RefusalReason::BadRequest, min_retry);
         }
         if self.pieces.len() >= self.options.piece_limit {
-            return refuse(RefusalReason::QueueFull, least);
+            return refuse(RefusalReason::QueueFull, min_retry);
         }
         self.admit(now, piece.caller, piece.urgency, piece.shard, piece.deadline)
     }
@@ -79,35 +78,38 @@
         shard: ShardKey,
         deadline: TickTime,
     ) -> admit::Outcome {
-        let least = self.options.admit.least_retry;
-        let most = self.options.admit.most_retry;
+        let min_retry = self.options.admit.min_retry_after;
+        let max_retry = self.options.admit.max_retry_after;
         if deadline <= now {
-            return refuse(RefusalReason::DeadlinePast, least);
+            return refuse(RefusalReason::DeadlinePast, min_retry);
         }
-        // Ownership moved while the front still sent here: its new owner is
-        // known within a moment, so the front may come back soon.
+        // Ownership moved while the front still sent here. The front learns of the new owner within
+        // a short time, so it may retry soon.
         let Some(live) = self.shards.get(shard.index()).filter(|live| live.is_owned()) else {
-            return refuse(RefusalReason::OwnerUnreachable, least);
+            return refuse(RefusalReason::OwnerUnreachable, min_retry);
         };
         if !self.is_served(live) {
-            return refuse(RefusalReason::NoTarget, most);
+            return refuse(RefusalReason::NoTarget, max_retry);
         }
         let wait = self.wait_of(caller, urgency, shard);
-        let retry = |span: u64| Duration::from_micros(span).clamp(least, most);
-        let room = live.queue.room();
-        if room == 0 {
+        let retry = |span: u64| Duration::from_micros(span).clamp(min_retry, max_retry);
+        let remaining_capacity = live.queue.remaining_capacity();
+        if remaining_capacity == 0 {
             return refuse(RefusalReason::QueueFull, retry(wait));
         }
-        // Dynamic thresholds (Choudhury and Hahne, 1998): nobody waits with
-        // more pieces than there is room left, so a flood never fills the
-        // queue and the next caller always finds a place.
-        if live.queue.waiting_of(caller.0) >= room {
+        // Dynamic thresholds (Choudhury and Hahne, 1998): no caller may have more pieces queued
+        // than the queue has places left, so a flood never fills it and other callers are still
+        // admitted.
+        if live.queue.waiting_of(caller.0) >= remaining_capacity {
             return refuse(RefusalReason::CallerOverShare, retry(wait));
         }
         let needed = (wait as f64 * self.options.admit.wait_margin) as u64 + live.times.median();
-        let left = deadline.micros_since(now);
-        if (wait > 0 && needed > left) || live.is_hopeless(left) {
-            return refuse(RefusalReason::WaitBeyondDeadline, retry(needed.saturating_sub(left)));
+        let remaining = deadline.micros_since(now);
+        if (wait > 0 && needed > remaining) || live.cannot_answer_within(remaining) {
+            return refuse(
+                RefusalReason::WaitBeyondDeadline,
+                retry(needed.saturating_sub(remaining)),
+            );
         }
         admit::Outcome::Queued
     }
@@ -128,8 +130,9 @@
     }
 
     pub(super) fn slots_of(&self, shard: &LiveShard) -> u64 {
-        let relief = self.relief(shard);
-        let limits = shard.replicas.iter().map(|key| self.targets[key.index()].limit(relief));
+        let best_capacity = self.best_capacity(shard);
+        let limits =
+            shard.replicas.iter().map(|key| self.targets[key.index()].limit(best_capacity));
         limits.map(u64::from).sum()
     }
 }
--- a/crates/hawthorn-decide/src/owner/dispatch.rs
+++ b/crates/hawthorn-decide/src/owner/dispatch.rs
@@ -1,4 +1,4 @@
-//! From the queue to a target: first attempts and hedges.
+//! Dispatch from the shard queues to targets: first attempts, retries and hedges.
 
 use rand::Rng;
 use smallvec::SmallVec;
@@ -12,43 +12,43 @@
 use crate::piece::LivePiece;
 use crate::place;
 use crate::place::Candidate;
-use crate::queue::PieceVerdict;
+use crate::queue::DispatchDecision;
 use crate::queue::QueueEnd;
-use crate::shift::ReplicaRelief;
+use crate::shift::ReplicaCapacity;
 use crate::time::TickTime;
-use crate::timer::TimerAlarm;
+use crate::timer::TimerEvent;
 use hawthorn_types::RetryReason;
 use hawthorn_types::ShardKey;
 use hawthorn_types::TargetKey;
 
 type CandidateList = SmallVec<[Candidate; 4]>;
 
-/// What the last look at a shard's queue found.
-struct PumpView<'a> {
+/// The inputs of replica selection for one shard.
+struct DispatchView<'a> {
     now: TickTime,
     shard: &'a LiveShard,
     targets: &'a [LiveTarget],
-    relief: ReplicaRelief,
-    tie: u64,
+    best_capacity: ReplicaCapacity,
+    tie_break: u64,
 }
 
-impl PumpView<'_> {
+impl DispatchView<'_> {
     fn candidates(&self, piece: &LivePiece) -> CandidateList {
         let median = self.shard.times.median();
         let mut list = CandidateList::new();
         for key in &self.shard.replicas {
             let target = &self.targets[key.index()];
-            if !target.in_service() || piece.refused.contains(key) {
+            if !target.in_service() || piece.excluded_targets.contains(key) {
                 continue;
             }
             list.push(Candidate {
                 target: *key,
                 latency: target.latency(self.now, median),
-                taken: target.count.taken(),
-                limit: target.limit(self.relief),
-                pause: target.shift.send_at(self.relief).micros_since(self.now),
-                seen_version: target.lists(piece.ask.shard, piece.ask.version),
-                used: false,
+                in_use: target.count.in_use(),
+                limit: target.limit(self.best_capacity),
+                available_in: target.health.send_at(self.best_capacity).micros_since(self.now),
+                lists_version: target.lists_version(piece.request.shard, piece.request.version),
+                attempted: false,
             });
         }
         list
@@ -59,93 +59,94 @@
         let options = place::Options {
             waited: self.now.micros_since(piece.queued_at),
             hedge: false,
-            tie: self.tie,
+            tie_break: self.tie_break,
         };
         place::choose(&candidates, options)
     }
 
-    fn has_room(&self) -> bool {
+    fn has_available_slot(&self) -> bool {
         self.shard.replicas.iter().any(|key| {
             let target = &self.targets[key.index()];
-            let paused = target.shift.send_at(self.relief) > self.now;
-            !paused && target.count.taken() < target.limit(self.relief)
+            let paused = target.health.send_at(self.best_capacity) > self.now;
+            !paused && target.count.in_use() < target.limit(self.best_capacity)
         })
     }
 }
 
 impl OwnerState {
-    /// Sends what the shard's queue holds for as long as slots are free.
-    pub(super) fn pump(&mut self, now: TickTime, shard: ShardKey) {
-        self.hedge_due(now, shard);
+    /// Sends queued pieces of the shard while slots are free.
+    pub(super) fn dispatch_queue(&mut self, now: TickTime, shard: ShardKey) {
+        self.send_due_hedges(now, shard);
         while !self.shards[shard.index()].queue.is_empty() {
             let Some((index, target)) = self.pick(now, shard) else {
-                self.arm_rooms(now, shard);
+                self.arm_pause_timers(now, shard);
                 return;
             };
             let handle = self.pieces.handle_at(index);
-            let deadline = self.pieces.at(index).ask.deadline;
-            // Under load the oldest pieces are the next to expire: sent now,
-            // each would take a slot for an answer that comes too late.
-            if self.shards[shard.index()].is_hopeless(deadline.micros_since(now)) {
+            let deadline = self.pieces.at(index).request.deadline;
+            // Under overload the oldest pieces are close to their deadline. Sent now, each would
+            // use a slot for an answer that comes too late.
+            if self.shards[shard.index()].cannot_answer_within(deadline.micros_since(now)) {
                 self.expire(now, handle);
                 continue;
             }
-            self.leave_queue(handle);
+            self.dequeue(handle);
             self.send(now, handle, target);
         }
     }
 
-    /// The piece whose turn it is, and its target.
+    /// The next piece in fair order that can be sent, and its target.
     fn pick(&mut self, now: TickTime, shard: ShardKey) -> Option<(u32, TargetKey)> {
         let live = &self.shards[shard.index()];
-        let relief = self.relief(live);
-        let tie = self.rng.next_u64();
-        let view = PumpView { now, shard: live, targets: &self.targets, relief, tie };
-        if !view.has_room() {
+        let best_capacity = self.best_capacity(live);
+        let tie_break = self.rng.next_u64();
+        let view =
+            DispatchView { now, shard: live, targets: &self.targets, best_capacity, tie_break };
+        if !view.has_available_slot() {
             return None;
         }
         let slots = self.slots_of(live) as u32;
         let mut chosen = None;
-        let mut patience: Option<u64> = None;
+        let mut wait_limit: Option<u64> = None;
         let index = live.queue.pick(&self.pieces, slots, |piece| match view.place(piece) {
             place::Outcome::Send(target) => {
                 chosen = Some(target);
-                PieceVerdict::Send
+                DispatchDecision::Send
             }
-            place::Outcome::WaitAtMost(span) => {
-                patience = Some(patience.map_or(span, |least| least.min(span)));
-                PieceVerdict::Wait
+            place::Outcome::WaitUpTo(span) => {
+                wait_limit = Some(wait_limit.map_or(span, |shortest| shortest.min(span)));
+                DispatchDecision::Wait
             }
-            place::Outcome::Wait => PieceVerdict::Wait,
+            place::Outcome::Wait => DispatchDecision::Wait,
         });
-        if let Some(span) = patience
+        if let Some(span) = wait_limit
             && let Some(&target) = live.replicas.first()
         {
-            self.arm_room(now, target, now.plus(span.max(1)));
+            self.arm_capacity_timer(now, target, now.plus(span.max(1)));
         }
         index.zip(chosen)
     }
 
-    /// Wakes the shard when a paused replica may be sent to again.
-    fn arm_rooms(&mut self, now: TickTime, shard: ShardKey) {
+    /// Arms timers for the ends of the pauses of the shard's replicas.
+    fn arm_pause_timers(&mut self, now: TickTime, shard: ShardKey) {
         let live = &self.shards[shard.index()];
-        let relief = self.relief(live);
+        let best_capacity = self.best_capacity(live);
         let replicas = live.replicas.clone();
         for key in replicas {
             let target = &self.targets[key.index()];
-            let at = target.shift.send_at(relief);
+            let at = target.health.send_at(best_capacity);
             if target.in_service() && at > now {
-                self.arm_room(now, key, at);
+                self.arm_capacity_timer(now, key, at);
             }
         }
     }
 
-    pub(super) fn arm_room(&mut self, now: TickTime, key: TargetKey, at: TickTime) {
+    pub(super) fn arm_capacity_timer(&mut self, now: TickTime, key: TargetKey, at: TickTime) {
         let target = &mut self.targets[key.index()];
-        let armed = target.room_at > now && target.room_at <= at;
+        let armed = target.capacity_timer_at > now && target.capacity_timer_at <= at;
         if !armed {
-            target.room_at = at;
-            self.timers.arm(at, TimerAlarm::Room(key));
+            target.capacity_timer_at = at;
+            self.timers.arm(at, TimerEvent::Capacity(key));
         }
     }
 
@@ -153,28 +154,28 @@
         let piece = self.pieces.at(handle.index);
         let lane = piece.lane();
         let cost = piece.cost;
-        let shard = piece.ask.shard;
-        // A further attempt was paid for from the budget already.
+        let shard = piece.request.shard;
+        // A retry has already been paid for from the budget.
         if !piece.sent {
-            self.budget.earn();
+            self.budget.deposit();
         }
         self.shards[shard.index()].queue.charge_lane(lane, cost);
         self.attempt(now, handle, target);
-        if !self.pieces.at(handle.index).ask.at_most_once {
+        if !self.pieces.at(handle.index).request.at_most_once {
             let delay = self.piece_delay(self.pieces.at(handle.index));
-            self.timers.arm(now.plus(delay), TimerAlarm::Hedge(handle));
+            self.timers.arm(now.plus(delay), TimerEvent::HedgeDelay(handle));
         }
     }
 
-    /// Takes a slot and sends an attempt.
+    /// Acquires a slot and sends an attempt.
     fn attempt(&mut self, now: TickTime, handle: ArenaHandle, target: TargetKey) {
         let piece = self.pieces.at_mut(handle.index);
         let live = &mut self.targets[target.index()];
-        let taken = live.count.take(live.slots);
-        assert!(taken, "a target is chosen only while it has a free slot");
-        live.shift.on_sent(now);
-        let caller = piece.ask.caller.0;
-        let shard = piece.ask.shard;
+        let acquired = live.count.acquire(live.slots);
+        assert!(acquired, "a target is chosen only while it has a free slot");
+        live.health.on_sent(now);
+        let caller = piece.request.caller.0;
+        let shard = piece.request.shard;
         self.shards[shard.index()].queue.charge(caller, piece.cost);
         let attempt = self.attempts.insert(LiveAttempt {
             piece: handle,
@@ -191,54 +192,55 @@
         self.counters.slots_in_use += 1;
         self.actions.push_back(OwnerAction::Send {
             attempt: LiveAttempt::id(attempt),
-            piece: piece.ask.piece,
+            piece: piece.request.piece,
             target,
-            deadline: piece.ask.deadline,
+            deadline: piece.request.deadline,
         });
     }
 
-    /// The piece has been on its way for the hedge delay: another attempt is
-    /// made if a slot is spare and the budget allows, and as soon as one is.
+    /// Hedges a piece that has been in flight for the hedge delay, if the budget allows, as soon as
+    /// a slot is available for hedging.
     pub(super) fn on_hedge_due(&mut self, now: TickTime, handle: ArenaHandle) {
         let Some(piece) = self.pieces.get(handle) else { return };
         if !self.may_hedge(piece) {
             return;
         }
-        if piece.hedge_due {
+        if piece.hedge_pending {
             self.restart_or_wait(now, handle);
             return;
         }
-        let shard = piece.ask.shard;
+        let shard = piece.request.shard;
         let newest = piece.attempts.last().and_then(|attempt| self.attempts.get(*attempt));
         let sent_at = newest.map_or(now, |attempt| attempt.sent_at);
         let due = sent_at.plus(self.piece_delay(piece));
         if due > now {
-            self.timers.arm(due, TimerAlarm::Hedge(handle));
+            self.timers.arm(due, TimerEvent::HedgeDelay(handle));
             return;
         }
-        if !self.is_calm(shard) {
-            self.put_off_hedge(now, handle);
+        if !self.has_hedge_headroom(shard) {
+            self.postpone_hedge(now, handle);
             return;
         }
-        self.pieces.at_mut(handle.index).hedge_due = true;
-        self.shards[shard.index()].due.push_back(handle);
-        self.hedge_due(now, shard);
-        if self.pieces.get(handle).is_some_and(|piece| piece.hedge_due) {
+        self.pieces.at_mut(handle.index).hedge_pending = true;
+        self.shards[shard.index()].pending_hedges.push_back(handle);
+        self.send_due_hedges(now, shard);
+        if self.pieces.get(handle).is_some_and(|piece| piece.hedge_pending) {
             self.restart_or_wait(now, handle);
         }
     }
 
     fn may_hedge(&self, piece: &LivePiece) -> bool {
-        let on_way = piece.attempts.len();
-        !piece.waiting && on_way > 0 && on_way < self.options.hedge.most_attempts
+        let in_flight = piece.attempts.len();
+        !piece.waiting && in_flight > 0 && in_flight < self.options.hedge.max_attempts
     }
 
-    /// A slot is spare when what waits for it waits for less than an ordinary
-    /// request takes. The load is saturation: were hedges made then, each would hold
-    /// up pieces that have not been sent even once. While it is calm a hedge
-    /// goes first: its piece has waited longest, and the loser's cancellation
-    /// gives back a slot that a straggler would have held for much longer.
-    fn is_calm(&self, shard: ShardKey) -> bool {
+    /// Whether slots of the shard are available for hedges: the queueing delay is below the 90th
+    /// percentile of the service time.
+    ///
+    /// Under saturation, each hedge would delay pieces that have not been sent at all. Below it,
+    /// hedges take precedence over queued pieces: their piece has waited longest, and cancelling
+    /// the losing attempt releases a slot that a straggler would have held for much longer.
+    fn has_hedge_headroom(&self, shard: ShardKey) -> bool {
         let live = &self.shards[shard.index()];
         if live.queue.is_empty() {
             return true;
@@ -247,72 +249,73 @@
         wait <= live.times.p90()
     }
 
-    fn put_off_hedge(&mut self, now: TickTime, handle: ArenaHandle) {
-        self.pieces.at_mut(handle.index).hedge_due = false;
+    fn postpone_hedge(&mut self, now: TickTime, handle: ArenaHandle) {
+        self.pieces.at_mut(handle.index).hedge_pending = false;
         self.counters.hedges_without_slot += 1;
         self.restart_or_wait(now, handle);
     }
 
-    /// No slot is spare for the piece's hedge.
+    /// Restarts a piece for whose hedge no slot is available, or checks it again later.
     fn restart_or_wait(&mut self, now: TickTime, handle: ArenaHandle) {
         if self.should_restart(now, handle) && self.budget.spend_hedge() {
             self.restart(now, handle);
             return;
         }
         let delay = self.piece_delay(self.pieces.at(handle.index));
-        self.timers.arm(now.plus(delay), TimerAlarm::Hedge(handle));
+        self.timers.arm(now.plus(delay), TimerEvent::HedgeDelay(handle));
     }
 
-    /// Stragglers can hold every slot of a shard, also as both attempts of one
-    /// piece: no slot is spare then, no hedge is made, and the shard stands
-    /// still for twenty service times. A piece whose newest attempt is late
-    /// beyond doubt is therefore taken back and sent anew, which takes no slot
-    /// beyond those it returns. Once only: what is long by its nature, and not
-    /// by its caller's average, must come to its end.
+    /// Whether the piece's attempts are to be cancelled and replaced by a new one.
+    ///
+    /// Stragglers can hold every slot of a shard, even as both attempts of one piece. No hedge is
+    /// possible then, and the shard stalls for twenty service times. A piece whose latest attempt
+    /// has exceeded the longest hedge delay is therefore restarted, which needs no more slots than
+    /// it releases. Each piece is restarted only once, so that one that takes long by its nature,
+    /// which its caller's average does not show, can finish.
     fn should_restart(&self, now: TickTime, handle: ArenaHandle) -> bool {
         let piece = self.pieces.at(handle.index);
         let newest = piece.attempts.last().and_then(|attempt| self.attempts.get(*attempt));
         let Some(attempt) = newest else { return false };
-        let beyond_doubt = self.hedge_delay_at(attempt.shard, attempt.caller, 0.0);
-        !piece.restarted && now.micros_since(attempt.sent_at) >= beyond_doubt
+        let restart_delay = self.hedge_delay_at(attempt.shard, attempt.caller, 0.0);
+        !piece.restarted && now.micros_since(attempt.sent_at) >= restart_delay
     }
 
     fn restart(&mut self, now: TickTime, handle: ArenaHandle) {
         let piece = self.pieces.at_mut(handle.index);
         piece.restarted = true;
-        piece.hedge_due = false;
+        piece.hedge_pending = false;
         let attempts = std::mem::take(&mut piece.attempts);
         for attempt in attempts {
             self.cancel_attempt(now, attempt);
         }
         self.counters.restarts += 1;
         self.counters.count_retried(RetryReason::Hedge);
-        self.join_queue(handle, QueueEnd::Front);
+        self.enqueue(handle, QueueEnd::Front);
     }
 
-    /// Makes the hedges that are due for as long as slots are spare.
-    fn hedge_due(&mut self, now: TickTime, shard: ShardKey) {
-        if self.shards[shard.index()].due.is_empty() {
+    /// Sends the pending hedges of a shard while slots are available for hedging.
+    fn send_due_hedges(&mut self, now: TickTime, shard: ShardKey) {
+        if self.shards[shard.index()].pending_hedges.is_empty() {
             return;
         }
-        let calm = self.is_calm(shard);
-        while let Some(&handle) = self.shards[shard.index()].due.front() {
+        let headroom = self.has_hedge_headroom(shard);
+        while let Some(&handle) = self.shards[shard.index()].pending_hedges.front() {
             let piece = self.pieces.get(handle);
-            let live = piece.is_some_and(|piece| piece.hedge_due && self.may_hedge(piece));
-            if live && calm {
-                let Some(target) = self.spare_target(now, handle) else { return };
-                self.make_hedge(now, handle, target);
-            } else if live {
-                self.put_off_hedge(now, handle);
+            let still_due = piece.is_some_and(|piece| piece.hedge_pending && self.may_hedge(piece));
+            if still_due && headroom {
+                let Some(target) = self.hedge_target(now, handle) else { return };
+                self.send_hedge(now, handle, target);
+            } else if still_due {
+                self.postpone_hedge(now, handle);
             } else if let Some(piece) = self.pieces.get_mut(handle) {
-                piece.hedge_due = false;
+                piece.hedge_pending = false;
             }
-            self.shards[shard.index()].due.pop_front();
+            self.shards[shard.index()].pending_hedges.pop_front();
         }
     }
 
-    fn make_hedge(&mut self, now: TickTime, handle: ArenaHandle, target: TargetKey) {
-        self.pieces.at_mut(handle.index).hedge_due = false;
+    fn send_hedge(&mut self, now: TickTime, handle: ArenaHandle, target: TargetKey) {
+        self.pieces.at_mut(handle.index).hedge_pending = false;
         if self.budget.spend_hedge() {
             self.counters.count_retried(RetryReason::Hedge);
             self.attempt(now, handle, target);
@@ -320,35 +323,36 @@
             self.counters.hedges_without_budget += 1;
         }
         let delay = self.piece_delay(self.pieces.at(handle.index));
-        self.timers.arm(now.plus(delay), TimerAlarm::Hedge(handle));
+        self.timers.arm(now.plus(delay), TimerEvent::HedgeDelay(handle));
     }
 
-    fn spare_target(&mut self, now: TickTime, handle: ArenaHandle) -> Option<TargetKey> {
-        let tie = self.rng.next_u64();
+    fn hedge_target(&mut self, now: TickTime, handle: ArenaHandle) -> Option<TargetKey> {
+        let tie_break = self.rng.next_u64();
         let piece = self.pieces.at(handle.index);
-        let live = &self.shards[piece.ask.shard.index()];
-        let relief = self.relief(live);
-        let view = PumpView { now, shard: live, targets: &self.targets, relief, tie };
+        let live = &self.shards[piece.request.shard.index()];
+        let best_capacity = self.best_capacity(live);
+        let view =
+            DispatchView { now, shard: live, targets: &self.targets, best_capacity, tie_break };
         let mut candidates = view.candidates(piece);
-        candidates.retain(|each| self.is_spare(each.target));
+        candidates.retain(|each| self.has_target_headroom(each.target));
         for each in &mut candidates {
-            let busy = |attempt: &ArenaHandle| {
+            let runs_here = |attempt: &ArenaHandle| {
                 self.attempts.get(*attempt).is_some_and(|attempt| attempt.target == each.target)
             };
-            each.used = piece.attempts.iter().any(busy);
+            each.attempted = piece.attempts.iter().any(runs_here);
         }
-        if piece.ask.relayable {
-            candidates.retain(|each| !each.used);
+        if piece.request.relayable {
+            candidates.retain(|each| !each.attempted);
         }
-        let options = place::Options { waited: 0, hedge: true, tie };
+        let options = place::Options { waited: 0, hedge: true, tie_break };
         match place::choose(&candidates, options) {
             place::Outcome::Send(target) => Some(target),
-            place::Outcome::Wait | place::Outcome::WaitAtMost(_) => None,
+            place::Outcome::Wait | place::Outcome::WaitUpTo(_) => None,
         }
     }
 
-    /// Whether the target's slots are spare for all its shards.
-    fn is_spare(&self, target: TargetKey) -> bool {
-        self.targets[target.index()].shards.iter().all(|shard| self.is_calm(*shard))
+    /// Whether all shards of the target have slots available for hedges.
+    fn has_target_headroom(&self, target: TargetKey) -> bool {
+        self.targets[target.index()].shards.iter().all(|shard| self.has_hedge_headroom(*shard))
     }
 }
--- a/crates/hawthorn-decide/src/owner/finish.rs
+++ b/crates/hawthorn-decide/src/owner/finish.rs
@@ -1,16 +1,16 @@
-//! How attempts and pieces end.
+//! The end of attempts and pieces.
 
 use super::OwnerState;
 use crate::arena::ArenaHandle;
 use crate::message::AttemptResult;
-use crate::message::LeavingSource;
+use crate::message::DrainSource;
 use crate::message::OwnerAction;
 use crate::message::PieceResult;
 use crate::piece::LiveAttempt;
 use crate::queue::QueueEnd;
-use crate::shift::TargetJudgement;
+use crate::shift::EjectionDecision;
 use crate::time::TickTime;
-use crate::timer::TimerAlarm;
+use crate::timer::TimerEvent;
 use hawthorn_types::AttemptId;
 use hawthorn_types::FailureReason;
 use hawthorn_types::MissingReason;
@@ -21,9 +21,8 @@
 use hawthorn_types::target::TargetRefusal;
 
 impl OwnerState {
-    /// An attempt ended. Ends of attempts that are not known, or whose piece is
-    /// finished, give their slot back and nothing else: an answer is delivered
-    /// only for the attempt that carries it.
+    /// Processes the end of an attempt. Unknown attempts are ignored, and an attempt whose piece is
+    /// finished does not affect the piece: an answer is delivered only for its own attempt.
     pub fn complete(&mut self, now: TickTime, attempt: AttemptId, result: AttemptResult) {
         let handle = ArenaHandle::unpack(attempt.0);
         let Some(attempt) = self.attempts.remove(handle) else {
@@ -34,54 +33,54 @@
             self.counters.crossed_answers += 1;
         }
         self.release(now, &attempt);
-        self.learn(now, &attempt, result);
-        // A restarted piece is live while its first attempt ends: its answer
-        // still counts, its cancellation says nothing.
-        let counts = attempt.cancelled_at.is_none() || result == AttemptResult::Answered;
-        if counts && self.pieces.get(attempt.piece).is_some() {
-            self.conclude(now, handle, &attempt, result);
+        self.record_outcome(now, &attempt, result);
+        // A restarted piece is unfinished while its cancelled attempts end. An answer to one of
+        // them is still used; any other end is ignored.
+        let affects_piece = attempt.cancelled_at.is_none() || result == AttemptResult::Answered;
+        if affects_piece && self.pieces.get(attempt.piece).is_some() {
+            self.resolve_piece(now, handle, &attempt, result);
         } else if result == AttemptResult::Answered {
             self.counters.late_answers += 1;
         }
-        self.pump_target(now, attempt.target);
-        self.tidy();
+        self.dispatch_target_queues(now, attempt.target);
+        self.compact_timers();
     }
 
-    /// Gives the slot back and settles the caller's account.
+    /// Releases the slot and corrects the slot time charged to the caller.
     fn release(&mut self, now: TickTime, attempt: &LiveAttempt) {
-        self.targets[attempt.target.index()].count.give_back();
+        self.targets[attempt.target.index()].count.release();
         self.counters.slots_in_use -= 1;
-        let taken = now.micros_since(attempt.sent_at);
+        let elapsed = now.micros_since(attempt.sent_at);
         let queue = &mut self.shards[attempt.shard.index()].queue;
-        queue.settle(attempt.caller, attempt.charged, taken);
+        queue.settle(attempt.caller, attempt.charged, elapsed);
     }
 
-    /// Learns from the end of an attempt about its target and shard.
-    fn learn(&mut self, now: TickTime, attempt: &LiveAttempt, result: AttemptResult) {
+    /// Updates the state of the target and the shard from the end of an attempt.
+    fn record_outcome(&mut self, now: TickTime, attempt: &LiveAttempt, result: AttemptResult) {
         let options = self.options.shift;
         let key = attempt.target;
         let live = &mut self.targets[key.index()];
         let slots = live.slots;
-        let shift = &mut live.shift;
+        let health = &mut live.health;
         match result {
-            AttemptResult::Answered => self.learn_time(now, attempt),
+            AttemptResult::Answered => self.record_answer_time(now, attempt),
             AttemptResult::ConnectionFailed { .. }
             | AttemptResult::TimedOut
             | AttemptResult::Crossed => {
-                let judgement = shift.on_failure(&options);
-                self.follow(now, key, judgement);
+                let decision = health.on_failure(&options);
+                self.apply_ejection(now, key, decision);
             }
             AttemptResult::Refused(TargetRefusal::Shedding) => {
-                let at = shift.on_shed(now, slots, &options);
-                self.arm_room(now, key, at);
+                let at = health.on_shed(now, slots, &options);
+                self.arm_capacity_timer(now, key, at);
             }
             AttemptResult::Refused(TargetRefusal::Draining) => {
-                shift.on_leaving(LeavingSource::Target, now);
+                health.start_drain(DrainSource::Target, now);
                 self.reassess(now, key);
             }
-            AttemptResult::Refused(TargetRefusal::Cold) => shift.on_cold(now, &options),
+            AttemptResult::Refused(TargetRefusal::Cold) => health.on_cold(now, &options),
             AttemptResult::Refused(TargetRefusal::VersionRetired | TargetRefusal::RangeMoved) => {
-                self.forget_version(attempt);
+                self.remove_version(attempt);
             }
             AttemptResult::Refused(TargetRefusal::Cancelled | TargetRefusal::BadRequest)
             | AttemptResult::TooLarge
@@ -89,34 +88,34 @@
         }
     }
 
-    fn learn_time(&mut self, now: TickTime, attempt: &LiveAttempt) {
+    fn record_answer_time(&mut self, now: TickTime, attempt: &LiveAttempt) {
         let options = self.options.shift;
         let elapsed = now.micros_since(attempt.sent_at);
         let times = &mut self.shards[attempt.shard.index()].times;
         let median = times.median();
         let target = &mut self.targets[attempt.target.index()];
-        // The time of a cancelled attempt was taken in when it was cancelled.
+        // The time of a cancelled attempt was recorded at its cancellation.
         if attempt.cancelled_at.is_none() {
             times.record(elapsed);
             target.record(now, elapsed, median);
         }
         if elapsed <= median.saturating_mul(options.slow_factor) {
-            target.shift.on_good(now, &options);
+            target.health.on_success(now, &options);
             return;
         }
-        let judgement = target.shift.on_slow(&options);
-        self.follow(now, attempt.target, judgement);
+        let decision = target.health.on_slow(&options);
+        self.apply_ejection(now, attempt.target, decision);
     }
 
-    fn forget_version(&mut self, attempt: &LiveAttempt) {
+    fn remove_version(&mut self, attempt: &LiveAttempt) {
         if let Some(piece) = self.pieces.get(attempt.piece) {
-            let version = piece.ask.version;
-            self.targets[attempt.target.index()].forget(attempt.shard, version);
+            let version = piece.request.version;
+            self.targets[attempt.target.index()].remove_version(attempt.shard, version);
         }
     }
 
-    /// Decides what the end of an attempt means for its piece.
-    fn conclude(
+    /// Finishes or retries the piece after the end of one of its attempts.
+    fn resolve_piece(
         &mut self,
         now: TickTime,
         handle: ArenaHandle,
@@ -125,7 +124,7 @@
     ) {
         let piece = self.pieces.at_mut(attempt.piece.index);
         piece.attempts.retain(|each| *each != handle);
-        let once = piece.ask.at_most_once;
+        let at_most_once = piece.request.at_most_once;
         let target = attempt.target;
         match result {
             AttemptResult::Answered => {
@@ -133,7 +132,7 @@
                 let answer = PieceResult::Answered { attempt: attempt_id, target };
                 self.finish(now, attempt.piece, answer);
             }
-            _ if once => self.finish(now, attempt.piece, once_result(result)),
+            _ if at_most_once => self.finish(now, attempt.piece, at_most_once_result(result)),
             AttemptResult::TooLarge => {
                 let result = PieceResult::Missing(MissingReason::AnswerTooLarge);
                 self.finish(now, attempt.piece, result);
@@ -167,8 +166,7 @@
         }
     }
 
-    /// Puts an idempotent piece back in front of its caller's queue, or gives
-    /// it its final answer at once.
+    /// Puts an idempotent piece back at the front of its caller's queue, or finishes it.
     fn retry(
         &mut self,
         now: TickTime,
@@ -179,43 +177,43 @@
     ) {
         let piece = self.pieces.at_mut(handle.index);
         piece.last_reason = missing;
-        // One that sheds has a pause and may be asked again after it; the
-        // others would only say the same again.
-        if reason != RetryReason::Shedding && !piece.refused.contains(&target) {
-            piece.refused.push(target);
+        // A target that sheds load is paused and may be tried again afterwards; any other reason
+        // would recur.
+        if reason != RetryReason::Shedding && !piece.excluded_targets.contains(&target) {
+            piece.excluded_targets.push(target);
         }
         if !piece.attempts.is_empty() {
             return;
         }
-        let late = piece.ask.deadline <= now;
-        let result = if late {
+        let expired = piece.request.deadline <= now;
+        let result = if expired {
             MissingReason::DeadlinePast
-        } else if !self.has_untried(handle) {
+        } else if !self.has_untried_replica(handle) {
             missing
         } else if !self.budget.spend_retry() {
             MissingReason::BudgetSpent
         } else {
             self.counters.count_retried(reason);
-            self.join_queue(handle, QueueEnd::Front);
+            self.enqueue(handle, QueueEnd::Front);
             return;
         };
         self.finish(now, handle, PieceResult::Missing(result));
     }
 
-    /// Whether a replica in service has not turned the piece down.
-    fn has_untried(&self, handle: ArenaHandle) -> bool {
+    /// Whether the piece has not yet failed at some replica in service.
+    fn has_untried_replica(&self, handle: ArenaHandle) -> bool {
         let piece = self.pieces.at(handle.index);
-        let replicas = &self.shards[piece.ask.shard.index()].replicas;
-        replicas
-            .iter()
-            .any(|key| self.targets[key.index()].in_service() && !piece.refused.contains(key))
+        let replicas = &self.shards[piece.request.shard.index()].replicas;
+        replicas.iter().any(|key| {
+            self.targets[key.index()].in_service() && !piece.excluded_targets.contains(key)
+        })
     }
 
-    /// Ends a piece: once, whatever comes later.
+    /// Finishes a piece, which happens exactly once.
     pub(super) fn finish(&mut self, now: TickTime, handle: ArenaHandle, result: PieceResult) {
-        self.leave_queue(handle);
+        self.dequeue(handle);
         let piece = self.pieces.remove(handle).expect("only a live piece is finished");
-        self.by_key.remove(&piece.ask.piece);
+        self.by_key.remove(&piece.request.piece);
         for attempt in piece.attempts {
             self.cancel_attempt(now, attempt);
         }
@@ -227,27 +225,27 @@
             PieceResult::Failed(_) => self.counters.failed += 1,
             PieceResult::Cancelled { .. } => {}
         }
-        self.actions.push_back(OwnerAction::Finish { piece: piece.ask.piece, result });
+        self.actions.push_back(OwnerAction::Finish { piece: piece.request.piece, result });
     }
 
-    /// Cancels an attempt that nobody waits for. Its slot stays taken until
-    /// the target acknowledges or the grace is over.
+    /// Cancels an attempt whose answer is no longer needed. Its slot stays in use until the target
+    /// acknowledges or the grace period ends.
     pub(super) fn cancel_attempt(&mut self, now: TickTime, handle: ArenaHandle) {
         let Some(attempt) = self.attempts.get_mut(handle) else { return };
         attempt.cancelled_at = Some(now);
         let attempt = *attempt;
         let grace = now.after(self.options.slots.cancel_grace);
-        self.timers.arm(grace, TimerAlarm::Grace(handle));
+        self.timers.arm(grace, TimerEvent::CancelGrace(handle));
         self.actions.push_back(OwnerAction::Cancel {
             attempt: LiveAttempt::id(handle),
             target: attempt.target,
         });
-        self.learn_slow(now, &attempt);
+        self.record_slow_cancellation(now, &attempt);
     }
 
-    /// A cancelled attempt that had run for longer than the hedge delay says
-    /// that its target is slow, as much as an answer would.
-    fn learn_slow(&mut self, now: TickTime, attempt: &LiveAttempt) {
+    /// Counts a cancelled attempt that ran for longer than the hedge delay as a slow answer of its
+    /// target.
+    fn record_slow_cancellation(&mut self, now: TickTime, attempt: &LiveAttempt) {
         let elapsed = now.micros_since(attempt.sent_at);
         if elapsed < self.hedge_delay(attempt.shard, attempt.caller) {
             return;
@@ -257,8 +255,8 @@
         times.record(elapsed);
         let target = &mut self.targets[attempt.target.index()];
         target.record(now, elapsed, median);
-        let judgement = target.shift.on_slow(&self.options.shift);
-        self.follow(now, attempt.target, judgement);
+        let decision = target.health.on_slow(&self.options.shift);
+        self.apply_ejection(now, attempt.target, decision);
     }
 
     pub(super) fn on_deadline(&mut self, now: TickTime, handle: ArenaHandle) {
@@ -267,10 +265,10 @@
         }
     }
 
-    /// The piece's time is up, wherever it is.
+    /// Finishes a piece that cannot be answered before its deadline, queued or in flight.
     pub(super) fn expire(&mut self, now: TickTime, handle: ArenaHandle) {
         let piece = self.pieces.at(handle.index);
-        let result = match (piece.ask.at_most_once, piece.sent, piece.waiting) {
+        let result = match (piece.request.at_most_once, piece.sent, piece.waiting) {
             (true, true, _) => PieceResult::Unknown(UnknownReason::DeadlinePast),
             (true, false, _) => PieceResult::NotRun(RefusalReason::ExpiredInQueue),
             (false, false, _) => PieceResult::Missing(MissingReason::QueuedPastDeadline),
@@ -280,10 +278,10 @@
         self.finish(now, handle, result);
     }
 
-    /// A cancellation was not acknowledged in time: the target hangs, or the
-    /// acknowledgement was lost. The connection is closed, which ends the
-    /// attempt at the target, and the slot is free again.
-    pub(super) fn on_grace_over(&mut self, now: TickTime, handle: ArenaHandle) {
+    /// Handles a cancellation that was not acknowledged in time, as the target hangs or the
+    /// acknowledgement was lost. The connection is closed, which ends the attempt at the target,
+    /// and the slot is released.
+    pub(super) fn on_cancel_grace_end(&mut self, now: TickTime, handle: ArenaHandle) {
         let Some(attempt) = self.attempts.remove(handle) else { return };
         self.counters.unacknowledged += 1;
         self.release(now, &attempt);
@@ -291,21 +289,21 @@
             attempt: LiveAttempt::id(handle),
             target: attempt.target,
         });
-        let judgement = self.targets[attempt.target.index()].shift.on_failure(&self.options.shift);
-        self.follow(now, attempt.target, judgement);
-        self.pump_target(now, attempt.target);
+        let decision = self.targets[attempt.target.index()].health.on_failure(&self.options.shift);
+        self.apply_ejection(now, attempt.target, decision);
+        self.dispatch_target_queues(now, attempt.target);
     }
 
-    fn follow(&mut self, now: TickTime, target: TargetKey, judgement: TargetJudgement) {
-        if judgement == TargetJudgement::Eject {
+    fn apply_ejection(&mut self, now: TickTime, target: TargetKey, decision: EjectionDecision) {
+        if decision == EjectionDecision::Eject {
             self.eject(now, target);
         }
     }
 }
 
-/// What the end of its only attempt means for a non-idempotent piece. Not run
-/// only when the target says so or no byte was sent.
-fn once_result(result: AttemptResult) -> PieceResult {
+/// The result of a non-idempotent piece after its only attempt. It is `NotRun` only if the target
+/// reported so or no byte was sent.
+fn at_most_once_result(result: AttemptResult) -> PieceResult {
     match result {
         AttemptResult::Refused(TargetRefusal::Cancelled) | AttemptResult::Cancelled => {
             PieceResult::Unknown(UnknownReason::ConnectionLost)
--- a/crates/hawthorn-decide/src/owner/mod.rs
+++ b/crates/hawthorn-decide/src/owner/mod.rs
@@ -1,9 +1,8 @@
-//! The decisions of an owner as one state machine that its daemon drives.
+//! The decisions of an owner as one state machine, driven by its daemon.
 //!
-//! The daemon calls in with what happened and the time, then takes actions out
-//! until there are none, and calls [`OwnerState::tick`] no later than
-//! [`OwnerState::next_wake`]. All state is in arenas and rings sized when the
-//! owner is made, so that steady work allocates nothing.
+//! The daemon passes in events with the current time, then polls actions until there are none, and
+//! calls [`OwnerState::tick`] no later than [`OwnerState::next_wake`]. State is held in arenas and
+//! ring buffers sized at construction, so that the steady state allocates nothing.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -34,17 +33,17 @@
 use crate::queue::ShardQueue;
 use crate::queue::URGENT;
 use crate::shift;
-use crate::shift::ReplicaRelief;
+use crate::shift::ReplicaCapacity;
 use crate::slots;
 use crate::time::TickTime;
 use crate::time::micros;
-use crate::timer::TimerAlarm;
+use crate::timer::TimerEvent;
 use crate::timer::TimerQueue;
 use hawthorn_types::ShardKey;
 use hawthorn_types::TargetKey;
 use hawthorn_types::caller::UrgencyClass;
 
-pub use admission::BatchAsk;
+pub use admission::BatchRequest;
 use target::LiveTarget;
 
 mod admission;
@@ -53,23 +52,23 @@
 mod target;
 mod watch;
 
-/// Limits of all decisions of an owner.
+/// Limits of an owner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
-    /// Pieces not finished, waiting or on their way, over all shards. 65,536:
-    /// half a second of the shard requests that a daemon of the large fleet takes.
+    /// Maximum unfinished pieces, queued or in flight, over all shards. 65,536: half a second of
+    /// the shard requests that a daemon of the large fleet receives.
     pub piece_limit: usize,
-    /// Of queues.
+    /// Limits of the shard queues.
     pub queue: queue::Options,
-    /// Of admission.
+    /// Limits of admission control.
     pub admit: admit::Options,
-    /// Of hedging.
+    /// Limits of hedging.
     pub hedge: hedge::Options,
-    /// Of the budget for hedges and retries.
+    /// Limits of the budget for hedges and retries.
     pub budget: budget::Options,
-    /// Of shifting load.
+    /// Limits of traffic shifting.
     pub shift: shift::Options,
-    /// Of slots.
+    /// Limits of slots.
     pub slots: slots::Options,
 }
 
@@ -92,23 +91,23 @@
     replicas: SmallVec<[TargetKey; 4]>,
     queue: ShardQueue,
     times: ServiceTimes,
-    /// Pieces on their way for too long, waiting for a slot for a hedge.
-    due: VecDeque<ArenaHandle>,
+    /// Pieces in flight beyond the hedge delay, waiting for a slot to be hedged.
+    pending_hedges: VecDeque<ArenaHandle>,
 }
 
 impl LiveShard {
-    /// Whether this owner owns any replica of it.
+    /// Whether this owner holds any replica of the shard.
     fn is_owned(&self) -> bool {
         !self.replicas.is_empty()
     }
 
-    /// Whether hardly any request is answered within `left` microseconds.
-    fn is_hopeless(&self, left: u64) -> bool {
-        left < self.times.median() / 2
+    /// Whether almost no request is answered within `remaining` microseconds.
+    fn cannot_answer_within(&self, remaining: u64) -> bool {
+        remaining < self.times.median() / 2
     }
 }
 
-/// Everything an owner knows. See the module's documentation.
+/// The state of an owner; see the [module documentation](self).
 #[derive(Debug)]
 pub struct OwnerState {
     options: Options,
@@ -124,15 +123,14 @@
     rng: StdRng,
 }
 
-/// Room for attempts and actions made at the start; both grow to the number of
-/// slots owned and stay there.
-const FIRST_CAPACITY: usize = 4096;
+/// Initial capacity for attempts and actions; both grow up to the number of slots held.
+const INITIAL_CAPACITY: usize = 4096;
 
 impl OwnerState {
-    /// An owner of no targets. `seed` decides ties and spreads probes; the
-    /// same seed and calls give the same decisions.
+    /// Creates an owner without targets. `seed` breaks ties and spreads probes; the same seed and
+    /// calls give the same decisions.
     pub fn new(options: Options, seed: u64) -> Self {
-        let capacity = options.piece_limit.min(FIRST_CAPACITY);
+        let capacity = options.piece_limit.min(INITIAL_CAPACITY);
         Self {
             options,
             shards: Vec::new(),
@@ -148,7 +146,7 @@
         }
     }
 
-    /// Takes in one piece, or refuses it at once.
+    /// Admits a piece, or rejects it at once.
     pub fn submit(&mut self, now: TickTime, piece: QueuedPiece) -> admit::Outcome {
         let outcome = self.admit_piece(now, &piece);
         if let admit::Outcome::Refused { reason, .. } = outcome {
@@ -160,15 +158,14 @@
         let deadline = piece.deadline;
         let handle = self.pieces.insert(LivePiece::new(piece, now));
         self.by_key.insert(piece.piece, handle);
-        self.timers.arm(deadline, TimerAlarm::Deadline(handle));
-        self.join_queue(handle, QueueEnd::Back);
-        self.pump(now, shard);
-        self.tidy();
+        self.timers.arm(deadline, TimerEvent::Deadline(handle));
+        self.enqueue(handle, QueueEnd::Back);
+        self.dispatch_queue(now, shard);
+        self.compact_timers();
         outcome
     }
 
-    /// The front no longer wants the piece. Unknown pieces are ignored: they
-    /// finished meanwhile.
+    /// Cancels a piece for its front. Unknown pieces are ignored, as they finished in the meantime.
     pub fn cancel(&mut self, now: TickTime, piece: PieceKey) {
         let Some(&handle) = self.by_key.get(&piece) else { return };
         let sent = self.pieces.get(handle).is_some_and(|piece| piece.sent);
@@ -176,34 +173,35 @@
         self.finish(now, handle, PieceResult::Cancelled { sent });
     }
 
-    /// Takes the next action; the daemon calls it until there is none.
+    /// Returns the next action; to be called until there is none.
     pub fn poll_action(&mut self) -> Option<OwnerAction> {
         self.actions.pop_front()
     }
 
-    /// When [`OwnerState::tick`] is next due.
+    /// The time at which [`OwnerState::tick`] is next due.
     pub fn next_wake(&self) -> Option<TickTime> {
         self.timers.next()
     }
 
-    /// Does what has become due.
+    /// Handles the timers that are due.
     pub fn tick(&mut self, now: TickTime) {
-        while let Some(alarm) = self.timers.fire(now) {
-            match alarm {
-                TimerAlarm::Deadline(piece) => self.on_deadline(now, piece),
-                TimerAlarm::Hedge(piece) => self.on_hedge_due(now, piece),
-                TimerAlarm::Grace(attempt) => self.on_grace_over(now, attempt),
-                TimerAlarm::Room(target) => self.on_room(now, target),
-                TimerAlarm::Probe(target) => self.on_probe_due(now, target),
+        while let Some(event) = self.timers.fire(now) {
+            match event {
+                TimerEvent::Deadline(piece) => self.on_deadline(now, piece),
+                TimerEvent::HedgeDelay(piece) => self.on_hedge_due(now, piece),
+                TimerEvent::CancelGrace(attempt) => self.on_cancel_grace_end(now, attempt),
+                TimerEvent::Capacity(target) => self.on_capacity_timer(now, target),
+                TimerEvent::Probe(target) => self.on_probe_due(now, target),
             }
         }
-        self.tidy();
+        self.compact_timers();
     }
 
-    /// What a search of a shard takes at its best replica here, as it was of
-    /// late; zero when the shard is unknown. Fronts place by it: a zone whose
-    /// only replica has become slow shows no queue while nobody asks it, and
-    /// its quantiles follow only after hundreds of slow answers.
+    /// Recent average service time of a shard at its fastest replica here; zero if the shard is
+    /// unknown.
+    ///
+    /// Fronts use it to choose a zone. A zone whose only replica has become slow has no queue while
+    /// it gets no traffic, and its quantiles follow only after hundreds of slow answers.
     pub fn best_replica_latency(&self, now: TickTime, shard: ShardKey) -> Duration {
         let Some(live) = self.shards.get(shard.index()) else { return Duration::ZERO };
         let median = live.times.median();
@@ -213,42 +211,42 @@
         Duration::from_micros(best.unwrap_or(median))
     }
 
-    /// The wait of a new piece as [`OwnerState::expected_wait`], at the pace of
-    /// late.
+    /// [`OwnerState::expected_wait`], scaled up if the shard's fastest replica is at present slower
+    /// than the median.
     pub fn current_wait(&self, now: TickTime, shard: ShardKey, urgency: UrgencyClass) -> Duration {
         let wait = self.expected_wait(shard, urgency);
         let median = self.shards.get(shard.index()).map_or(0, |live| live.times.median());
-        let pace = self.best_replica_latency(now, shard).as_secs_f64()
+        let slowdown = self.best_replica_latency(now, shard).as_secs_f64()
             / Duration::from_micros(median.max(1)).as_secs_f64();
-        wait.mul_f64(pace.max(1.0))
+        wait.mul_f64(slowdown.max(1.0))
     }
 
-    /// The 90th percentile of a shard's service time, as seen by this owner.
+    /// The 90th percentile of a shard's service time, as measured by this owner.
     pub fn p90_service_time(&self, shard: ShardKey) -> Duration {
-        let known = self.shards.get(shard.index());
-        Duration::from_micros(known.map_or(0, |shard| shard.times.p90()))
+        let live = self.shards.get(shard.index());
+        Duration::from_micros(live.map_or(0, |shard| shard.times.p90()))
     }
 
-    /// Pieces that wait for a shard, urgent and normal.
-    pub fn waiting_at(&self, shard: ShardKey) -> u32 {
-        let known = self.shards.get(shard.index());
-        known.map_or(0, |shard| shard.queue.waiting(URGENT) + shard.queue.waiting(NORMAL))
+    /// Number of pieces queued for a shard, urgent and normal.
+    pub fn queue_length(&self, shard: ShardKey) -> u32 {
+        let live = self.shards.get(shard.index());
+        live.map_or(0, |shard| shard.queue.waiting(URGENT) + shard.queue.waiting(NORMAL))
     }
 
-    /// How the owner uses a target; none when it owns no such target or gives
-    /// it nothing because it is not wanted or leaving.
+    /// How the owner uses a target; none if it does not hold the target, or if the target is
+    /// switched off or draining.
     pub fn phase(&self, target: TargetKey) -> Option<shift::Phase> {
         let target = self.targets.get(target.index())?;
-        target.in_service().then_some(target.shift.phase)
+        target.in_service().then_some(target.health.phase)
     }
 
-    /// Slots taken of a target.
+    /// Slots in use of a target.
     pub fn slots_in_use(&self, target: TargetKey) -> u16 {
-        self.targets.get(target.index()).map_or(0, |target| target.count.taken())
+        self.targets.get(target.index()).map_or(0, |target| target.count.in_use())
     }
 
-    /// Pays for asking another zone's owner (see [`crate::relay`]) from the one
-    /// budget for extra attempts; false when it is spent.
+    /// Takes a token from the budget for extra attempts for a relay to another zone's owner (see
+    /// [`crate::relay`]); returns false if the budget is spent.
     pub fn spend_relay(&mut self, reason: RetryReason) -> bool {
         let paid = match reason {
             RetryReason::Hedge => self.budget.spend_hedge(),
@@ -262,12 +260,12 @@
         paid
     }
 
-    /// Totals and gauges.
+    /// Counters and gauges.
     pub fn counters(&self) -> &OwnerCounters {
         &self.counters
     }
 
-    /// Whether a replica of the shard may get work, now or after a wait.
+    /// Whether any replica of the shard may get work, now or later.
     fn is_served(&self, shard: &LiveShard) -> bool {
         shard.replicas.iter().any(|key| self.targets[key.index()].in_service())
     }
@@ -275,37 +273,37 @@
     fn has_free_slot(&self, shard: &LiveShard) -> bool {
         shard.replicas.iter().any(|key| {
             let target = &self.targets[key.index()];
-            target.count.taken() < target.limit(ReplicaRelief::Full)
+            target.count.in_use() < target.limit(ReplicaCapacity::Full)
         })
     }
 
-    /// What the best of the shard's replicas can take.
-    fn relief(&self, shard: &LiveShard) -> ReplicaRelief {
+    /// The best capacity among the shard's replicas.
+    fn best_capacity(&self, shard: &LiveShard) -> ReplicaCapacity {
         let targets = shard.replicas.iter().map(|key| &self.targets[key.index()]);
-        targets.map(|target| target.relief()).max().unwrap_or(ReplicaRelief::None)
+        targets.map(|target| target.capacity()).max().unwrap_or(ReplicaCapacity::None)
     }
 
-    fn join_queue(&mut self, handle: ArenaHandle, end: QueueEnd) {
+    fn enqueue(&mut self, handle: ArenaHandle, end: QueueEnd) {
         let piece = self.pieces.at(handle.index);
-        let shard = &mut self.shards[piece.ask.shard.index()];
-        let average = shard.queue.cost_of(piece.ask.caller.0, shard.times.median());
-        let cost = piece.ask.expected_cost.map_or(average, micros);
+        let shard = &mut self.shards[piece.request.shard.index()];
+        let average = shard.queue.cost_of(piece.request.caller.0, shard.times.median());
+        let cost = piece.request.expected_cost.map_or(average, micros);
         self.counters.waiting[piece.lane()] += 1;
         self.pieces.at_mut(handle.index).cost = cost;
-        shard.queue.join(&mut self.pieces, handle.index, end);
+        shard.queue.insert(&mut self.pieces, handle.index, end);
     }
 
-    fn leave_queue(&mut self, handle: ArenaHandle) {
+    fn dequeue(&mut self, handle: ArenaHandle) {
         let piece = self.pieces.at(handle.index);
         if !piece.waiting {
             return;
         }
         self.counters.waiting[piece.lane()] -= 1;
-        let shard = piece.ask.shard.index();
-        self.shards[shard].queue.leave(&mut self.pieces, handle.index);
+        let shard = piece.request.shard.index();
+        self.shards[shard].queue.remove(&mut self.pieces, handle.index);
     }
 
-    /// The hedge delay of a caller's pieces at a shard now, in microseconds.
+    /// The current hedge delay of a caller's pieces at a shard, in microseconds.
     fn hedge_delay(&self, shard: ShardKey, caller: u32) -> u64 {
         self.hedge_delay_at(shard, caller, self.budget.fullness())
     }
@@ -316,20 +314,22 @@
         hedge::delay(&live.times, cost, fullness, self.options.hedge)
     }
 
-    /// The hedge delay of the piece's newest attempt.
+    /// The hedge delay of the piece's latest attempt, in microseconds.
     fn piece_delay(&self, piece: &LivePiece) -> u64 {
         let first = piece.attempts.len() <= 1 && !piece.restarted;
         let fullness = if first { self.budget.fullness() } else { 1.0 };
-        self.hedge_delay_at(piece.ask.shard, piece.ask.caller.0, fullness)
+        self.hedge_delay_at(piece.request.shard, piece.request.caller.0, fullness)
     }
 
-    fn tidy(&mut self) {
+    fn compact_timers(&mut self) {
         let pieces = &self.pieces;
         let attempts = &self.attempts;
-        self.timers.compact(|alarm| match alarm {
-            TimerAlarm::Deadline(piece) | TimerAlarm::Hedge(piece) => pieces.get(*piece).is_some(),
-            TimerAlarm::Grace(attempt) => attempts.get(*attempt).is_some(),
-            TimerAlarm::Room(_) | TimerAlarm::Probe(_) => true,
+        self.timers.compact(|event| match event {
+            TimerEvent::Deadline(piece) | TimerEvent::HedgeDelay(piece) => {
+                pieces.get(*piece).is_some()
+            }
+            TimerEvent::CancelGrace(attempt) => attempts.get(*attempt).is_some(),
+            TimerEvent::Capacity(_) | TimerEvent::Probe(_) => true,
         });
     }
 }
--- a/crates/hawthorn-decide/src/owner/target.rs
+++ b/crates/hawthorn-decide/src/owner/target.rs
@@ -1,10 +1,10 @@
-//! A target while its owner owns it.
+//! State of a target at its owner.
 
 use smallvec::SmallVec;
 
 use crate::message::HeldShard;
-use crate::shift::ReplicaRelief;
-use crate::shift::TargetShift;
+use crate::shift::ReplicaCapacity;
+use crate::shift::TargetHealth;
 use crate::slots::SlotCount;
 use crate::time::TickTime;
 use hawthorn_types::IndexVersion;
@@ -12,13 +12,13 @@
 use hawthorn_types::TargetKey;
 use hawthorn_types::WantedState;
 
-/// A new service time counts for an eighth of a target's average.
+/// Weight of a new service time in a target's moving average: one eighth.
 const LATENCY_WEIGHT: u64 = 8;
-/// One service time counts as at most so many times the shard's median: a
-/// single straggler says little about its target.
+/// A service time counts as at most this multiple of the shard's median, as a single straggler
+/// says little about its target.
 const STRAGGLER_CAP: u64 = 4;
-/// An average this old is worth half as much, in microseconds: a target that
-/// was slow and got no work since would otherwise never be tried again.
+/// Half-life, in microseconds, of the excess of a target's average over the shard's median.
+/// Without decay, a target that was slow and got no work since would never be tried again.
 const LATENCY_HALF_LIFE: u64 = 1_000_000;
 
 #[derive(Debug)]
@@ -28,14 +28,14 @@
     pub(super) slots: u16,
     pub(super) shards: SmallVec<[ShardKey; 2]>,
     pub(super) count: SlotCount,
-    pub(super) shift: TargetShift,
-    /// What its state page listed; none before the first page.
+    pub(super) health: TargetHealth,
+    /// Shards and versions in its latest state report; none before the first report.
     pub(super) held: Option<SmallVec<[HeldShard; 4]>>,
     pub(super) probe_armed: bool,
-    /// The earliest alarm set for room at this target.
-    pub(super) room_at: TickTime,
-    /// Which of its shards goes first when a slot is free.
-    pub(super) turn: usize,
+    /// When the earliest timer for capacity at this target fires.
+    pub(super) capacity_timer_at: TickTime,
+    /// Index of the shard that is served first when a slot becomes free.
+    pub(super) next_shard: usize,
     latency: u64,
     latency_at: TickTime,
 }
@@ -48,44 +48,44 @@
             slots: 0,
             shards: SmallVec::new(),
             count: SlotCount::default(),
-            shift: TargetShift::new(WantedState::Serve),
+            health: TargetHealth::new(WantedState::Serve),
             held: None,
             probe_armed: false,
-            room_at: TickTime::default(),
-            turn: 0,
+            capacity_timer_at: TickTime::default(),
+            next_shard: 0,
             latency: 0,
             latency_at: TickTime::default(),
         }
     }
 
     pub(super) fn in_service(&self) -> bool {
-        self.owned && self.shift.in_service()
+        self.owned && self.health.in_service()
     }
 
-    /// What it can take while other replicas are spared.
-    pub(super) fn relief(&self) -> ReplicaRelief {
-        if self.owned { self.shift.relief() } else { ReplicaRelief::None }
+    /// The traffic that the target can take.
+    pub(super) fn capacity(&self) -> ReplicaCapacity {
+        if self.owned { self.health.capacity() } else { ReplicaCapacity::None }
     }
 
-    pub(super) fn limit(&self, relief: ReplicaRelief) -> u16 {
-        if self.owned { self.shift.limit(self.slots, relief) } else { 0 }
+    pub(super) fn limit(&self, best: ReplicaCapacity) -> u16 {
+        if self.owned { self.health.limit(self.slots, best) } else { 0 }
     }
 
-    pub(super) fn lists(&self, shard: ShardKey, version: IndexVersion) -> bool {
+    pub(super) fn lists_version(&self, shard: ShardKey, version: IndexVersion) -> bool {
         match &self.held {
             None => true,
             Some(held) => held.contains(&HeldShard { shard, version }),
         }
     }
 
-    /// The version is gone, whatever the state page said.
-    pub(super) fn forget(&mut self, shard: ShardKey, version: IndexVersion) {
+    /// Removes a version that the target no longer holds from its latest state report.
+    pub(super) fn remove_version(&mut self, shard: ShardKey, version: IndexVersion) {
         if let Some(held) = &mut self.held {
             held.retain(|each| *each != HeldShard { shard, version });
         }
     }
 
-    /// Its average service time, drawn towards the shard's `median` with age.
+    /// Average service time, in microseconds; an excess over the shard's `median` decays with age.
     pub(super) fn latency(&self, now: TickTime, median: u64) -> u64 {
         if self.latency <= median {
             return if self.latency == 0 { median } else { self.latency };
@@ -97,8 +97,8 @@
 
     pub(super) fn record(&mut self, now: TickTime, elapsed: u64, median: u64) {
         let sample = elapsed.min(median.saturating_mul(STRAGGLER_CAP));
-        let before = self.latency(now, median);
-        self.latency = (before * (LATENCY_WEIGHT - 1) + sample) / LATENCY_WEIGHT;
+        let previous = self.latency(now, median);
+        self.latency = (previous * (LATENCY_WEIGHT - 1) + sample) / LATENCY_WEIGHT;
         self.latency_at = now;
     }
 }
--- a/crates/hawthorn-decide/src/owner/watch.rs
+++ b/crates/hawthorn-decide/src/owner/watch.rs
@@ -1,4 +1,4 @@
-//! What the owner learns of its targets other than from attempts.
+//! Configuration and observation of targets, and their ejection.
 
 use std::collections::VecDeque;
 
@@ -8,17 +8,17 @@
 use super::OwnerState;
 use super::target::LiveTarget;
 use crate::latency::ServiceTimes;
-use crate::message::LeavingSource;
+use crate::message::DrainSource;
 use crate::message::Observation;
 use crate::message::OwnerAction;
 use crate::message::PieceResult;
 use crate::message::TargetRecord;
 use crate::queue::ShardQueue;
+use crate::shift::EjectionDecision;
 use crate::shift::Phase;
-use crate::shift::TargetJudgement;
 use crate::time::TickTime;
 use crate::time::micros;
-use crate::timer::TimerAlarm;
+use crate::timer::TimerEvent;
 use hawthorn_types::MissingReason;
 use hawthorn_types::RefusalReason;
 use hawthorn_types::ShardKey;
@@ -26,8 +26,8 @@
 use hawthorn_types::TargetPhase;
 
 impl OwnerState {
-    /// The targets owned from now on. Attempts on their way to others run on
-    /// and end as usual; others get no new work.
+    /// Sets the targets that the owner holds from now on. Other targets get no new work; attempts
+    /// in flight to them continue.
     pub fn set_targets(&mut self, now: TickTime, records: &[TargetRecord]) {
         for target in &mut self.targets {
             target.owned = false;
@@ -52,12 +52,12 @@
         target.owned = true;
         target.slots = record.slots;
         target.shards = record.shards.clone();
-        target.shift.want(record.wanted, now, &options);
+        target.health.set_wanted(record.wanted, now, &options);
         if !target.probe_armed {
             target.probe_armed = true;
-            let spread = options.first_probe_within.min(options.probe_interval);
-            let first = micros(spread) as f64 * jitter;
-            self.timers.arm(now.plus(first as u64), TimerAlarm::Probe(record.key));
+            let max_delay = options.max_first_probe_delay.min(options.probe_interval);
+            let first = micros(max_delay) as f64 * jitter;
+            self.timers.arm(now.plus(first as u64), TimerEvent::Probe(record.key));
         }
     }
 
@@ -65,15 +65,15 @@
         for shard in &mut self.shards {
             shard.replicas.clear();
         }
-        let guess = micros(self.options.admit.first_guess);
+        let initial_estimate = micros(self.options.admit.initial_service_time);
         for target in self.targets.iter().filter(|target| target.owned) {
             for key in &target.shards {
                 while self.shards.len() <= key.index() {
                     self.shards.push(LiveShard {
                         replicas: Default::default(),
                         queue: ShardQueue::new(self.options.queue),
-                        times: ServiceTimes::new(guess),
-                        due: VecDeque::new(),
+                        times: ServiceTimes::new(initial_estimate),
+                        pending_hedges: VecDeque::new(),
                     });
                 }
                 self.shards[key.index()].replicas.push(target.key);
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Something was learnt of a target. Targets not owned are ignored: the
-    /// answer to a probe from before ownership moved.
+    /// Processes an observation of a target. Unknown targets are ignored: a probe can be answered
+    /// after ownership has moved.
     pub fn observe(&mut self, now: TickTime, key: TargetKey, observation: Observation) {
         let options = self.options.shift;
         let Some(target) = self.targets.get_mut(key.index()) else { return };
@@ -90,65 +90,66 @@
             Observation::Reported { phase, held } => {
                 target.held = Some(held);
                 match phase {
-                    TargetPhase::Ready => target.shift.on_ready_page(now, &options),
+                    TargetPhase::Ready => target.health.on_ready_report(now, &options),
                     TargetPhase::Draining => {
-                        target.shift.on_leaving(LeavingSource::Target, now);
+                        target.health.start_drain(DrainSource::Target, now);
                     }
                     TargetPhase::Cold | TargetPhase::Standby => {
-                        target.shift.on_cold_page(now, &options);
+                        target.health.on_cold_report(now, &options);
                     }
                 }
             }
             Observation::Unreachable => {
-                if let Phase::Ejected { until } = target.shift.phase
+                if let Phase::Ejected { until } = target.health.phase
                     && now >= until
                 {
-                    self.eject_again(now, key);
-                } else if target.shift.on_unreachable(&options) == TargetJudgement::Eject {
+                    self.start_ejection(now, key);
+                } else if target.health.on_unreachable(&options) == EjectionDecision::Eject {
                     self.eject(now, key);
                 }
             }
-            Observation::Leaving(source) => target.shift.on_leaving(source, now),
-            Observation::Staying(source) => target.shift.clear_leaving(source, now, &options),
+            Observation::DrainStarted(source) => target.health.start_drain(source, now),
+            Observation::DrainCleared(source) => target.health.clear_drain(source, now, &options),
         }
         self.reassess(now, key);
-        self.tidy();
+        self.compact_timers();
     }
 
-    /// Takes a target out of service, unless too few of its shards' replicas
-    /// would remain.
+    /// Ejects a target, unless too few replicas of one of its shards would remain.
     pub(super) fn eject(&mut self, now: TickTime, key: TargetKey) {
-        if self.targets[key.index()].shift.is_ejected() {
+        if self.targets[key.index()].health.is_ejected() {
             return;
         }
         let shards = &self.targets[key.index()].shards;
-        if !shards.iter().all(|shard| self.can_lose(&self.shards[shard.index()])) {
-            self.counters.ejections_spared += 1;
-            self.targets[key.index()].shift.pardon();
+        if !shards.iter().all(|shard| self.can_eject_from(&self.shards[shard.index()])) {
+            self.counters.ejections_skipped += 1;
+            self.targets[key.index()].health.reset_streaks();
             return;
         }
         self.counters.ejections += 1;
-        self.eject_again(now, key);
+        self.start_ejection(now, key);
     }
 
-    /// Guards against a fault of the owner's own (its network, its processor)
-    /// that makes every target look bad: it shows as failures everywhere, and
-    /// the part of each shard's replicas that stays keeps it served.
-    fn can_lose(&self, shard: &LiveShard) -> bool {
+    /// Whether one more replica of the shard may be ejected.
+    ///
+    /// Failure: a fault of the owner itself (its network, its processor) shows as failures of every
+    /// target. The limit keeps some replicas of each shard in use, so that the shard stays served.
+    fn can_eject_from(&self, shard: &LiveShard) -> bool {
         let in_service = shard.replicas.iter().filter(|key| self.targets[key.index()].in_service());
         let count = in_service.clone().count();
-        let ejected = in_service.filter(|key| self.targets[key.index()].shift.is_ejected()).count();
-        (ejected + 1) as f64 <= count as f64 * self.options.shift.most_ejected
+        let ejected =
+            in_service.filter(|key| self.targets[key.index()].health.is_ejected()).count();
+        (ejected + 1) as f64 <= count as f64 * self.options.shift.max_ejected_share
     }
 
-    fn eject_again(&mut self, now: TickTime, key: TargetKey) {
+    fn start_ejection(&mut self, now: TickTime, key: TargetKey) {
         let jitter = self.rng.random();
-        let shift = &mut self.targets[key.index()].shift;
-        let until = shift.eject(now, jitter, &self.options.shift);
-        self.arm_room(now, key, until);
+        let health = &mut self.targets[key.index()].health;
+        let until = health.eject(now, jitter, &self.options.shift);
+        self.arm_capacity_timer(now, key, until);
     }
 
-    /// A target's state changed: its shards' queues are looked at again.
+    /// Dispatches or fails the queued pieces of a target's shards after its state changed.
     pub(super) fn reassess(&mut self, now: TickTime, key: TargetKey) {
         for index in 0..self.targets[key.index()].shards.len() {
             let shard = self.targets[key.index()].shards[index];
@@ -158,52 +159,55 @@
 
     fn reassess_shard(&mut self, now: TickTime, shard: ShardKey) {
         if self.is_served(&self.shards[shard.index()]) {
-            self.pump(now, shard);
+            self.dispatch_queue(now, shard);
         } else {
-            self.give_up(now, shard);
+            self.fail_queued(now, shard);
         }
     }
 
-    /// No replica is left, or none is owned any more: every waiting piece hears
-    /// so at once, for its front to go elsewhere while there is time.
-    fn give_up(&mut self, now: TickTime, shard: ShardKey) {
+    /// Fails all queued pieces of a shard without a replica in service, so that their fronts can
+    /// try elsewhere before the deadline.
+    fn fail_queued(&mut self, now: TickTime, shard: ShardKey) {
         let (missing, refusal) = if self.shards[shard.index()].is_owned() {
             (MissingReason::NoReplica, RefusalReason::NoTarget)
         } else {
             (MissingReason::OwnerUnreachable, RefusalReason::OwnerUnreachable)
         };
-        while let Some(index) = self.shards[shard.index()].queue.any() {
+        while let Some(index) = self.shards[shard.index()].queue.first_queued() {
             let handle = self.pieces.handle_at(index);
-            let once = self.pieces.at(index).ask.at_most_once;
-            let result =
-                if once { PieceResult::NotRun(refusal) } else { PieceResult::Missing(missing) };
+            let at_most_once = self.pieces.at(index).request.at_most_once;
+            let result = if at_most_once {
+                PieceResult::NotRun(refusal)
+            } else {
+                PieceResult::Missing(missing)
+            };
             self.finish(now, handle, result);
         }
     }
 
-    /// Slots became free at a target: its shards take turns.
-    pub(super) fn pump_target(&mut self, now: TickTime, key: TargetKey) {
+    /// Dispatches to free slots of a target, starting with its shards in turn.
+    pub(super) fn dispatch_target_queues(&mut self, now: TickTime, key: TargetKey) {
         let target = &mut self.targets[key.index()];
         let count = target.shards.len();
         if count == 0 {
             return;
         }
-        target.turn = (target.turn + 1) % count;
-        let first = target.turn;
+        target.next_shard = (target.next_shard + 1) % count;
+        let first = target.next_shard;
         for step in 0..count {
             let shard = self.targets[key.index()].shards[(first + step) % count];
             self.reassess_shard(now, shard);
         }
     }
 
-    pub(super) fn on_room(&mut self, now: TickTime, key: TargetKey) {
-        let shift = &self.targets[key.index()].shift;
-        match shift.phase {
-            Phase::Ejected { until } if now < until => self.arm_room(now, key, until),
+    pub(super) fn on_capacity_timer(&mut self, now: TickTime, key: TargetKey) {
+        let health = &self.targets[key.index()].health;
+        match health.phase {
+            Phase::Ejected { until } if now < until => self.arm_capacity_timer(now, key, until),
             Phase::Ejected { .. } => self.actions.push_back(OwnerAction::Probe { target: key }),
             Phase::Serving | Phase::Ramping { .. } => {}
         }
-        self.pump_target(now, key);
+        self.dispatch_target_queues(now, key);
     }
 
     pub(super) fn on_probe_due(&mut self, now: TickTime, key: TargetKey) {
@@ -214,6 +218,6 @@
         }
         self.actions.push_back(OwnerAction::Probe { target: key });
         let next = now.after(self.options.shift.probe_interval);
-        self.timers.arm(next, TimerAlarm::Probe(key));
+        self.timers.arm(next, TimerEvent::Probe(key));
     }
 }
--- a/crates/hawthorn-decide/src/place.rs
+++ b/crates/hawthorn-decide/src/place.rs
@@ -1,99 +1,95 @@
-//! Which replica gets a piece.
+//! Replica selection.
 //!
-//! The load it is for: replicas of unequal speed with few slots each. The harm
-//! it prevents: work handed to a slow replica because it alone has a free
-//! slot, which is what makes it free. A piece is placed only when a slot is
-//! free, so nothing ever waits at a target, and the choice is made with the
-//! latest knowledge.
+//! Replicas differ in speed and have few slots each. A replica with a free slot is often free
+//! because it is slow, so choosing by free slots alone sends it too much work. A piece is assigned
+//! only when a slot is free, so that nothing queues at a target and the choice uses the most
+//! recent measurements.
 
 use hawthorn_types::TargetKey;
 
-/// How many times longer than the fast replica's wait and service together a
-/// slow replica must take before a piece waits for the fast one. 2: the
-/// estimates are averages of a few requests.
+/// A piece waits for a busy, faster replica if the free one takes more than this many times the
+/// faster one's wait and service time together. 2: the estimates are averages of a few requests.
 const SLOW_MARGIN: u64 = 2;
 
-/// A replica that may take the piece.
+/// A replica that may get the piece.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// The target.
     pub target: TargetKey,
-    /// Its average service time, in microseconds.
+    /// Average service time, in microseconds.
     pub latency: u64,
-    /// Slots taken.
-    pub taken: u16,
-    /// Slots it may use.
+    /// Slots in use.
+    pub in_use: u16,
+    /// Slots that may be in use.
     pub limit: u16,
-    /// When it may be sent to, in microseconds from now; 0 is now.
-    pub pause: u64,
-    /// Whether its state page listed the version. The page lags, so a target
-    /// without it is the second choice and not ruled out.
-    pub seen_version: bool,
-    /// Whether an attempt of this piece is on its way there.
-    pub used: bool,
+    /// Time until it may be sent to, in microseconds; 0 is now.
+    pub available_in: u64,
+    /// Whether its last state report listed the version. Reports lag, so a target without it
+    /// ranks lower but is not excluded.
+    pub lists_version: bool,
+    /// Whether an attempt of this piece is in flight there.
+    pub attempted: bool,
 }
 
 impl Candidate {
-    fn is_free(&self) -> bool {
-        self.pause == 0 && self.taken < self.limit
+    fn is_available(&self) -> bool {
+        self.available_in == 0 && self.in_use < self.limit
     }
 
-    /// Smaller is better. The attempts it holds stretch its service time: a
-    /// target's slots share its processor and disk.
+    /// Sort key; smaller is better. Attempts in flight lengthen the service time, as the slots of
+    /// a target share its processor and disk.
     fn rank(&self) -> (bool, bool, u64) {
-        (self.used, !self.seen_version, self.latency * (u64::from(self.taken) + 1))
+        (self.attempted, !self.lists_version, self.latency * (u64::from(self.in_use) + 1))
     }
 }
 
-/// What to do with a piece.
+/// The outcome of replica selection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Send it there.
+    /// Send the piece to this target.
     Send(TargetKey),
-    /// Let it wait: nothing is free.
+    /// Wait: no replica is available.
     Wait,
-    /// Let it wait so many microseconds at most: what is free is so slow that
-    /// the answer comes sooner from a replica that is busy now.
-    WaitAtMost(u64),
+    /// Wait for at most this many microseconds: the available replicas are so slow that one that
+    /// is busy now is expected to answer sooner.
+    WaitUpTo(u64),
 }
 
-/// What the choice depends on besides the candidates.
+/// Inputs of replica selection besides the candidates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// How long the piece has waited, in microseconds.
+    /// Time that the piece has waited, in microseconds.
     pub waited: u64,
-    /// Whether a slow replica is better than none: true for a hedge.
+    /// Whether this is a hedge, for which a slow replica is better than none.
     pub hedge: bool,
-    /// Random; chooses between equals.
-    pub tie: u64,
+    /// Random number that decides between candidates of equal rank.
+    pub tie_break: u64,
 }
 
-/// Chooses between the candidates of one piece.
+/// Selects a replica for a piece.
 pub fn choose(candidates: &[Candidate], options: Options) -> Outcome {
     let count = candidates.len();
-    let start = if count == 0 { 0 } else { (options.tie % count as u64) as usize };
+    let start = if count == 0 { 0 } else { (options.tie_break % count as u64) as usize };
     let rotated = candidates[start..].iter().chain(&candidates[..start]);
-    let Some(best) = rotated.filter(|each| each.is_free()).min_by_key(|each| each.rank()) else {
+    let Some(best) = rotated.filter(|each| each.is_available()).min_by_key(|each| each.rank())
+    else {
         return Outcome::Wait;
     };
     if options.hedge {
         return Outcome::Send(best.target);
     }
-    match patience(candidates, best) {
-        Some(patience) if options.waited < patience => {
-            Outcome::WaitAtMost(patience - options.waited)
-        }
+    match worthwhile_wait(candidates, best) {
+        Some(limit) if options.waited < limit => Outcome::WaitUpTo(limit - options.waited),
         _ => Outcome::Send(best.target),
     }
 }
 
-/// How long waiting for a busy, faster replica is worth it. Bounded by half of
-/// the slow one's time: the fast one may hang, and the piece must not hang
-/// with it.
-fn patience(candidates: &[Candidate], best: &Candidate) -> Option<u64> {
-    let busy = candidates.iter().filter(|each| each.pause == 0 && each.limit > 0);
-    let fast = busy.filter(|each| !each.is_free()).min_by_key(|each| each.latency)?;
+/// How long to wait for a busy, faster replica, if at all. Bounded by half of the slow one's
+/// service time, as the fast replica may hang.
+fn worthwhile_wait(candidates: &[Candidate], best: &Candidate) -> Option<u64> {
+    let busy = candidates.iter().filter(|each| each.available_in == 0 && each.limit > 0);
+    let fast = busy.filter(|each| !each.is_available()).min_by_key(|each| each.latency)?;
     let wait = fast.latency / u64::from(fast.limit);
-    let there = wait + fast.latency;
-    (best.latency > SLOW_MARGIN * there).then_some(best.latency / 2)
+    let fast_total = wait + fast.latency;
+    (best.latency > SLOW_MARGIN * fast_total).then_some(best.latency / 2)
 }
--- a/crates/hawthorn-decide/src/shift.rs
+++ b/crates/hawthorn-decide/src/shift.rs
@@ -1,371 +1,368 @@
-//! Shifting load on to and away from one target: cold ones ramp up, failing
-//! ones are ejected and come back by probe, leaving ones get nothing new.
+//! Shifting traffic to and away from one target: cold targets ramp up (slow start), failing ones
+//! are ejected (outlier ejection) and return after a successful probe, draining ones get no new
+//! work.
 //!
-//! Judged by the owner's own attempts. What a target or the platform says of
-//! it can only take work away (it says it leaves, it says it is cold); it
-//! never alone brings work back.
+//! Decisions rest on the owner's own attempts. Reports of the target or the platform can only take
+//! work away (the target drains or is cold); they never restore traffic by themselves.
 
 use std::time::Duration;
 
-use crate::message::LeavingSource;
+use crate::message::DrainSource;
 use crate::time::TickTime;
 use crate::time::micros;
 use hawthorn_types::WantedState;
 
-/// Limits of shifting.
+/// Limits of traffic shifting.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
-    /// A ramping target gets one request at a time, at first so far apart,
-    /// then twice as often after each good answer. 100 ms: seven good answers
-    /// bring it to full work in a fifth of a second, while a target that is
-    /// still loading slows one request in a hundred milliseconds and no more.
-    pub ramp_gap: Duration,
-    /// The ramp is over when the gap is shorter: less than a service time.
-    pub ramp_end: Duration,
-    /// Failures in a row after which a target is ejected. 3: one broken
-    /// connection is ordinary, three in a row are not chance.
+    /// Initial interval between requests to a ramping target, which gets one at a time; halved
+    /// after each good answer. 100 ms: seven good answers bring the target to full traffic in a
+    /// fifth of a second, and a target that is still loading slows at most one request in 100 ms.
+    pub initial_ramp_interval: Duration,
+    /// The ramp ends when the interval falls below this, which is less than a service time.
+    pub min_ramp_interval: Duration,
+    /// Consecutive failures after which a target is ejected. 3: a single broken connection is
+    /// normal, three in a row are no coincidence.
     pub failure_limit: u32,
-    /// Slow answers in a row after which it is ejected. 8: with 5 % stragglers
-    /// eight in a row are chance four times in 10^11. At 5 (three in 10^7) a
-    /// zone's targets are ejected by chance every few minutes, and the replica
-    /// that is left then carries twice its load.
+    /// Consecutive slow answers after which a target is ejected. 8: with 5 % stragglers, eight in
+    /// a row occur by chance four times in 10^11. At 5 (three in 10^7), some target of a zone is
+    /// ejected by chance every few minutes, and the remaining replica then gets twice its load.
     pub slow_limit: u32,
-    /// An answer is slow when it takes so many times the shard's median.
+    /// An answer is slow if it takes more than this many times the shard's median.
     pub slow_factor: u64,
-    /// Of a shard's replicas in service at most this part is ejected; the
-    /// rest would drown in the work of those taken out.
-    pub most_ejected: f64,
-    /// How long an ejected target is left alone at first; doubled each time it
-    /// fails again on its return.
-    pub first_backoff: Duration,
-    /// The longest it is left alone. 30 s: a repaired target is back in work
-    /// within half a minute.
-    pub most_backoff: Duration,
-    /// How long a target that sheds load is left alone at first; doubled with
-    /// each further refusal. 5 ms: one service time, in which a slot can free.
-    pub shed_pause: Duration,
-    /// How long a slot stays unused after its target shed load. 1 s: ownership
-    /// moves within a few seconds, and one refusal a second costs nothing.
-    pub cut_hold: Duration,
-    /// The longest pause of a target that sheds.
-    pub most_pause: Duration,
-    /// How long a target's own leaving sign holds although its state page says
-    /// ready, unless it was seen to stop meanwhile. The page lags or misleads,
-    /// and trusted it would bring a draining target work again. 30 s: a target
-    /// that gave up leaving is missed for so long at most.
-    pub leaving_hold: Duration,
-    /// Good answers this fresh outweigh a state page that says cold.
-    pub answer_trust: Duration,
-    /// How often each target is probed. 1 s: a leaving target is seen within
-    /// 2 s, at one small request a second.
+    /// Maximum fraction of a shard's replicas in service that is ejected. With more, the remaining
+    /// replicas would be overloaded by the traffic of the ejected ones.
+    pub max_ejected_share: f64,
+    /// Duration of a first ejection; doubled each time the target fails again on its return.
+    pub initial_backoff: Duration,
+    /// Maximum duration of an ejection. 30 s: a repaired target gets traffic again within half a
+    /// minute.
+    pub max_backoff: Duration,
+    /// Initial pause of a target that sheds load; doubled with each further rejection. 5 ms: one
+    /// service time, in which a slot can become free.
+    pub initial_shed_pause: Duration,
+    /// How long a slot is withheld after its target shed load. 1 s: ownership moves within a few
+    /// seconds, and the cost of one rejection a second is negligible.
+    pub withheld_slot_hold: Duration,
+    /// Maximum pause of a target that sheds load.
+    pub max_shed_pause: Duration,
+    /// How long a target's own drain signal holds although the target reports ready, unless it
+    /// was seen down or loading in between. The report can be stale or wrong, and a draining target
+    /// would get work again. 30 s: the longest time that a target which cancels its drain is idle.
+    pub drain_hold: Duration,
+    /// A state report of cold is ignored if the latest good answer is more recent than this.
+    pub success_freshness: Duration,
+    /// Interval between probes of a target. 1 s: a draining target is noticed within 2 s, at one
+    /// small request a second.
     pub probe_interval: Duration,
-    /// Within which a target that just came to this owner is probed first. Its
-    /// shards lack a replica until then, so it must not wait for a whole
-    /// interval; spread a little, so that an owner that takes over hundreds of
-    /// targets does not ask them all in one moment.
-    pub first_probe_within: Duration,
+    /// Maximum delay of the first probe after a target came to this owner. Its shards lack a
+    /// replica until then, so the probe must not wait for a whole interval. The delay is random, so
+    /// that an owner that takes over hundreds of targets does not probe them all at once.
+    pub max_first_probe_delay: Duration,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            ramp_gap: Duration::from_millis(100),
-            ramp_end: Duration::from_millis(2),
+            initial_ramp_interval: Duration::from_millis(100),
+            min_ramp_interval: Duration::from_millis(2),
             failure_limit: 3,
             slow_limit: 8,
             slow_factor: 5,
-            most_ejected: 0.5,
-            first_backoff: Duration::from_secs(1),
-            most_backoff: Duration::from_secs(30),
-            shed_pause: Duration::from_millis(5),
-            cut_hold: Duration::from_secs(1),
-            most_pause: Duration::from_millis(320),
-            leaving_hold: Duration::from_secs(30),
-            answer_trust: Duration::from_secs(1),
+            max_ejected_share: 0.5,
+            initial_backoff: Duration::from_secs(1),
+            max_backoff: Duration::from_secs(30),
+            initial_shed_pause: Duration::from_millis(5),
+            withheld_slot_hold: Duration::from_secs(1),
+            max_shed_pause: Duration::from_millis(320),
+            drain_hold: Duration::from_secs(30),
+            success_freshness: Duration::from_secs(1),
             probe_interval: Duration::from_secs(1),
-            first_probe_within: Duration::from_millis(100),
+            max_first_probe_delay: Duration::from_millis(100),
         }
     }
 }
 
-/// How the owner uses a target that operators want to serve.
+/// How the owner uses a target that is in service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Takes work on all its slots.
+    /// Gets work on all its slots.
     Serving,
-    /// Takes one request at a time, `gap` microseconds apart.
+    /// Gets one request at a time, `interval` microseconds apart.
     Ramping {
-        /// The least time between two sends.
-        gap: u64,
+        /// Minimum time between two attempts.
+        interval: u64,
     },
-    /// Takes no work until it answers a probe after `until`.
+    /// Gets no work until it answers a probe after `until`.
     Ejected {
-        /// When it is probed.
+        /// When it is next probed.
         until: TickTime,
     },
 }
 
-/// What the best replica of a shard can take. Ramps and ejections protect a
-/// shard's work by moving it to better replicas; where there is none they would
-/// only deny service.
+/// The traffic that a replica can take; for a shard, the maximum over its replicas. Ramps and
+/// ejections move work to better replicas; if a shard has none, they would only deny service and
+/// are relaxed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum ReplicaRelief {
-    /// None but ejected ones are in service.
+pub(crate) enum ReplicaCapacity {
+    /// No traffic: ejected or not in service.
     None,
-    /// Work one at a time.
+    /// One request at a time.
     Ramping,
-    /// Full work.
+    /// Full traffic.
     Full,
 }
 
-/// What a failure or a slow answer calls for.
+/// The consequence of a failure or a slow answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum TargetJudgement {
-    /// Nothing.
+pub(crate) enum EjectionDecision {
+    /// None.
     Keep,
-    /// Ejection, if enough replicas remain.
+    /// Ejection, if enough replicas of its shards remain.
     Eject,
 }
 
-/// The life of one target as the owner sees it.
+/// Traffic state of one target.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct TargetShift {
+pub(crate) struct TargetHealth {
     pub(crate) wanted: WantedState,
     pub(crate) phase: Phase,
-    leaving: u8,
-    leaving_at: TickTime,
-    /// Seen to be down or loading since it said that it leaves.
-    stopped: bool,
-    failures: u32,
-    slow: u32,
+    drain_sources: u8,
+    drain_started_at: TickTime,
+    /// Whether it was seen down or loading since the drain signal.
+    seen_stopped: bool,
+    consecutive_failures: u32,
+    consecutive_slow: u32,
     backoff: u64,
     pause: u64,
     paused_until: TickTime,
-    /// Slots left unused since it shed load.
-    cut: u16,
-    cut_at: TickTime,
-    next_send: TickTime,
-    good_at: Option<TickTime>,
+    /// Slots withheld because it shed load.
+    withheld_slots: u16,
+    withheld_at: TickTime,
+    next_send_at: TickTime,
+    last_success_at: Option<TickTime>,
 }
 
-impl TargetShift {
+impl TargetHealth {
     pub(crate) fn new(wanted: WantedState) -> Self {
         Self {
             wanted,
             phase: Phase::Serving,
-            leaving: 0,
-            leaving_at: TickTime::default(),
-            stopped: false,
-            failures: 0,
-            slow: 0,
+            drain_sources: 0,
+            drain_started_at: TickTime::default(),
+            seen_stopped: false,
+            consecutive_failures: 0,
+            consecutive_slow: 0,
             backoff: 0,
             pause: 0,
             paused_until: TickTime::default(),
-            cut: 0,
-            cut_at: TickTime::default(),
-            next_send: TickTime::default(),
-            good_at: None,
+            withheld_slots: 0,
+            withheld_at: TickTime::default(),
+            next_send_at: TickTime::default(),
+            last_success_at: None,
         }
     }
 
-    /// Whether it may get work at all, now or after a wait.
+    /// Whether it may get work, now or later.
     pub(crate) fn in_service(&self) -> bool {
-        self.wanted == WantedState::Serve && self.leaving == 0
+        self.wanted == WantedState::Serve && self.drain_sources == 0
     }
 
     pub(crate) fn is_ejected(&self) -> bool {
         matches!(self.phase, Phase::Ejected { .. })
     }
 
-    pub(crate) fn relief(&self) -> ReplicaRelief {
+    pub(crate) fn capacity(&self) -> ReplicaCapacity {
         match self.phase {
-            _ if !self.in_service() => ReplicaRelief::None,
-            Phase::Serving => ReplicaRelief::Full,
-            Phase::Ramping { .. } => ReplicaRelief::Ramping,
-            Phase::Ejected { .. } => ReplicaRelief::None,
+            _ if !self.in_service() => ReplicaCapacity::None,
+            Phase::Serving => ReplicaCapacity::Full,
+            Phase::Ramping { .. } => ReplicaCapacity::Ramping,
+            Phase::Ejected { .. } => ReplicaCapacity::None,
         }
     }
 
-    /// Slots that may be taken, given the best of the shard's replicas.
-    pub(crate) fn limit(&self, slots: u16, relief: ReplicaRelief) -> u16 {
+    /// Slots that may be in use, given the best capacity among the shard's replicas.
+    pub(crate) fn limit(&self, slots: u16, best: ReplicaCapacity) -> u16 {
         match self.phase {
             _ if !self.in_service() => 0,
-            Phase::Serving => slots.saturating_sub(self.cut).max(slots.min(1)),
+            Phase::Serving => slots.saturating_sub(self.withheld_slots).max(slots.min(1)),
             Phase::Ramping { .. } => slots.min(1),
-            Phase::Ejected { .. } if relief == ReplicaRelief::None => slots.min(1),
+            Phase::Ejected { .. } if best == ReplicaCapacity::None => slots.min(1),
             Phase::Ejected { .. } => 0,
         }
     }
 
-    /// The earliest time of the next send.
-    pub(crate) fn send_at(&self, relief: ReplicaRelief) -> TickTime {
+    /// The earliest time of the next attempt.
+    pub(crate) fn send_at(&self, best: ReplicaCapacity) -> TickTime {
         match self.phase {
-            Phase::Ramping { .. } if relief == ReplicaRelief::Full => {
-                self.paused_until.max(self.next_send)
+            Phase::Ramping { .. } if best == ReplicaCapacity::Full => {
+                self.paused_until.max(self.next_send_at)
             }
             _ => self.paused_until,
         }
     }
 
     pub(crate) fn on_sent(&mut self, now: TickTime) {
-        if let Phase::Ramping { gap } = self.phase {
-            self.next_send = now.plus(gap);
+        if let Phase::Ramping { interval } = self.phase {
+            self.next_send_at = now.plus(interval);
         }
     }
 
-    pub(crate) fn on_good(&mut self, now: TickTime, options: &Options) {
-        self.failures = 0;
-        self.slow = 0;
+    pub(crate) fn on_success(&mut self, now: TickTime, options: &Options) {
+        self.consecutive_failures = 0;
+        self.consecutive_slow = 0;
         self.pause = 0;
-        self.good_at = Some(now);
-        if self.cut > 0 && now.since(self.cut_at) >= options.cut_hold {
-            self.cut -= 1;
-            self.cut_at = now;
+        self.last_success_at = Some(now);
+        if self.withheld_slots > 0 && now.since(self.withheld_at) >= options.withheld_slot_hold {
+            self.withheld_slots -= 1;
+            self.withheld_at = now;
         }
         match self.phase {
             Phase::Serving => {}
-            Phase::Ramping { gap } if gap / 2 < micros(options.ramp_end) => {
+            Phase::Ramping { interval } if interval / 2 < micros(options.min_ramp_interval) => {
                 self.phase = Phase::Serving;
                 self.backoff = 0;
             }
-            Phase::Ramping { gap } => {
-                self.phase = Phase::Ramping { gap: gap / 2 };
-                self.next_send = self.next_send.min(now.plus(gap / 2));
+            Phase::Ramping { interval } => {
+                self.phase = Phase::Ramping { interval: interval / 2 };
+                self.next_send_at = self.next_send_at.min(now.plus(interval / 2));
             }
-            // An answer from before the ejection, or to work sent for want of
-            // any other replica: the probe decides.
+            // The attempt was sent before the ejection, or because there was no other replica.
+            // Only a probe ends an ejection.
             Phase::Ejected { .. } => {}
         }
     }
 
-    /// A slow answer. A target that is loading is slow too, and is left alone
-    /// for a while like any other.
-    pub(crate) fn on_slow(&mut self, options: &Options) -> TargetJudgement {
+    /// Records a slow answer. Targets that are slow because they are loading are ejected as well.
+    pub(crate) fn on_slow(&mut self, options: &Options) -> EjectionDecision {
         if self.is_ejected() {
-            return TargetJudgement::Keep;
+            return EjectionDecision::Keep;
+        }
+        self.consecutive_slow += 1;
+        if self.consecutive_slow >= options.slow_limit {
+            EjectionDecision::Eject
+        } else {
+            EjectionDecision::Keep
         }
-        self.slow += 1;
-        if self.slow >= options.slow_limit { TargetJudgement::Eject } else { TargetJudgement::Keep }
     }
 
-    /// A failure; one is enough on the way back from an ejection.
-    pub(crate) fn on_failure(&mut self, options: &Options) -> TargetJudgement {
-        self.failures += 1;
-        let returning = matches!(self.phase, Phase::Ramping { .. }) && self.backoff > 0;
+    /// Records a failure. During the ramp after an ejection, one failure ejects again.
+    pub(crate) fn on_failure(&mut self, options: &Options) -> EjectionDecision {
+        self.consecutive_failures += 1;
+        let after_ejection = matches!(self.phase, Phase::Ramping { .. }) && self.backoff > 0;
         match self.phase {
-            Phase::Ejected { .. } => TargetJudgement::Keep,
-            _ if returning || self.failures >= options.failure_limit => TargetJudgement::Eject,
-            _ => TargetJudgement::Keep,
+            Phase::Ejected { .. } => EjectionDecision::Keep,
+            _ if after_ejection || self.consecutive_failures >= options.failure_limit => {
+                EjectionDecision::Eject
+            }
+            _ => EjectionDecision::Keep,
         }
     }
 
-    /// Ejects it; `jitter` within 0 to 1 spreads the probes of targets that
-    /// failed together. Returns when to probe.
+    /// Ejects the target and returns when to probe it. `jitter`, 0 to 1, spreads the probes of
+    /// targets that failed together.
     pub(crate) fn eject(&mut self, now: TickTime, jitter: f64, options: &Options) -> TickTime {
-        let first = micros(options.first_backoff);
-        self.backoff = (self.backoff * 2).clamp(first, micros(options.most_backoff));
-        self.failures = 0;
-        self.slow = 0;
+        let initial = micros(options.initial_backoff);
+        self.backoff = (self.backoff * 2).clamp(initial, micros(options.max_backoff));
+        self.consecutive_failures = 0;
+        self.consecutive_slow = 0;
         let wait = self.backoff + (self.backoff as f64 * jitter / 2.0) as u64;
         let until = now.plus(wait);
         self.phase = Phase::Ejected { until };
         until
     }
 
-    /// Its state page was not answered.
-    pub(crate) fn on_unreachable(&mut self, options: &Options) -> TargetJudgement {
-        self.stopped = true;
+    /// Records a probe without an answer.
+    pub(crate) fn on_unreachable(&mut self, options: &Options) -> EjectionDecision {
+        self.seen_stopped = true;
         self.on_failure(options)
     }
 
-    /// It stays in service although it was to be ejected: judged anew.
-    pub(crate) fn pardon(&mut self) {
-        self.failures = 0;
-        self.slow = 0;
+    /// Resets the failure counts of a target that stays in service because its ejection was
+    /// skipped.
+    pub(crate) fn reset_streaks(&mut self) {
+        self.consecutive_failures = 0;
+        self.consecutive_slow = 0;
     }
 
-    /// It sheds load. Returns when it may be asked again.
+    /// Records that the target shed load; returns when it may get work again.
     ///
-    /// It has fewer slots for this owner than configured: while ownership
-    /// moves, two owners send to it, and both would be refused again and again
-    /// until their budgets are spent. Each leaves a slot unused instead.
+    /// The target has fewer slots for this owner than configured: while ownership moves, two owners
+    /// send to it. Both would be rejected repeatedly until their budgets are spent, so each
+    /// withholds a slot.
     pub(crate) fn on_shed(&mut self, now: TickTime, slots: u16, options: &Options) -> TickTime {
-        self.cut = (self.cut + 1).min(slots.saturating_sub(1));
-        self.cut_at = now;
-        let first = micros(options.shed_pause);
-        self.pause = (self.pause * 2).clamp(first, micros(options.most_pause));
+        self.withheld_slots = (self.withheld_slots + 1).min(slots.saturating_sub(1));
+        self.withheld_at = now;
+        let initial = micros(options.initial_shed_pause);
+        self.pause = (self.pause * 2).clamp(initial, micros(options.max_shed_pause));
         self.paused_until = now.plus(self.pause);
         self.paused_until
     }
 
-    /// It is cold: it ramps from the start.
+    /// Starts the ramp of a cold target.
     pub(crate) fn on_cold(&mut self, now: TickTime, options: &Options) {
         if self.is_ejected() {
             return;
         }
-        let gap = micros(options.ramp_gap);
-        self.phase = Phase::Ramping { gap };
-        self.next_send = now.plus(gap);
+        let interval = micros(options.initial_ramp_interval);
+        self.phase = Phase::Ramping { interval };
+        self.next_send_at = now.plus(interval);
     }
 
-    /// Its state page says cold or standby.
-    pub(crate) fn on_cold_page(&mut self, now: TickTime, options: &Options) {
-        self.stopped = true;
-        let trusted = self.good_at.is_some_and(|at| now.since(at) < options.answer_trust);
-        if !trusted && self.phase == Phase::Serving {
+    /// Records a state report of cold or standby.
+    pub(crate) fn on_cold_report(&mut self, now: TickTime, options: &Options) {
+        self.seen_stopped = true;
+        let recently_succeeded =
+            self.last_success_at.is_some_and(|at| now.since(at) < options.success_freshness);
+        if !recently_succeeded && self.phase == Phase::Serving {
             self.on_cold(now, options);
         }
     }
 
-    /// Its state page says ready, which is no more than a permission to try.
-    pub(crate) fn on_ready_page(&mut self, now: TickTime, options: &Options) {
-        let over = now.since(self.leaving_at) >= options.leaving_hold;
-        if over || self.stopped {
-            self.clear_leaving(LeavingSource::Target, now, options);
+    /// Records a state report of ready, which only permits the ramp to start.
+    pub(crate) fn on_ready_report(&mut self, now: TickTime, options: &Options) {
+        let hold_expired = now.since(self.drain_started_at) >= options.drain_hold;
+        if hold_expired || self.seen_stopped {
+            self.clear_drain(DrainSource::Target, now, options);
         }
         if let Phase::Ejected { until } = self.phase
             && now >= until
         {
-            self.phase = Phase::Ramping { gap: micros(options.ramp_gap) };
-            self.next_send = now;
+            self.phase = Phase::Ramping { interval: micros(options.initial_ramp_interval) };
+            self.next_send_at = now;
         }
     }
 
-    /// A leaving sign, from wherever: nothing new from this call on.
-    pub(crate) fn on_leaving(&mut self, source: LeavingSource, now: TickTime) {
-        self.leaving |= bit_of(source);
-        self.leaving_at = now;
-        self.stopped = false;
+    /// Records a drain signal; the target gets no new work from now on.
+    pub(crate) fn start_drain(&mut self, source: DrainSource, now: TickTime) {
+        self.drain_sources |= bit_of(source);
+        self.drain_started_at = now;
+        self.seen_stopped = false;
     }
 
-    /// A source takes its leaving sign back; the target starts anew.
-    pub(crate) fn clear_leaving(
-        &mut self,
-        source: LeavingSource,
-        now: TickTime,
-        options: &Options,
-    ) {
-        if self.leaving & bit_of(source) == 0 {
+    /// Clears the drain signal of one source; after the last one the target ramps up.
+    pub(crate) fn clear_drain(&mut self, source: DrainSource, now: TickTime, options: &Options) {
+        if self.drain_sources & bit_of(source) == 0 {
             return;
         }
-        self.leaving &= !bit_of(source);
-        if self.leaving == 0 {
+        self.drain_sources &= !bit_of(source);
+        if self.drain_sources == 0 {
             self.on_cold(now, options);
         }
     }
 
-    /// Operators want something else of it.
-    pub(crate) fn want(&mut self, wanted: WantedState, now: TickTime, options: &Options) {
-        let starts = wanted == WantedState::Serve && self.wanted != WantedState::Serve;
+    /// Sets the state that operators want.
+    pub(crate) fn set_wanted(&mut self, wanted: WantedState, now: TickTime, options: &Options) {
+        let newly_wanted = wanted == WantedState::Serve && self.wanted != WantedState::Serve;
         self.wanted = wanted;
-        if starts {
+        if newly_wanted {
             self.on_cold(now, options);
-            // Unlike one that has just refused as cold, it may be tried at once.
-            self.next_send = now;
+            // Unlike a target that has just rejected a request as cold, it may be tried at once.
+            self.next_send_at = now;
         }
     }
 }
 
-fn bit_of(source: LeavingSource) -> u8 {
+fn bit_of(source: DrainSource) -> u8 {
     1 << source as u8
 }
--- a/crates/hawthorn-decide/src/slots.rs
+++ b/crates/hawthorn-decide/src/slots.rs
@@ -1,23 +1,19 @@
-//! Slots of one target: how many attempts it holds, counted by the one owner
-//! that may send to it.
+//! Slots of one target: its concurrency limit, counted by the only owner that may send to it.
 //!
-//! A slot is taken when an attempt is sent and given back by exactly one of:
-//! the attempt's end as the daemon reports it (answer, refusal, failure, time
-//! out, cancellation acknowledged), or the end of the cancellation's grace,
-//! with which the connection is closed. Nothing else gives a slot back, so a
-//! target never holds more of this owner's attempts than it has slots.
+//! A slot is acquired when an attempt is sent. It is released by exactly one of: the end of the
+//! attempt as reported by the daemon (answer, rejection, failure, timeout, acknowledged
+//! cancellation), or the end of the cancellation's grace period, at which the connection is closed.
+//! A target therefore never holds more attempts of this owner than it has slots.
 
 use std::time::Duration;
 
 /// Limits on slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// How long a slot stays taken after its attempt was cancelled and the
-    /// target did not acknowledge. Freed at once, the target would be handed
-    /// more than it has slots, in the dark; never freed, one lost
-    /// acknowledgement would cost a slot for good. 250 ms: two hundred times
-    /// the latency within a zone, and a quarter of the time in which clients
-    /// notice.
+    /// How long a slot stays in use after its attempt was cancelled without an acknowledgement.
+    /// Released at once, the target could get more attempts than it has slots; never released, one
+    /// lost acknowledgement would leak a slot. 250 ms: two hundred times the latency within a zone,
+    /// and a quarter of the delay that clients notice.
     pub cancel_grace: Duration,
 }
 
@@ -27,29 +23,29 @@
     }
 }
 
-/// Slots taken of one target.
+/// Slots in use of one target.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlotCount {
-    taken: u16,
+    in_use: u16,
 }
 
 impl SlotCount {
-    /// Attempts that hold a slot.
-    pub fn taken(self) -> u16 {
-        self.taken
+    /// Number of attempts that hold a slot.
+    pub fn in_use(self) -> u16 {
+        self.in_use
     }
 
-    /// Takes a slot if fewer than `limit` are taken.
-    pub fn take(&mut self, limit: u16) -> bool {
-        if self.taken >= limit {
+    /// Acquires a slot if fewer than `limit` are in use; returns whether it did.
+    pub fn acquire(&mut self, limit: u16) -> bool {
+        if self.in_use >= limit {
             return false;
         }
-        self.taken += 1;
+        self.in_use += 1;
         true
     }
 
-    /// Gives a slot back.
-    pub fn give_back(&mut self) {
-        self.taken = self.taken.checked_sub(1).expect("each attempt gives its slot back once");
+    /// Releases a slot.
+    pub fn release(&mut self) {
+        self.in_use = self.in_use.checked_sub(1).expect("each attempt releases its slot once");
     }
 }
--- a/crates/hawthorn-decide/src/time.rs
+++ b/crates/hawthorn-decide/src/time.rs
@@ -1,5 +1,5 @@
-//! Time as the decisions see it: microseconds since the process started,
-//! always passed in, so that a test can run it as fast as it likes.
+//! Time in microseconds since the process started. It is always passed in, so that tests can run
+//! in virtual time.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 pub struct TickTime(pub u64);
 
 impl TickTime {
-    /// The point `span` later.
+    /// The time `span` later, saturating.
     pub fn after(self, span: Duration) -> Self {
         self.plus(micros(span))
     }
 
-    /// The span from `earlier` to here; zero when `earlier` is later.
+    /// The duration since `earlier`; zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.micros_since(earlier))
     }
@@ -27,7 +27,7 @@
     }
 }
 
-/// `span` in whole microseconds; spans beyond half a million years saturate.
+/// Converts to whole microseconds; durations beyond half a million years saturate.
 pub(crate) fn micros(span: Duration) -> u64 {
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/hawthorn-decide/src/timer.rs
+++ b/crates/hawthorn-decide/src/timer.rs
@@ -1,8 +1,8 @@
-//! Points in time at which the owner has something to decide.
+//! Timers of the owner.
 //!
-//! A timer is never taken out when its cause goes away: the handle it carries
-//! no longer matches and it is dropped when it fires, or when the heap has
-//! doubled. The heap is thus about twice the live timers at most.
+//! Timers are not removed when their cause goes away. Their handle no longer resolves, and they are
+//! dropped when they fire or when the heap has doubled. The heap thus holds at most about twice as
+//! many timers as are live.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -11,17 +11,17 @@
 use crate::time::TickTime;
 use hawthorn_types::TargetKey;
 
-/// What a timer is for.
+/// The event that a timer triggers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum TimerAlarm {
-    /// The piece's deadline.
+pub(crate) enum TimerEvent {
+    /// The piece reaches its deadline.
     Deadline(ArenaHandle),
-    /// The piece's attempt is slow enough for a hedge.
-    Hedge(ArenaHandle),
-    /// A cancelled attempt was not acknowledged.
-    Grace(ArenaHandle),
-    /// A target may take work again.
-    Room(TargetKey),
+    /// The piece's attempt has run for the hedge delay.
+    HedgeDelay(ArenaHandle),
+    /// The grace period of a cancelled attempt ends.
+    CancelGrace(ArenaHandle),
+    /// A target may accept work again.
+    Capacity(TargetKey),
     /// A target is due for a probe.
     Probe(TargetKey),
 }
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug)]
 struct TimerEntry {
     at: TickTime,
-    alarm: TimerAlarm,
+    event: TimerEvent,
 }
 
 impl PartialEq for TimerEntry {
@@ -52,13 +52,13 @@
     }
 }
 
-/// Below this many entries a heap with stale ones is left alone.
+/// Heaps with fewer entries than this are not compacted.
 const COMPACT_FLOOR: usize = 1024;
 
 #[derive(Debug)]
 pub(crate) struct TimerQueue {
     heap: BinaryHeap<Reverse<TimerEntry>>,
-    /// The length at which stale entries are looked for.
+    /// Length above which stale entries are removed.
     limit: usize,
 }
 
@@ -67,28 +67,27 @@
         Self { heap: BinaryHeap::with_capacity(capacity), limit: COMPACT_FLOOR }
     }
 
-    pub(crate) fn arm(&mut self, at: TickTime, alarm: TimerAlarm) {
-        self.heap.push(Reverse(TimerEntry { at, alarm }));
+    pub(crate) fn arm(&mut self, at: TickTime, event: TimerEvent) {
+        self.heap.push(Reverse(TimerEntry { at, event }));
     }
 
     pub(crate) fn next(&self) -> Option<TickTime> {
         self.heap.peek().map(|entry| entry.0.at)
     }
 
-    pub(crate) fn fire(&mut self, now: TickTime) -> Option<TimerAlarm> {
+    pub(crate) fn fire(&mut self, now: TickTime) -> Option<TimerEvent> {
         if self.next()? > now {
             return None;
         }
-        self.heap.pop().map(|entry| entry.0.alarm)
+        self.heap.pop().map(|entry| entry.0.event)
     }
 
-    /// Drops stale timers once the heap has doubled since the last time, which
-    /// spreads the cost over as many calls. Guards against long deadlines at a
-    /// high rate: pieces that are done in milliseconds would each leave a timer
-    /// for many seconds.
-    pub(crate) fn compact(&mut self, is_live: impl Fn(&TimerAlarm) -> bool) {
+    /// Drops stale timers once the heap has doubled since the last compaction, which amortises the
+    /// cost. Without it, pieces with long deadlines that finish within milliseconds would each
+    /// leave a timer behind for many seconds.
+    pub(crate) fn compact(&mut self, is_live: impl Fn(&TimerEvent) -> bool) {
         if self.heap.len() > self.limit {
-            self.heap.retain(|entry| is_live(&entry.0.alarm));
+            self.heap.retain(|entry| is_live(&entry.0.event));
             self.limit = COMPACT_FLOOR + 2 * self.heap.len();
         }
     }
--- a/crates/hawthorn-decide/tests/admit.rs
+++ b/crates/hawthorn-decide/tests/admit.rs
@@ -1,4 +1,4 @@
-//! Admission, by its outcome for callers.
+//! Admission control, measured by the effect on callers.
 
 mod support;
 
@@ -14,7 +14,7 @@
 use support::MILLI;
 use support::Policy;
 use support::SECOND;
-use support::World;
+use support::Simulation;
 
 struct LoadCase {
     name: &'static str,
@@ -22,29 +22,28 @@
     load: f64,
     burst: f64,
     deadline: u64,
-    /// The most that can be done in time, over capacity: what is offered, or
-    /// all capacity, or in bursts the capacity until the burst's last deadline.
-    best: f64,
-    /// Least goodput over that.
+    /// Maximum achievable goodput over capacity: the offered load, or all capacity, or for bursts
+    /// the capacity until the last deadline of the burst.
+    achievable: f64,
+    /// Minimum ratio of goodput to that.
     goodput: f64,
-    /// Most extra attempts over first attempts.
+    /// Maximum ratio of extra attempts to first attempts.
     extra: f64,
 }
 
 const SECONDS: u64 = 5;
 
-/// Ship agents search faster than the targets can answer. Queries that cannot
-/// be done in time would fill the queues, and every answer would come too late
-/// although every slot is busy. The owner refuses the surplus at once; what it
-/// takes in, it answers whole.
+/// Failure: under overload, queries that cannot finish in time fill the queues, and every answer
+/// misses its deadline although every slot is busy. The owner must reject the excess at once and
+/// answer what it admits in full.
 #[test]
-fn overload_costs_only_the_surplus() -> Result<(), Box<dyn Error>> {
+fn overload_rejects_only_the_excess() -> Result<(), Box<dyn Error>> {
     let steady = LoadCase {
         name: "half load",
         load: 0.5,
         burst: 0.0,
         deadline: 200 * MILLI,
-        best: 0.5,
+        achievable: 0.5,
         goodput: 0.99,
         extra: 0.02,
     };
@@ -53,7 +52,7 @@
         LoadCase {
             name: "twice capacity",
             load: 2.0,
-            best: 1.0,
+            achievable: 1.0,
             goodput: 0.9,
             extra: 0.005,
             ..steady
@@ -61,7 +60,7 @@
         LoadCase {
             name: "five times capacity",
             load: 5.0,
-            best: 1.0,
+            achievable: 1.0,
             goodput: 0.9,
             extra: 0.005,
             ..steady
@@ -70,14 +69,14 @@
             name: "bursts",
             load: 0.3,
             burst: 4.0,
-            best: 0.7 * 0.3 + 0.3,
+            achievable: 0.7 * 0.3 + 0.3,
             goodput: 0.9,
             extra: 0.02,
             ..steady
         },
     ];
     for case in cases {
-        let mut world = World::new(DAR_PORT, Policy::Owners(owner::Options::default()), 11);
+        let mut sim = Simulation::new(DAR_PORT, Policy::Owners(owner::Options::default()), 11);
         let rate = DAR_PORT.capacity();
         let base = CallerLoad {
             deadline: case.deadline,
@@ -90,26 +89,26 @@
             let until = from + 100 * MILLI;
             loads.push(CallerLoad { rate: rate * case.burst + 1e-9, from, until, ..base });
         }
-        world.add_load(&loads);
-        world.run((SECONDS + 2) * SECOND);
+        sim.add_load(&loads);
+        sim.run((SECONDS + 2) * SECOND);
 
-        let best = rate * SECONDS as f64 * case.best;
-        let goodput = world.good(None) as f64 / best;
-        let counters = world.fronts[0].counters();
+        let achievable = rate * SECONDS as f64 * case.achievable;
+        let goodput = sim.completed(None) as f64 / achievable;
+        let counters = sim.fronts[0].counters();
         println!(
             "{}: goodput {goodput:.3} extra {:.4} p99 {}",
             case.name,
-            world.extra(),
-            world.quantile(None, 0.99)
+            sim.extra_ratio(),
+            sim.quantile(None, 0.99)
         );
         assert!(goodput >= case.goodput, "{}: goodput {goodput}", case.name);
-        assert!(world.extra() <= case.extra, "{}: extra {}", case.name, world.extra());
-        assert_eq!(world.overfilled, 0, "{}: no target got more than its slots", case.name);
-        assert_eq!(counters.waiting, [0, 0], "{}: nothing is left behind", case.name);
-        assert!(counters.retried(RetryReason::Hedge) as f64 <= case.extra * world.sent as f64);
-        for query in &world.queries {
+        assert!(sim.extra_ratio() <= case.extra, "{}: extra {}", case.name, sim.extra_ratio());
+        assert_eq!(sim.over_limit, 0, "{}: no target gets more attempts than slots", case.name);
+        assert_eq!(counters.waiting, [0, 0], "{}: no piece is left", case.name);
+        assert!(counters.retried(RetryReason::Hedge) as f64 <= case.extra * sim.sent as f64);
+        for query in &sim.queries {
             if let Some(retry_after) = query.refused {
-                assert_eq!(query.end, query.start, "{}: a refusal comes at once", case.name);
+                assert_eq!(query.end, query.start, "{}: rejections are immediate", case.name);
                 assert!(retry_after >= Duration::from_millis(5), "{}", case.name);
             }
         }
--- a/crates/hawthorn-decide/tests/hedge.rs
+++ b/crates/hawthorn-decide/tests/hedge.rs
@@ -1,4 +1,4 @@
-//! Hedges, by the latency of whole queries and the extra load.
+//! Hedging, measured by the latency of whole queries and the extra load.
 
 mod support;
 
@@ -11,43 +11,42 @@
 use support::POLAND;
 use support::Policy;
 use support::SECOND;
+use support::Simulation;
 use support::Site;
-use support::World;
 
 struct TailCase {
     name: &'static str,
     site: Site,
     load: f64,
     share: f64,
-    /// Least p99 of the baseline over that of the owner.
+    /// Minimum ratio of the baseline's p99 to the owner's.
     gain: f64,
 }
 
 const SECONDS: u64 = 10;
 const CALLERS: u32 = 4;
 
-fn run(case: &TailCase, policy: Policy) -> World {
-    let mut world = World::new(case.site, policy, 7);
+fn run(case: &TailCase, policy: Policy) -> Simulation {
+    let mut sim = Simulation::new(case.site, policy, 7);
     let rate = case.site.capacity() * case.load / f64::from(CALLERS);
     let load = |caller| CallerLoad {
         until: SECONDS * SECOND,
         ..CallerLoad::new(caller, rate, &case.site)
     };
-    world.add_load(&(0..CALLERS).map(load).collect::<Vec<_>>());
-    world.run((SECONDS + 5) * SECOND);
-    world
+    sim.add_load(&(0..CALLERS).map(load).collect::<Vec<_>>());
+    sim.run((SECONDS + 5) * SECOND);
+    sim
 }
 
-/// A query of twenty shards waits for its slowest: with 1 % of requests twenty
-/// times slower, one query in five is as slow as a straggler. Arrivals and
-/// service times are the same for both policies, so the ratio is of like and
-/// like.
+/// Failure: a query of twenty shards waits for the slowest. If 1 % of requests are twenty times
+/// slower, one query in five is as slow as a straggler. Both policies get the same arrivals and
+/// service times.
 #[test]
-fn stragglers_do_not_set_the_tail() -> Result<(), Box<dyn Error>> {
+fn stragglers_do_not_determine_the_tail() -> Result<(), Box<dyn Error>> {
     let dar = |stragglers| Site { stragglers, ..DAR_PORT };
     let poland = |stragglers| Site { stragglers, ..POLAND };
-    // With 5 % stragglers, mending nearly every one takes 5 + 0.25 % extra: the
-    // default budget of 5 % cannot, and a share of 6 % is shown beside it.
+    // With 5 % stragglers, hedging nearly every one takes 5 + 0.25 % extra attempts. The default
+    // budget of 5 % does not suffice, so a share of 6 % is tested as well.
     let single = Site { replicas: 1, ..dar(0.01) };
     let cases = [
         TailCase { name: "one replica 1 %", site: single, load: 0.2, share: 0.05, gain: 4.0 },
@@ -78,9 +77,9 @@
     for case in cases {
         let budget = budget::Options { share: case.share, ..budget::Options::default() };
         let options = owner::Options { budget, ..owner::Options::default() };
-        let naive = run(&case, Policy::Naive);
+        let baseline = run(&case, Policy::Baseline);
         let owner = run(&case, Policy::Owners(options));
-        let before = naive.quantile(None, 0.99) as f64;
+        let before = baseline.quantile(None, 0.99) as f64;
         let after = owner.quantile(None, 0.99) as f64;
         println!(
             "| {} | {:.1} | {:.1} | {:.1} | {:.2} % |",
@@ -88,13 +87,17 @@
             before / 1e3,
             after / 1e3,
             before / after,
-            owner.extra() * 100.0,
+            owner.extra_ratio() * 100.0,
         );
         assert!(before / after >= case.gain, "{}: gain {}", case.name, before / after);
-        assert!(owner.coverage() >= naive.coverage(), "{}: coverage", case.name);
-        let most = case.share * owner.first_attempts() as f64 + budget.burst;
-        assert!(owner.extra() * owner.first_attempts() as f64 <= most, "{}: extra", case.name);
-        assert_eq!(owner.overfilled, 0, "{}: slots", case.name);
+        assert!(owner.coverage() >= baseline.coverage(), "{}: coverage", case.name);
+        let max_extra = case.share * owner.first_attempts() as f64 + budget.burst;
+        assert!(
+            owner.extra_ratio() * owner.first_attempts() as f64 <= max_extra,
+            "{}: extra",
+            case.name
+        );
+        assert_eq!(owner.over_limit, 0, "{}: slots", case.name);
     }
     Ok(())
 }
--- a/crates/hawthorn-decide/tests/owner.rs
+++ b/crates/hawthorn-decide/tests/owner.rs
@@ -1,4 +1,4 @@
-//! What an owner promises whatever the order of events.
+//! Invariants of an owner under any order of events.
 
 mod support;
 
@@ -17,7 +17,7 @@
 use smallvec::smallvec;
 
 use hawthorn_decide::AttemptResult;
-use hawthorn_decide::LeavingSource;
+use hawthorn_decide::DrainSource;
 use hawthorn_decide::Observation;
 use hawthorn_decide::OwnerState;
 use hawthorn_decide::PieceKey;
@@ -81,20 +81,20 @@
 struct EndCase {
     result: AttemptResult,
     search: Option<PieceResult>,
-    once: PieceResult,
+    at_most_once: PieceResult,
 }
 
-/// An order confirmation is sent and its connection breaks. Sent again it could
-/// put two barges to one vessel; called "not run" it could be lost. The one
-/// attempt's end decides what may be said, and a search is tried elsewhere.
+/// Failure: a non-idempotent request whose connection breaks is sent again and runs twice, or is
+/// reported as not run although it ran. Its result must follow from the end of its only attempt,
+/// while a search is retried at another replica.
 #[test]
-fn the_end_of_an_attempt_is_told_truly() -> Result<(), Box<dyn Error>> {
+fn attempt_results_are_reported_correctly() -> Result<(), Box<dyn Error>> {
     let not_run = PieceResult::NotRun(RefusalReason::TargetRefused);
     let lost = PieceResult::Unknown(UnknownReason::ConnectionLost);
     let refused = |refusal, search| EndCase {
         result: AttemptResult::Refused(refusal),
         search,
-        once: not_run,
+        at_most_once: not_run,
     };
     let cases = [
         refused(TargetRefusal::Shedding, None),
@@ -106,94 +106,100 @@
         EndCase {
             result: AttemptResult::ConnectionFailed { sent: false },
             search: None,
-            once: PieceResult::NotRun(RefusalReason::NoTarget),
+            at_most_once: PieceResult::NotRun(RefusalReason::NoTarget),
         },
         EndCase {
             result: AttemptResult::ConnectionFailed { sent: true },
             search: None,
-            once: lost,
+            at_most_once: lost,
         },
-        EndCase { result: AttemptResult::Crossed, search: None, once: lost },
-        EndCase { result: AttemptResult::Cancelled, search: None, once: lost },
+        EndCase { result: AttemptResult::Crossed, search: None, at_most_once: lost },
+        EndCase { result: AttemptResult::Cancelled, search: None, at_most_once: lost },
         EndCase {
             result: AttemptResult::TimedOut,
             search: Some(PieceResult::Missing(MissingReason::DeadlinePast)),
-            once: PieceResult::Unknown(UnknownReason::DeadlinePast),
+            at_most_once: PieceResult::Unknown(UnknownReason::DeadlinePast),
         },
         EndCase {
             result: AttemptResult::TooLarge,
             search: Some(PieceResult::Missing(MissingReason::AnswerTooLarge)),
-            once: PieceResult::Failed(hawthorn_types::FailureReason::BadAnswer),
+            at_most_once: PieceResult::Failed(hawthorn_types::FailureReason::BadAnswer),
         },
     ];
     for case in cases {
-        for once in [false, true] {
+        for at_most_once in [false, true] {
             let mut model = model();
-            assert_eq!(model.submit(piece(1, once))?, admit::Outcome::Queued);
+            assert_eq!(model.submit(piece(1, at_most_once))?, admit::Outcome::Queued);
             model.advance(MILLI)?;
             model.complete(0, case.result)?;
             model.advance(10 * MILLI)?;
-            let expected = if once { Some(case.once) } else { case.search };
+            let expected = if at_most_once { Some(case.at_most_once) } else { case.search };
             let end = model.pieces[&PieceKey(1)].1;
-            assert_eq!(end, expected, "{:?}, once {once}", case.result);
-            let tried_again = model.attempts.len() > 1;
-            assert_eq!(tried_again, expected.is_none(), "{:?}, once {once}", case.result);
+            assert_eq!(end, expected, "{:?}, at_most_once {at_most_once}", case.result);
+            let retried = model.attempts.len() > 1;
+            assert_eq!(
+                retried,
+                expected.is_none(),
+                "{:?}, at_most_once {at_most_once}",
+                case.result
+            );
         }
     }
     Ok(())
 }
 
-/// The first attempt lags, the hedge answers, the front has its answer. Then
-/// the first one's answer comes, then once more, then one of nobody's. Handed
-/// on, a caller would receive an answer twice or another caller's.
+/// Failure: a late, repeated or unknown answer is delivered, so that a caller gets an answer twice
+/// or one that belongs to another caller. Here the hedge answers first, then the first attempt
+/// answers twice, then an attempt that does not exist.
 #[test]
 fn late_and_crossed_answers_are_dropped() -> Result<(), Box<dyn Error>> {
     let mut model = model();
     model.submit(piece(1, false))?;
     model.advance(30 * MILLI)?;
-    assert!(model.attempts.len() >= 2, "a hedge was made");
+    assert!(model.attempts.len() >= 2, "a hedge was sent");
     model.complete(1, AttemptResult::Answered)?;
     assert!(matches!(model.pieces[&PieceKey(1)].1, Some(PieceResult::Answered { .. })));
     model.complete(0, AttemptResult::Answered)?;
     model.complete(0, AttemptResult::Answered)?;
     model.owner.complete(model.now, AttemptId(u64::MAX), AttemptResult::Answered);
-    model.settle()?;
+    model.check_actions()?;
     let counters = model.owner.counters();
     assert_eq!((counters.late_answers, counters.unknown_attempts), (1, 2));
     assert_eq!(counters.answered, 1);
     Ok(())
 }
 
-/// A cancelled attempt is never acknowledged. Its slot freed at once, the
-/// target would be overfilled; never freed, capacity would leak away.
+/// Failure: a cancelled attempt is never acknowledged. If its slot were released at once, the
+/// target would get more attempts than it has slots; if it were never released, the slot would
+/// leak.
 #[test]
-fn a_slot_comes_back_whatever_ends_the_attempt() -> Result<(), Box<dyn Error>> {
+fn a_slot_is_released_after_an_unacknowledged_cancel() -> Result<(), Box<dyn Error>> {
     let mut model = model();
     model.submit(piece(1, true))?;
     let target = model.attempts[0].target;
     model.owner.cancel(model.now, PieceKey(1));
-    model.settle()?;
+    model.check_actions()?;
     assert_eq!(model.pieces[&PieceKey(1)].1, Some(PieceResult::Cancelled { sent: true }));
     let grace = owner::Options::default().slots.cancel_grace;
     model.advance(grace.as_micros() as u64 - 1)?;
-    assert_eq!(model.owner.slots_in_use(target), 1, "not before the grace is over");
+    assert_eq!(model.owner.slots_in_use(target), 1, "not before the grace period ends");
     model.advance(1)?;
     assert_eq!(model.owner.slots_in_use(target), 0);
-    assert!(model.attempts[0].closed, "the connection was closed");
+    assert!(model.attempts[0].closed, "the connection is closed");
     assert_eq!(model.owner.counters().unacknowledged, 1);
     Ok(())
 }
 
-/// Ownership of the targets moves to another host while pieces wait. Told that
-/// no replica exists, a front would give up ranges that the new owner can search.
+/// Failure: ownership of the targets moves to another host while pieces are queued. If they failed
+/// with "no replica", fronts would give up ranges that the new owner can search.
 #[test]
-fn pieces_of_a_moved_target_hear_that_it_moved() -> Result<(), Box<dyn Error>> {
+fn queued_pieces_fail_as_owner_unreachable_after_a_move() -> Result<(), Box<dyn Error>> {
     let mut model = model();
     for number in 0..6 {
         model.submit(piece(number, number == 5))?;
     }
     model.owner.set_targets(model.now, &[]);
-    model.settle()?;
+    model.check_actions()?;
     let missing = PieceResult::Missing(MissingReason::OwnerUnreachable);
     assert_eq!(model.pieces[&PieceKey(4)].1, Some(missing));
     let not_run = PieceResult::NotRun(RefusalReason::OwnerUnreachable);
@@ -206,25 +212,25 @@
     Ok(())
 }
 
-/// All targets of a shard are switched off or leave while pieces wait. Left
-/// waiting they would time out one by one; their fronts hear at once, and new
-/// ones are refused with a time to come back.
+/// Failure: all targets of a shard are switched off or drain while pieces are queued, and the
+/// pieces time out one by one. They must fail at once, and new ones be rejected with a retry-after
+/// time.
 #[test]
-fn pieces_without_a_replica_hear_at_once() -> Result<(), Box<dyn Error>> {
+fn queued_pieces_without_a_replica_fail_at_once() -> Result<(), Box<dyn Error>> {
     let mut model = model();
     for number in 0..6 {
         model.submit(piece(number, number == 5))?;
     }
-    assert_eq!(model.owner.counters().waiting, [2, 0], "four are on their way");
+    assert_eq!(model.owner.counters().waiting, [2, 0], "four are in flight");
     let wanted = [WantedState::Off, WantedState::Serve, WantedState::Serve];
     model.owner.set_targets(model.now, &records(wanted));
-    model.owner.observe(model.now, TargetKey(1), Observation::Leaving(LeavingSource::Platform));
-    model.settle()?;
+    model.owner.observe(model.now, TargetKey(1), Observation::DrainStarted(DrainSource::Platform));
+    model.check_actions()?;
     let missing = PieceResult::Missing(MissingReason::NoReplica);
     assert_eq!(model.pieces[&PieceKey(4)].1, Some(missing));
     let not_run = PieceResult::NotRun(RefusalReason::NoTarget);
     assert_eq!(model.pieces[&PieceKey(5)].1, Some(not_run));
-    assert_eq!(model.pieces[&PieceKey(0)].1, None, "what is on its way runs on");
+    assert_eq!(model.pieces[&PieceKey(0)].1, None, "attempts in flight continue");
     let outcome = model.submit(piece(7, false))?;
     let retry_after = Duration::from_secs(2);
     assert_eq!(outcome, admit::Outcome::Refused { reason: RefusalReason::NoTarget, retry_after });
@@ -234,30 +240,30 @@
 #[derive(Clone, Debug)]
 enum Step {
     Submit { caller: u32, shard: u32, normal: bool, at_most_once: bool, wait: u64 },
-    End { which: usize, how: usize },
-    EndAgain { which: usize },
+    End { index: usize, kind: usize },
+    EndAgain { index: usize },
     Cancel { piece: u64 },
     Advance { span: u64 },
-    Observe { target: u32, what: usize },
+    Observe { target: u32, kind: usize },
     SetTargets { wanted: usize },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let submit = (0u32..3, 0u32..2, any::<bool>(), 0u32..4, 1u64..100 * MILLI).prop_map(
-        |(caller, shard, normal, once, wait)| Step::Submit {
+        |(caller, shard, normal, draw, wait)| Step::Submit {
             caller,
             shard,
             normal,
-            at_most_once: once == 0,
+            at_most_once: draw == 0,
             wait,
         },
     );
-    let end = (any::<usize>(), 0usize..24).prop_map(|(which, how)| Step::End { which, how });
-    let observe = (0u32..3, 0usize..8).prop_map(|(target, what)| Step::Observe { target, what });
+    let end = (any::<usize>(), 0usize..24).prop_map(|(index, kind)| Step::End { index, kind });
+    let observe = (0u32..3, 0usize..8).prop_map(|(target, kind)| Step::Observe { target, kind });
     prop_oneof![
         8 => submit,
         8 => end,
-        1 => any::<usize>().prop_map(|which| Step::EndAgain { which }),
+        1 => any::<usize>().prop_map(|index| Step::EndAgain { index }),
         1 => (0u64..64).prop_map(|piece| Step::Cancel { piece }),
         6 => (1u64..20 * MILLI).prop_map(|span| Step::Advance { span }),
         1 => (1u64..3 * SECOND).prop_map(|span| Step::Advance { span }),
@@ -266,7 +272,7 @@
     ]
 }
 
-fn how_it_ended(how: usize) -> AttemptResult {
+fn attempt_result(kind: usize) -> AttemptResult {
     let refusals = [
         TargetRefusal::Shedding,
         TargetRefusal::Draining,
@@ -276,8 +282,8 @@
         TargetRefusal::Cancelled,
         TargetRefusal::BadRequest,
     ];
-    match how {
-        0..7 => AttemptResult::Refused(refusals[how]),
+    match kind {
+        0..7 => AttemptResult::Refused(refusals[kind]),
         7 => AttemptResult::ConnectionFailed { sent: false },
         8 => AttemptResult::ConnectionFailed { sent: true },
         9 => AttemptResult::TimedOut,
@@ -288,12 +294,12 @@
     }
 }
 
-fn observed(what: usize) -> Observation {
+fn observation(kind: usize) -> Observation {
     let reported = |phase| Observation::Reported { phase, held: SmallVec::new() };
-    match what {
+    match kind {
         0 => Observation::Unreachable,
-        1 => Observation::Leaving(LeavingSource::Operators),
-        2 => Observation::Staying(LeavingSource::Operators),
+        1 => Observation::DrainStarted(DrainSource::Operators),
+        2 => Observation::DrainCleared(DrainSource::Operators),
         3 => reported(TargetPhase::Draining),
         4 => reported(TargetPhase::Cold),
         _ => reported(TargetPhase::Ready),
@@ -304,23 +310,23 @@
     match *step {
         Step::Submit { caller, shard, normal, at_most_once, wait } => {
             let urgency = if normal { UrgencyClass::Normal } else { UrgencyClass::Urgent };
-            let ask = QueuedPiece {
+            let queued = QueuedPiece {
                 caller: CallerKey(caller),
                 shard: ShardKey(shard),
                 urgency,
                 deadline: TickTime(model.now.0 + wait),
                 ..piece(number, at_most_once)
             };
-            model.submit(ask)?;
+            model.submit(queued)?;
         }
-        Step::End { which, how } => {
+        Step::End { index, kind } => {
             let open = model.open();
             if !open.is_empty() {
-                model.complete(open[which % open.len()], how_it_ended(how))?;
+                model.complete(open[index % open.len()], attempt_result(kind))?;
             }
         }
-        Step::EndAgain { which } if !model.attempts.is_empty() => {
-            let index = which % model.attempts.len();
+        Step::EndAgain { index } if !model.attempts.is_empty() => {
+            let index = index % model.attempts.len();
             if model.attempts[index].result.is_some() || model.attempts[index].closed {
                 model.owner.complete(
                     model.now,
@@ -332,8 +338,8 @@
         Step::EndAgain { .. } => {}
         Step::Cancel { piece } => model.owner.cancel(model.now, PieceKey(piece)),
         Step::Advance { span } => model.advance(span)?,
-        Step::Observe { target, what } => {
-            model.owner.observe(model.now, TargetKey(target), observed(what));
+        Step::Observe { target, kind } => {
+            model.owner.observe(model.now, TargetKey(target), observation(kind));
         }
         Step::SetTargets { wanted } => {
             let mut states = [WantedState::Serve; 3];
@@ -347,14 +353,14 @@
             model.owner.set_targets(model.now, &owned);
         }
     }
-    model.settle()
+    model.check_actions()
 }
 
-/// Whatever comes in whatever order: no target holds more attempts than slots,
-/// every piece taken in ends exactly once and truthfully, a non-idempotent one
-/// is sent at most once, and an answer is delivered only for its own attempt.
+/// In any order of events, no target holds more attempts than slots, each admitted piece finishes
+/// exactly once with a correct result, a non-idempotent piece is sent at most once, and an answer
+/// is delivered only for its own attempt.
 #[test]
-fn any_order_of_events_keeps_the_promises() -> Result<(), Box<dyn Error>> {
+fn invariants_hold_in_any_order_of_events() -> Result<(), Box<dyn Error>> {
     let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
--- a/crates/hawthorn-decide/tests/queue.rs
+++ b/crates/hawthorn-decide/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Fairness between callers and urgencies, by what each caller gets.
+//! Fairness between callers and priority classes, measured by the slot time that each gets.
 
 mod support;
 
@@ -24,16 +24,16 @@
 use support::MILLI;
 use support::Policy;
 use support::SECOND;
-use support::World;
+use support::Simulation;
 use support::model::Model;
 
 const SECONDS: u64 = 6;
 
-fn run(loads: &[CallerLoad]) -> World {
-    let mut world = World::new(DAR_PORT, Policy::Owners(owner::Options::default()), 3);
-    world.add_load(loads);
-    world.run((SECONDS + 20) * SECOND);
-    world
+fn run(loads: &[CallerLoad]) -> Simulation {
+    let mut sim = Simulation::new(DAR_PORT, Policy::Owners(owner::Options::default()), 3);
+    sim.add_load(loads);
+    sim.run((SECONDS + 20) * SECOND);
+    sim
 }
 
 fn load(caller: u32, share: f64) -> CallerLoad {
@@ -44,10 +44,9 @@
     }
 }
 
-/// Slot time of a caller's queries that ended while the load lasted, in units
-/// of service times.
-fn served(world: &World, caller: u32) -> f64 {
-    let within = world.queries.iter().filter(|query| query.end <= SECONDS * SECOND);
+/// Slot time of a caller's queries that ended during the load, in units of the service time.
+fn served(sim: &Simulation, caller: u32) -> f64 {
+    let within = sim.queries.iter().filter(|query| query.end <= SECONDS * SECOND);
     let mine = within.filter(|query| query.caller == caller);
     mine.map(|query| f64::from(query.answered) * query.weight).sum()
 }
@@ -55,17 +54,16 @@
 struct NeighbourCase {
     name: &'static str,
     neighbour: CallerLoad,
-    /// Most p99 of the modest caller over its p99 alone.
+    /// Maximum ratio of the light caller's p99 to its p99 without the neighbour.
     delay: f64,
 }
 
-/// One member sends far more than its share, or work that takes far longer.
-/// Served in order of arrival, every other member would wait behind it and
-/// their screenings would come too late. Here only the member itself waits.
+/// Failure: one caller sends far more than its share, or work that takes far longer. Served in
+/// order of arrival, all other callers would wait behind it; only that caller itself may wait.
 #[test]
-fn a_member_delays_only_itself() -> Result<(), Box<dyn Error>> {
-    let modest = load(0, 0.1);
-    let alone = run(&[modest]);
+fn a_heavy_caller_delays_only_itself() -> Result<(), Box<dyn Error>> {
+    let light = load(0, 0.1);
+    let alone = run(&[light]);
     let flood = load(1, 4.0);
     let cases = [
         NeighbourCase { name: "flood", neighbour: flood, delay: 3.0 },
@@ -86,19 +84,19 @@
         },
         NeighbourCase {
             name: "flood on five shards",
-            neighbour: CallerLoad { breadth: 5, ..flood },
+            neighbour: CallerLoad { shards_per_query: 5, ..flood },
             delay: 3.0,
         },
     ];
     for case in cases {
-        let world = run(&[modest, case.neighbour]);
+        let sim = run(&[light, case.neighbour]);
         let before = alone.quantile(Some(0), 0.99) as f64;
-        let after = world.quantile(Some(0), 0.99) as f64;
-        let all = world.queries.iter().filter(|query| query.caller == 0).count();
+        let after = sim.quantile(Some(0), 0.99) as f64;
+        let all = sim.queries.iter().filter(|query| query.caller == 0).count();
         println!("{}: p99 {before} -> {after}", case.name);
         assert!(after / before <= case.delay, "{}: {before} -> {after}", case.name);
-        assert_eq!(world.good(Some(0)), all, "{}: every one is answered whole", case.name);
-        assert_eq!(world.overfilled, 0, "{}", case.name);
+        assert_eq!(sim.completed(Some(0)), all, "{}: every one is answered in full", case.name);
+        assert_eq!(sim.over_limit, 0, "{}", case.name);
     }
     Ok(())
 }
@@ -108,33 +106,40 @@
     loads: Vec<CallerLoad>,
 }
 
-/// Members that all ask for more than there is get equal slot time, whether
-/// they send many short pieces or fewer long ones.
+/// Callers that all exceed their share get equal slot time, whether they send many short pieces or
+/// fewer long ones.
 #[test]
 fn slot_time_is_shared_equally() -> Result<(), Box<dyn Error>> {
-    let heavy = |caller, weight: f64, share: f64| CallerLoad {
+    let with_weight = |caller, weight: f64, share: f64| CallerLoad {
         weight,
         deadline: SECOND,
         ..load(caller, share / weight)
     };
     let cases = [
-        ShareCase { name: "equal", loads: vec![heavy(0, 1.0, 1.0), heavy(1, 1.0, 1.0)] },
+        ShareCase {
+            name: "equal",
+            loads: vec![with_weight(0, 1.0, 1.0), with_weight(1, 1.0, 1.0)],
+        },
         ShareCase {
             name: "one asks for more",
-            loads: vec![heavy(0, 1.0, 1.0), heavy(1, 1.0, 4.0)],
+            loads: vec![with_weight(0, 1.0, 1.0), with_weight(1, 1.0, 4.0)],
         },
         ShareCase {
             name: "three lengths",
-            loads: vec![heavy(0, 1.0, 1.5), heavy(1, 2.0, 1.5), heavy(2, 3.0, 1.5)],
+            loads: vec![
+                with_weight(0, 1.0, 1.5),
+                with_weight(1, 2.0, 1.5),
+                with_weight(2, 3.0, 1.5),
+            ],
         },
     ];
     for case in cases {
-        let world = run(&case.loads);
-        let each: Vec<f64> = case.loads.iter().map(|load| served(&world, load.caller)).collect();
-        let least = each.iter().copied().fold(f64::INFINITY, f64::min);
-        let most = each.iter().copied().fold(0.0, f64::max);
+        let sim = run(&case.loads);
+        let each: Vec<f64> = case.loads.iter().map(|load| served(&sim, load.caller)).collect();
+        let min = each.iter().copied().fold(f64::INFINITY, f64::min);
+        let max = each.iter().copied().fold(0.0, f64::max);
         println!("{}: {each:?}", case.name);
-        assert!(most / least <= 1.15, "{}: {each:?}", case.name);
+        assert!(max / min <= 1.15, "{}: {each:?}", case.name);
     }
     Ok(())
 }
@@ -145,33 +150,33 @@
     services: [u64; 2],
 }
 
-/// Two members always have work waiting. However long it lasts, neither is
-/// ahead of the other by more than the slots can hold of the longest work; a
-/// drift would mean that one member's screenings are served first.
+/// Of two callers that are always backlogged, neither gets ahead of the other by more slot time
+/// than the slots hold of the longest work. Failure: a lead that grows over time, by which one
+/// caller is served first.
 #[test]
-fn neither_of_two_gets_ahead() -> Result<(), Box<dyn Error>> {
+fn lead_between_two_callers_is_bounded() -> Result<(), Box<dyn Error>> {
     let cases = [
-        BoundCase { name: "alike", services: [5 * MILLI, 5 * MILLI] },
-        BoundCase { name: "long and short", services: [MILLI, 20 * MILLI] },
-        BoundCase { name: "longer than ever guessed", services: [MILLI, 300 * MILLI] },
+        BoundCase { name: "equal lengths", services: [5 * MILLI, 5 * MILLI] },
+        BoundCase { name: "different lengths", services: [MILLI, 20 * MILLI] },
+        BoundCase { name: "longer than estimated", services: [MILLI, 300 * MILLI] },
     ];
     for case in cases {
-        let worst = widest_lead(case.services)?;
+        let max_lead = max_lead_between(case.services)?;
         let longest = case.services[0].max(case.services[1]);
         let bound = u64::from(BOUND_SLOTS) * longest;
-        println!("{}: {worst} of {bound} microseconds", case.name);
-        assert!(worst <= bound, "{}: ahead by {worst}, bound {bound}", case.name);
+        println!("{}: {max_lead} of {bound} microseconds", case.name);
+        assert!(max_lead <= bound, "{}: ahead by {max_lead}, bound {bound}", case.name);
     }
     Ok(())
 }
 
 const BOUND_SLOTS: u16 = 4;
-/// Pieces that each caller keeps waiting.
+/// Number of pieces that each caller keeps queued.
 const BACKLOG: usize = 8;
 const STEP: u64 = 500;
 
-/// The most slot time by which one caller was ever ahead of the other.
-fn widest_lead(services: [u64; 2]) -> Result<u64, String> {
+/// The maximum slot time by which one caller was ahead of the other.
+fn max_lead_between(services: [u64; 2]) -> Result<u64, String> {
     let mut owner = OwnerState::new(owner::Options::default(), 1);
     let record = TargetRecord {
         key: TargetKey(0),
@@ -181,31 +186,31 @@
     };
     owner.set_targets(TickTime(0), &[record]);
     let mut model = Model::new(owner, BOUND_SLOTS);
-    let mut taken = [0u64; 2];
+    let mut slot_time = [0u64; 2];
     let mut number = 0;
-    let mut worst = 0;
+    let mut max_lead = 0;
     while model.now.0 < 20 * SECOND {
         for caller in 0..2 {
             while waiting(&model, caller) < BACKLOG {
                 number += 1;
-                model.submit(endless(number, caller))?;
+                model.submit(backlog_piece(number, caller))?;
             }
         }
         model.advance(STEP)?;
         for index in model.open() {
             let caller = caller_of(&model, index);
-            taken[caller as usize] += STEP;
+            slot_time[caller as usize] += STEP;
             if model.now.0 - model.attempts[index].sent_at.0 >= services[caller as usize] {
                 model.complete(index, AttemptResult::Answered)?;
             }
         }
-        model.forget_ended();
-        worst = worst.max(taken[0].abs_diff(taken[1]));
+        model.drop_finished();
+        max_lead = max_lead.max(slot_time[0].abs_diff(slot_time[1]));
     }
-    Ok(worst)
+    Ok(max_lead)
 }
 
-fn endless(number: u64, caller: u32) -> QueuedPiece {
+fn backlog_piece(number: u64, caller: u32) -> QueuedPiece {
     QueuedPiece {
         piece: PieceKey(number),
         caller: CallerKey(caller),
@@ -223,30 +228,32 @@
     model.pieces[&model.attempts[index].piece].0.caller.0
 }
 
-/// Pieces of the caller that have not been sent.
+/// Number of pieces of the caller that have not been sent.
 fn waiting(model: &Model, caller: u32) -> usize {
-    let mine = model.pieces.values().filter(|(ask, end)| ask.caller.0 == caller && end.is_none());
+    let mine = model
+        .pieces
+        .values()
+        .filter(|(piece, result)| piece.caller.0 == caller && result.is_none());
     let open = model.open();
     mine.count() - open.iter().filter(|index| caller_of(model, **index) == caller).count()
 }
 
-/// Stem checks alone would take every slot for minutes. Invoice lookups may
-/// wait but must not starve or be lost: they get their eighth of the slot time,
-/// and every query either hears a refusal at once or gets its answer.
+/// Failure: sustained urgent load takes every slot, and normal work starves. Normal work must get
+/// its eighth of the slot time, and each of its queries is either rejected at once or answered.
 #[test]
 fn normal_work_keeps_its_share() -> Result<(), Box<dyn Error>> {
     let urgent = load(0, 2.0);
     let normal = CallerLoad { urgency: UrgencyClass::Normal, deadline: 5 * SECOND, ..load(1, 0.5) };
-    let world = run(&[urgent, normal]);
-    let whole = DAR_PORT.capacity() * SECONDS as f64 * f64::from(DAR_PORT.shards);
-    let share = served(&world, 1) / whole;
-    println!("normal share {share:.3}, urgent {:.3}", served(&world, 0) / whole);
+    let sim = run(&[urgent, normal]);
+    let total_slot_time = DAR_PORT.capacity() * SECONDS as f64 * f64::from(DAR_PORT.shards);
+    let share = served(&sim, 1) / total_slot_time;
+    println!("normal share {share:.3}, urgent {:.3}", served(&sim, 0) / total_slot_time);
     assert!(share >= 0.9 * 0.125, "normal work got {share}");
-    assert!(served(&world, 0) / whole >= 0.75, "urgent work comes first");
-    let mine = world.queries.iter().filter(|query| query.caller == 1 && query.refused.is_none());
+    assert!(served(&sim, 0) / total_slot_time >= 0.75, "urgent work comes first");
+    let mine = sim.queries.iter().filter(|query| query.caller == 1 && query.refused.is_none());
     for query in mine {
-        assert_eq!(query.open, 0, "every piece has its outcome");
-        assert!(query.is_whole(), "what was taken in is answered");
+        assert_eq!(query.open, 0, "every piece is finished");
+        assert!(query.is_complete(), "admitted queries are answered");
     }
     Ok(())
 }
--- a/crates/hawthorn-decide/tests/relay.rs
+++ b/crates/hawthorn-decide/tests/relay.rs
@@ -1,4 +1,4 @@
-//! When a piece is relayed to another zone, and when one is taken.
+//! When a piece is relayed to another zone, and when a relayed piece is accepted.
 
 use std::error::Error;
 use std::time::Duration;
@@ -30,10 +30,10 @@
     Ok(())
 }
 
-/// In saturation every owner's pieces are late. Were they taken over from zone
-/// to zone, each would be worked on twice and all would be later still.
+/// Failure: under saturation all pieces are late, and relays between zones would make each run
+/// twice and delay all of them further.
 #[test]
-fn only_a_free_slot_takes_a_relay() -> Result<(), Box<dyn Error>> {
+fn relays_are_accepted_only_into_a_free_slot() -> Result<(), Box<dyn Error>> {
     assert!(relay::may_accept(Duration::ZERO));
     assert!(!relay::may_accept(Duration::from_micros(1)));
     Ok(())
