--- a/crates/hawthorn-decide/tests/shift.rs
+++ b/crates/hawthorn-decide/tests/shift.rs
@@ -1,10 +1,10 @@
-//! Targets that come, go and fail, by the outcome for callers.
+//! Failing, draining and cold targets, measured by the effect on callers.
 
 mod support;
 
 use std::error::Error;
 
-use hawthorn_decide::LeavingSource;
+use hawthorn_decide::DrainSource;
 use hawthorn_decide::Observation;
 use hawthorn_decide::owner;
 use hawthorn_decide::shift::Phase;
@@ -15,183 +15,193 @@
 use support::MILLI;
 use support::Policy;
 use support::SECOND;
-use support::World;
+use support::Simulation;
 
 const SECONDS: u64 = 10;
-/// The target that misbehaves; the other replica of its shard is `TWIN`.
-const ODD: u32 = 3;
-const TWIN: u32 = ODD + DAR_PORT.shards;
+/// The target with the fault; `OTHER` is the other replica of its shard.
+const FAULTY: u32 = 3;
+const OTHER: u32 = FAULTY + DAR_PORT.shards;
 
-fn world(load: f64) -> World {
-    let mut world = World::new(DAR_PORT, Policy::Owners(owner::Options::default()), 5);
+fn sim(load: f64) -> Simulation {
+    let mut sim = Simulation::new(DAR_PORT, Policy::Owners(owner::Options::default()), 5);
     let rate = DAR_PORT.capacity() * load;
-    world
-        .add_load(&[CallerLoad { until: SECONDS * SECOND, ..CallerLoad::new(0, rate, &DAR_PORT) }]);
-    world
+    sim.add_load(&[CallerLoad { until: SECONDS * SECOND, ..CallerLoad::new(0, rate, &DAR_PORT) }]);
+    sim
 }
 
 /// A quantile of the latency of queries that started within the span.
-fn quantile(world: &World, from: u64, until: u64, share: f64) -> u64 {
-    let within = world.queries.iter().filter(|query| query.start >= from && query.start < until);
+fn quantile(sim: &Simulation, from: u64, until: u64, share: f64) -> u64 {
+    let within = sim.queries.iter().filter(|query| query.start >= from && query.start < until);
     let mut times: Vec<u64> = within.map(|query| query.latency()).collect();
     times.sort_unstable();
     times[((times.len() as f64 * share) as usize).min(times.len() - 1)]
 }
 
-fn received(world: &World, target: u32, from: u64, until: u64) -> usize {
-    world.received(target).iter().filter(|at| **at >= from && **at < until).count()
+fn received(sim: &Simulation, target: u32, from: u64, until: u64) -> usize {
+    sim.received(target).iter().filter(|at| **at >= from && **at < until).count()
 }
 
 struct FaultCase {
     name: &'static str,
     behaviour: Behaviour,
-    /// Most p99 from 3 s on over p99 without the fault.
-    delay: f64,
-    /// Most requests it gets from 3 s to 10 s.
-    work: usize,
+    /// Maximum ratio of the p99 from 3 s on to the p99 without the fault.
+    max_slowdown: f64,
+    /// Maximum number of requests that the target gets from 3 s to 10 s.
+    max_requests: usize,
 }
 
-/// One target goes wrong while its state page goes on saying ready. Callers
-/// would see every query as slow as it, or lose its shard. The owner sees its
-/// own attempts go unanswered or lag, and takes the target out by itself.
+/// Failure: a target hangs or slows down while its state report still says ready, so every query
+/// becomes as slow as the target or misses its shard. The owner must eject it on the evidence of
+/// its own attempts.
 #[test]
-fn a_target_that_goes_wrong_is_ejected() -> Result<(), Box<dyn Error>> {
-    let calm = {
-        let mut world = world(0.3);
-        world.run((SECONDS + 2) * SECOND);
-        quantile(&world, 3 * SECOND, SECONDS * SECOND, 0.99) as f64
+fn a_failing_target_is_ejected() -> Result<(), Box<dyn Error>> {
+    let healthy = {
+        let mut sim = sim(0.3);
+        sim.run((SECONDS + 2) * SECOND);
+        quantile(&sim, 3 * SECOND, SECONDS * SECOND, 0.99) as f64
     };
     let cases = [
         FaultCase {
             name: "answers nothing",
             behaviour: Behaviour { hangs_from: 2 * SECOND, ..Behaviour::default() },
-            delay: 2.0,
-            work: 40,
+            max_slowdown: 2.0,
+            max_requests: 40,
         },
         FaultCase {
             name: "twenty times slower",
-            behaviour: Behaviour { speed: 20.0, ..Behaviour::default() },
-            delay: 2.0,
-            work: 40,
+            behaviour: Behaviour { slowdown: 20.0, ..Behaviour::default() },
+            max_slowdown: 2.0,
+            max_requests: 40,
         },
         FaultCase {
             name: "three times slower",
-            behaviour: Behaviour { speed: 3.0, ..Behaviour::default() },
-            delay: 2.0,
-            work: 400,
+            behaviour: Behaviour { slowdown: 3.0, ..Behaviour::default() },
+            max_slowdown: 2.0,
+            max_requests: 400,
         },
     ];
     for case in cases {
-        let mut world = world(0.3);
-        world.behaviours[ODD as usize] = case.behaviour;
-        world.run((SECONDS + 2) * SECOND);
-        let after = quantile(&world, 3 * SECOND, SECONDS * SECOND, 0.99) as f64;
-        let work = received(&world, ODD, 3 * SECOND, SECONDS * SECOND);
-        println!("{}: p99 {calm} -> {after}, work {work}, extra {:.4}", case.name, world.extra());
-        assert!(after / calm <= case.delay, "{}: {calm} -> {after}", case.name);
-        assert!(work <= case.work, "{}: {work} requests", case.name);
-        assert_eq!(world.coverage(), 1.0, "{}", case.name);
-        assert!(world.extra() <= 0.05, "{}: extra {}", case.name, world.extra());
+        let mut sim = sim(0.3);
+        sim.behaviours[FAULTY as usize] = case.behaviour;
+        sim.run((SECONDS + 2) * SECOND);
+        let after = quantile(&sim, 3 * SECOND, SECONDS * SECOND, 0.99) as f64;
+        let requests = received(&sim, FAULTY, 3 * SECOND, SECONDS * SECOND);
+        println!(
+            "{}: p99 {healthy} -> {after}, requests {requests}, extra {:.4}",
+            case.name,
+            sim.extra_ratio()
+        );
+        assert!(after / healthy <= case.max_slowdown, "{}: {healthy} -> {after}", case.name);
+        assert!(requests <= case.max_requests, "{}: {requests} requests", case.name);
+        assert_eq!(sim.coverage(), 1.0, "{}", case.name);
+        assert!(sim.extra_ratio() <= 0.05, "{}: extra {}", case.name, sim.extra_ratio());
     }
     Ok(())
 }
 
-/// A target hangs for two seconds and then works again. Left out for good it
-/// would be capacity lost; sent full work at once, its next hang would cost
-/// callers again. It comes back by probe and ramp.
+/// Failure: an ejected target that has recovered stays unused, and its capacity is lost. A target
+/// that hangs for two seconds must return, by probe and ramp.
 #[test]
 fn an_ejected_target_returns() -> Result<(), Box<dyn Error>> {
-    let mut world = world(0.5);
-    world.behaviours[ODD as usize] =
+    let mut sim = sim(0.5);
+    sim.behaviours[FAULTY as usize] =
         Behaviour { hangs_from: 2 * SECOND, hangs_until: 4 * SECOND, ..Behaviour::default() };
-    world.run((SECONDS + 2) * SECOND);
-    assert!(world.fronts[0].counters().ejections >= 1);
-    assert_eq!(world.fronts[0].phase(TargetKey(ODD)), Some(Phase::Serving));
-    let back = received(&world, ODD, 8 * SECOND, SECONDS * SECOND);
-    let twin = received(&world, TWIN, 8 * SECOND, SECONDS * SECOND);
-    assert!(back * 3 >= twin, "{back} requests, its twin {twin}");
-    assert_eq!(world.coverage(), 1.0);
+    sim.run((SECONDS + 2) * SECOND);
+    assert!(sim.fronts[0].counters().ejections >= 1);
+    assert_eq!(sim.fronts[0].phase(TargetKey(FAULTY)), Some(Phase::Serving));
+    let returned = received(&sim, FAULTY, 8 * SECOND, SECONDS * SECOND);
+    let other = received(&sim, OTHER, 8 * SECOND, SECONDS * SECOND);
+    assert!(returned * 3 >= other, "{returned} requests, the other replica {other}");
+    assert_eq!(sim.coverage(), 1.0);
     Ok(())
 }
 
-/// The owner's own network fails, so every target seems to answer nothing. All
-/// ejected, nothing would be served even after it heals. Half of each shard's
-/// replicas stay in service.
+/// Failure: the owner's own network fails, so that no target seems to answer. If all were ejected,
+/// nothing would be served even after recovery. Half of each shard's replicas must stay in service.
 #[test]
 fn at_most_half_of_a_shard_is_ejected() -> Result<(), Box<dyn Error>> {
-    let mut world = world(0.2);
+    let mut sim = sim(0.2);
     for target in 0..DAR_PORT.targets() {
-        world.behaviours[target as usize] =
+        sim.behaviours[target as usize] =
             Behaviour { hangs_from: 2 * SECOND, hangs_until: 5 * SECOND, ..Behaviour::default() };
     }
-    world.run(5 * SECOND);
-    let owner = &world.fronts[0];
+    sim.run(5 * SECOND);
+    let owner = &sim.fronts[0];
     for shard in 0..DAR_PORT.shards {
-        let twins = [shard, shard + DAR_PORT.shards];
+        let replicas = [shard, shard + DAR_PORT.shards];
         let ejected =
             |target: &&u32| matches!(owner.phase(TargetKey(**target)), Some(Phase::Ejected { .. }));
-        assert!(twins.iter().filter(ejected).count() <= 1, "shard {shard}");
+        assert!(replicas.iter().filter(ejected).count() <= 1, "shard {shard}");
     }
-    assert!(owner.counters().ejections_spared > 0);
-    world.run((SECONDS + 2) * SECOND);
-    let late = world.queries.iter().filter(|query| query.start >= 8 * SECOND);
-    assert!(late.clone().count() > 0 && late.clone().all(|query| query.is_whole()));
+    assert!(owner.counters().ejections_skipped > 0);
+    sim.run((SECONDS + 2) * SECOND);
+    let recovered = sim.queries.iter().filter(|query| query.start >= 8 * SECOND);
+    assert!(recovered.clone().count() > 0 && recovered.clone().all(|query| query.is_complete()));
     Ok(())
 }
 
-struct LeavingCase {
+struct DrainCase {
     name: &'static str,
-    sign: Option<LeavingSource>,
+    signal: Option<DrainSource>,
     drains: bool,
-    /// Most requests that come to it after the sign.
-    work: usize,
+    /// Maximum number of requests that the target gets after the drain signal.
+    max_requests: usize,
 }
 
-/// A host is about to be stopped. Work sent to it after the first sign would be
-/// cut off or refused. Its state page still says ready, or its own refusal is
-/// the first sign there is; either way no query loses a shard.
+/// Failure: work is sent to a target that is about to stop, and is aborted or rejected. The state
+/// report may still say ready, and a rejection may be the first drain signal; no query may miss a
+/// shard either way.
 #[test]
-fn a_leaving_target_gets_nothing_new() -> Result<(), Box<dyn Error>> {
+fn a_draining_target_gets_no_new_work() -> Result<(), Box<dyn Error>> {
     let at = 3 * SECOND;
-    let signs = [LeavingSource::Platform, LeavingSource::Target, LeavingSource::Operators];
-    let mut cases: Vec<LeavingCase> = signs
+    let signals = [DrainSource::Platform, DrainSource::Target, DrainSource::Operators];
+    let mut cases: Vec<DrainCase> = signals
         .into_iter()
-        .map(|sign| LeavingCase { name: "sign", sign: Some(sign), drains: false, work: 0 })
+        .map(|signal| DrainCase {
+            name: "signal",
+            signal: Some(signal),
+            drains: false,
+            max_requests: 0,
+        })
         .collect();
-    cases.push(LeavingCase { name: "refusal", sign: None, drains: true, work: 3 });
+    cases.push(DrainCase { name: "rejection", signal: None, drains: true, max_requests: 3 });
     for case in cases {
-        let mut world = world(0.4);
+        let mut sim = sim(0.4);
         if case.drains {
-            world.behaviours[ODD as usize].drains_from = at;
+            sim.behaviours[FAULTY as usize].drains_from = at;
         }
-        if let Some(sign) = case.sign {
-            world.observe_at(at, ODD, Observation::Leaving(sign));
+        if let Some(signal) = case.signal {
+            sim.observe_at(at, FAULTY, Observation::DrainStarted(signal));
         }
-        world.run((SECONDS + 2) * SECOND);
-        let work = received(&world, ODD, at + DAR_PORT.latency + 1, u64::MAX);
-        assert!(work <= case.work, "{} {:?}: {work} requests", case.name, case.sign);
-        assert_eq!(world.coverage(), 1.0, "{} {:?}", case.name, case.sign);
+        sim.run((SECONDS + 2) * SECOND);
+        let requests = received(&sim, FAULTY, at + DAR_PORT.latency + 1, u64::MAX);
+        assert!(
+            requests <= case.max_requests,
+            "{} {:?}: {requests} requests",
+            case.name,
+            case.signal
+        );
+        assert_eq!(sim.coverage(), 1.0, "{} {:?}", case.name, case.signal);
     }
     Ok(())
 }
 
-/// A target was switched on and is still loading: it refuses as cold, then
-/// works. Full work at once would come back refused; it is tried one request at
-/// a time and takes its part once it answers well.
+/// Failure: a target that is still loading gets full traffic, which it rejects as cold. It must get
+/// one request at a time, and its full share once it answers.
 #[test]
 fn a_cold_target_ramps_up() -> Result<(), Box<dyn Error>> {
-    let mut world = world(0.5);
-    world.behaviours[ODD as usize].cold_until = 3 * SECOND;
-    world.run((SECONDS + 2) * SECOND);
-    let cold = received(&world, ODD, 0, 3 * SECOND);
-    let first = received(&world, ODD, 3 * SECOND, 3 * SECOND + 200 * MILLI);
-    let twin = received(&world, TWIN, 3 * SECOND, 3 * SECOND + 200 * MILLI);
-    let full = received(&world, ODD, 5 * SECOND, SECONDS * SECOND);
-    let full_twin = received(&world, TWIN, 5 * SECOND, SECONDS * SECOND);
-    println!("cold {cold}, first {first} of {twin}, then {full} of {full_twin}");
-    assert!(cold <= 2 + 30, "{cold} requests while cold: one in 100 ms");
-    assert!(first * 2 <= twin, "{first} requests at first, its twin {twin}");
-    assert!(full * 3 >= full_twin * 2, "{full} requests later, its twin {full_twin}");
-    assert_eq!(world.coverage(), 1.0);
+    let mut sim = sim(0.5);
+    sim.behaviours[FAULTY as usize].cold_until = 3 * SECOND;
+    sim.run((SECONDS + 2) * SECOND);
+    let cold = received(&sim, FAULTY, 0, 3 * SECOND);
+    let first = received(&sim, FAULTY, 3 * SECOND, 3 * SECOND + 200 * MILLI);
+    let other = received(&sim, OTHER, 3 * SECOND, 3 * SECOND + 200 * MILLI);
+    let full = received(&sim, FAULTY, 5 * SECOND, SECONDS * SECOND);
+    let full_other = received(&sim, OTHER, 5 * SECOND, SECONDS * SECOND);
+    println!("cold {cold}, first {first} of {other}, then {full} of {full_other}");
+    assert!(cold <= 2 + 30, "{cold} requests while cold, expected one in 100 ms");
+    assert!(first * 2 <= other, "{first} requests at first, the other replica {other}");
+    assert!(full * 3 >= full_other * 2, "{full} requests later, the other replica {full_other}");
+    assert_eq!(sim.coverage(), 1.0);
     Ok(())
 }
--- a/crates/hawthorn-decide/tests/slots.rs
+++ b/crates/hawthorn-decide/tests/slots.rs
@@ -1,4 +1,4 @@
-//! Slots of targets while more than one owner believes it holds them.
+//! Slots of targets while two owners believe that they hold them.
 
 mod support;
 
@@ -11,47 +11,58 @@
 use support::DAR_PORT;
 use support::Policy;
 use support::SECOND;
-use support::World;
+use support::Simulation;
 
 const SECONDS: u64 = 5;
 
 struct OverlapCase {
     name: &'static str,
     load: f64,
-    /// Least part of the shards asked for that is answered.
+    /// Minimum fraction of the requested shards that is answered.
     coverage: f64,
-    /// Most attempts that come to a full target, of all.
-    refused: f64,
+    /// Maximum fraction of the attempts that arrive at a full target.
+    over_limit_share: f64,
 }
 
-/// Ownership moves, and for some seconds two hosts both send to every target.
-/// Together they hold four attempts for two slots: targets shed, both owners
-/// retry, and with their budgets spent shards would go missing. Each leaves a
-/// slot unused after a refusal, so the refusals stop.
+/// Failure: while ownership moves, two hosts send to every target for some seconds, with four
+/// attempts for two slots. Targets shed load, both owners retry until their budgets are spent, and
+/// shards go missing. Each owner must withhold a slot after a rejection, so that rejections stop.
 #[test]
-fn two_owners_do_not_refuse_callers() -> Result<(), Box<dyn Error>> {
+fn overlapping_owners_do_not_fail_callers() -> Result<(), Box<dyn Error>> {
     let cases = [
-        OverlapCase { name: "calm", load: 0.3, coverage: 1.0, refused: 0.03 },
-        OverlapCase { name: "busy", load: 0.7, coverage: 0.999, refused: 0.05 },
+        OverlapCase { name: "low load", load: 0.3, coverage: 1.0, over_limit_share: 0.03 },
+        OverlapCase { name: "high load", load: 0.7, coverage: 0.999, over_limit_share: 0.05 },
     ];
     for case in cases {
         let options = owner::Options::default();
         let both = Policy::Shares { fronts: 2, slots: DAR_PORT.slots, options };
-        let mut world = World::new(DAR_PORT, both, 13);
-        world.sheds = true;
+        let mut sim = Simulation::new(DAR_PORT, both, 13);
+        sim.sheds = true;
         let rate = DAR_PORT.capacity() * case.load;
         let load = CallerLoad::new(0, rate, &DAR_PORT);
-        world.add_load(&[CallerLoad { until: SECONDS * SECOND, ..load }]);
-        world.run((SECONDS + 2) * SECOND);
-        let refused = world.overfilled as f64 / world.sent as f64;
-        println!("{}: coverage {:.5}, refused {refused:.4}", case.name, world.coverage());
-        assert!(world.coverage() >= case.coverage, "{}: {}", case.name, world.coverage());
-        assert!(refused <= case.refused, "{}: {refused} refused", case.name);
-        for front in &world.fronts {
+        sim.add_load(&[CallerLoad { until: SECONDS * SECOND, ..load }]);
+        sim.run((SECONDS + 2) * SECOND);
+        let over_limit_share = sim.over_limit as f64 / sim.sent as f64;
+        println!("{}: coverage {:.5}, over limit {over_limit_share:.4}", case.name, sim.coverage());
+        assert!(sim.coverage() >= case.coverage, "{}: {}", case.name, sim.coverage());
+        assert!(
+            over_limit_share <= case.over_limit_share,
+            "{}: {over_limit_share} of attempts over the limit",
+            case.name
+        );
+        for front in &sim.fronts {
             let counters = front.counters();
-            assert!(counters.retried(RetryReason::Shedding) > 0, "{}: it overlapped", case.name);
-            let spent = counters.missing(MissingReason::BudgetSpent);
-            assert!(spent * 1000 <= counters.queued, "{}: {spent} spent", case.name);
+            assert!(
+                counters.retried(RetryReason::Shedding) > 0,
+                "{}: the owners overlapped",
+                case.name
+            );
+            let budget_spent = counters.missing(MissingReason::BudgetSpent);
+            assert!(
+                budget_spent * 1000 <= counters.queued,
+                "{}: {budget_spent} without budget",
+                case.name
+            );
         }
     }
     Ok(())
--- a/crates/hawthorn-decide/tests/support/naive.rs
+++ b/crates/hawthorn-decide/tests/support/baseline.rs
@@ -1,4 +1,4 @@
-//! The baseline: a random replica, no hedge, first come first served.
+//! The baseline policy: a random replica, no hedges, first-come first-served at the target.
 
 use std::collections::HashSet;
 
@@ -8,12 +8,12 @@
 
 use super::Site;
 
-pub struct NaiveState {
+pub struct BaselineState {
     rng: ChaCha8Rng,
     closed: HashSet<u64>,
 }
 
-impl NaiveState {
+impl BaselineState {
     pub fn new(seed: u64) -> Self {
         Self { rng: ChaCha8Rng::seed_from_u64(seed), closed: HashSet::new() }
     }
@@ -22,7 +22,7 @@
         shard + site.shards * self.rng.random_range(0..site.replicas)
     }
 
-    /// Whether the piece was still open.
+    /// Closes the piece; returns whether it was still open.
     pub fn close(&mut self, piece: u64) -> bool {
         self.closed.insert(piece)
     }
--- a/crates/hawthorn-decide/tests/support/credits.rs
+++ b/crates/hawthorn-decide/tests/support/credits.rs
@@ -1,4 +1,4 @@
-//! Slots borrowed from a lender, one of the ways weighed against owners.
+//! Slots borrowed from a lender, one of the policies compared with owners.
 
 use smallvec::smallvec;
 
@@ -12,13 +12,13 @@
 
 pub struct Lender {
     pub period: u64,
-    /// Whether a loan is called back when somebody waits without any.
+    /// Whether a loan is recalled while a front with queued work has none.
     recall: bool,
     /// Slots lent, by front and target.
     lent: Vec<Vec<u16>>,
-    /// The turn in which each was lent.
-    since: Vec<Vec<usize>>,
-    turn: usize,
+    /// The round in which each was lent.
+    lent_in_round: Vec<Vec<usize>>,
+    round: usize,
 }
 
 impl Lender {
@@ -27,14 +27,14 @@
             period,
             recall,
             lent: vec![vec![0; targets]; fronts],
-            since: vec![vec![0; targets]; fronts],
-            turn: 0,
+            lent_in_round: vec![vec![0; targets]; fronts],
+            round: 0,
         }
     }
 
-    /// Takes back what is idle and lends it to fronts with work waiting.
+    /// Takes back idle slots and lends them to fronts with queued work.
     pub fn lend(&mut self, now: TickTime, site: &Site, fronts: &mut [OwnerState]) {
-        self.turn += 1;
+        self.round += 1;
         for target in 0..site.targets() {
             self.lend_target(target, site, fronts);
         }
@@ -54,34 +54,34 @@
         let shard = ShardKey(target % site.shards);
         let index = target as usize;
         for (front, owner) in fronts.iter().enumerate() {
-            if !waits(owner, shard) {
-                let taken = owner.slots_in_use(TargetKey(target));
-                self.lent[front][index] = self.lent[front][index].min(taken);
+            if !has_queued(owner, shard) {
+                let in_use = owner.slots_in_use(TargetKey(target));
+                self.lent[front][index] = self.lent[front][index].min(in_use);
             }
         }
-        let in_want = |lent: &[Vec<u16>], front: usize| {
-            lent[front][index] == 0 && waits(&fronts[front], shard)
+        let needs_slot = |lent: &[Vec<u16>], front: usize| {
+            lent[front][index] == 0 && has_queued(&fronts[front], shard)
         };
-        let mut free = site.slots.saturating_sub(self.held(index, fronts));
+        let mut free = site.slots.saturating_sub(self.allocated(index, fronts));
         for step in 0..fronts.len() {
-            let front = (self.turn + step) % fronts.len();
-            if free > 0 && in_want(&self.lent, front) {
+            let front = (self.round + step) % fronts.len();
+            if free > 0 && needs_slot(&self.lent, front) {
                 self.lent[front][index] += 1;
-                self.since[front][index] = self.turn;
+                self.lent_in_round[front][index] = self.round;
                 free -= 1;
             }
         }
-        // Somebody still waits without any: the oldest loan ends with its attempt.
-        if self.recall && (0..fronts.len()).any(|front| in_want(&self.lent, front)) {
+        // Some front with queued work still has no slot, so the oldest loan ends with its attempt.
+        if self.recall && (0..fronts.len()).any(|front| needs_slot(&self.lent, front)) {
             let lent = (0..fronts.len()).filter(|front| self.lent[*front][index] > 0);
-            if let Some(oldest) = lent.min_by_key(|front| self.since[*front][index]) {
+            if let Some(oldest) = lent.min_by_key(|front| self.lent_in_round[*front][index]) {
                 self.lent[oldest][index] -= 1;
             }
         }
     }
 
-    /// Slots lent or still taken.
-    fn held(&self, index: usize, fronts: &[OwnerState]) -> u16 {
+    /// Slots lent or still in use.
+    fn allocated(&self, index: usize, fronts: &[OwnerState]) -> u16 {
         let each = fronts.iter().enumerate().map(|(front, owner)| {
             self.lent[front][index].max(owner.slots_in_use(TargetKey::from(index)))
         });
@@ -89,6 +89,6 @@
     }
 }
 
-fn waits(owner: &OwnerState, shard: ShardKey) -> bool {
-    owner.waiting_at(shard) > 0
+fn has_queued(owner: &OwnerState, shard: ShardKey) -> bool {
+    owner.queue_length(shard) > 0
 }
--- a/crates/hawthorn-decide/tests/support/load.rs
+++ b/crates/hawthorn-decide/tests/support/load.rs
@@ -1,4 +1,4 @@
-//! Sites, callers' loads and the queries drawn from them.
+//! Sites, the loads of callers and the queries generated from them.
 
 use std::time::Duration;
 
@@ -21,12 +21,12 @@
     pub service: u64,
     /// One-way latency between an owner and a target.
     pub latency: u64,
-    /// Part of requests that take `STRAGGLE` times as long.
+    /// Fraction of requests that take `STRAGGLER_FACTOR` times as long.
     pub stragglers: f64,
 }
 
-pub const STRAGGLE: f64 = 20.0;
-/// Spread of ordinary service times: standard deviation of their logarithm.
+pub const STRAGGLER_FACTOR: f64 = 20.0;
+/// Standard deviation of the logarithm of the service times, stragglers excluded.
 const SPREAD: f64 = 0.25;
 
 pub const DAR_PORT: Site =
@@ -39,7 +39,7 @@
         self.shards * self.replicas
     }
 
-    /// Queries a second that take up all slots, without stragglers.
+    /// Queries per second that occupy all slots, without stragglers.
     pub fn capacity(&self) -> f64 {
         let mean = self.service as f64 * (SPREAD * SPREAD / 2.0).exp() + 2.0 * self.latency as f64;
         f64::from(self.replicas) * f64::from(self.slots) * SECOND as f64 / mean
@@ -50,16 +50,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct CallerLoad {
     pub caller: u32,
-    /// Queries a second.
+    /// Queries per second.
     pub rate: f64,
-    /// Its work takes so many times longer than the site's.
+    /// Service time of its work as a multiple of the site's.
     pub weight: f64,
     pub urgency: UrgencyClass,
     pub deadline: u64,
     pub from: u64,
     pub until: u64,
-    /// Shards of each query, from a random first one.
-    pub breadth: u32,
+    /// Number of shards per query, consecutive from a random one.
+    pub shards_per_query: u32,
 }
 
 impl CallerLoad {
@@ -72,28 +72,28 @@
             deadline: SECOND,
             from: 0,
             until: 10 * SECOND,
-            breadth: site.shards,
+            shards_per_query: site.shards,
         }
     }
 }
 
-/// How one target behaves.
+/// Faults of one target.
 #[derive(Clone, Copy, Debug)]
 pub struct Behaviour {
-    pub speed: f64,
-    /// Answers nothing but `GET /state` from then on.
+    pub slowdown: f64,
+    /// Time from which it answers nothing but `GET /state`.
     pub hangs_from: u64,
     pub hangs_until: u64,
-    /// Refuses as cold until then, and answers slowly for a while.
+    /// Time until which it rejects requests as cold.
     pub cold_until: u64,
-    /// Refuses as draining from then on.
+    /// Time from which it rejects requests as draining.
     pub drains_from: u64,
 }
 
 impl Default for Behaviour {
     fn default() -> Self {
         Self {
-            speed: 1.0,
+            slowdown: 1.0,
             hangs_from: u64::MAX,
             hangs_until: u64::MAX,
             cold_until: 0,
@@ -114,12 +114,12 @@
     pub open: u32,
     pub answered: u32,
     pub end: u64,
-    /// Refused whole before anything was sent.
+    /// The retry-after time if the query was rejected on arrival.
     pub refused: Option<Duration>,
 }
 
 impl QueryRecord {
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.refused.is_none() && self.answered as usize == self.shards.len()
     }
 
@@ -128,16 +128,22 @@
     }
 }
 
-/// The service time of one try of one piece: the same whatever the policy.
-pub fn draw(site: &Site, seed: u64, queries: &[QueryRecord], piece: u64, try_number: u32) -> f64 {
+/// The service time of one attempt of one piece, the same for every policy.
+pub fn sample_service_time(
+    site: &Site,
+    seed: u64,
+    queries: &[QueryRecord],
+    piece: u64,
+    attempt_number: u32,
+) -> f64 {
     let query = &queries[(piece / PIECES_A_QUERY) as usize];
     let step = piece % PIECES_A_QUERY;
-    let mix =
-        query.number ^ (step << 8 | u64::from(try_number)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-    let mut rng = ChaCha8Rng::seed_from_u64(seed ^ mix);
+    let stream =
+        query.number ^ (step << 8 | u64::from(attempt_number)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+    let mut rng = ChaCha8Rng::seed_from_u64(seed ^ stream);
     let radius = (-2.0 * (1.0 - rng.random::<f64>()).ln()).sqrt();
     let normal = radius * (std::f64::consts::TAU * rng.random::<f64>()).cos();
-    let straggles = rng.random::<f64>() < site.stragglers;
-    let factor = if straggles { STRAGGLE } else { 1.0 };
+    let is_straggler = rng.random::<f64>() < site.stragglers;
+    let factor = if is_straggler { STRAGGLER_FACTOR } else { 1.0 };
     site.service as f64 * query.weight * factor * (SPREAD * normal).exp()
 }
--- a/crates/hawthorn-decide/tests/support/mod.rs
+++ b/crates/hawthorn-decide/tests/support/mod.rs
@@ -1,7 +1,6 @@
-//! A small event loop in virtual time: queries over all shards of one site,
-//! targets that work with a few slots, and either owners or a naive sender
-//! between them. Everything is drawn from the seed; nothing reads a clock.
-// Each test takes in what it needs of it.
+//! A discrete-event simulation in virtual time: queries over the shards of one site, targets with a
+//! few slots, and between them either owners or the baseline. It is deterministic for a seed.
+// Each test uses only a part of this module.
 #![allow(dead_code, missing_docs, unused_imports)]
 
 use std::cmp::Reverse;
@@ -36,7 +35,7 @@
 pub use load::POLAND;
 pub use load::QueryRecord;
 pub use load::Site;
-use load::draw;
+use load::sample_service_time;
 pub use policy::Policy;
 use policy::records;
 use target::Job;
@@ -46,7 +45,7 @@
 pub mod credits;
 pub mod load;
 pub mod model;
-pub mod naive;
+pub mod baseline;
 pub mod policy;
 pub mod target;
 
@@ -85,42 +84,43 @@
     }
 }
 
-pub struct World {
+pub struct Simulation {
     pub site: Site,
     pub now: u64,
     pub fronts: Vec<OwnerState>,
     pub queries: Vec<QueryRecord>,
     pub behaviours: Vec<Behaviour>,
-    /// Attempts that came to a target with all slots taken.
-    pub overfilled: u64,
+    /// Attempts that arrived at a target with all slots in use.
+    pub over_limit: u64,
     /// Attempts sent to targets.
     pub sent: u64,
-    /// Slot time spent at targets, also on attempts that were cancelled.
-    pub spent: u64,
-    pub naive: Option<naive::NaiveState>,
-    /// Targets refuse what comes beyond their slots instead of queueing it.
+    /// Slot time used at targets, including cancelled attempts.
+    pub slot_time: u64,
+    pub baseline: Option<baseline::BaselineState>,
+    /// Whether targets reject attempts beyond their slots instead of queueing them.
     pub sheds: bool,
     seed: u64,
     targets: Vec<TargetSim>,
     events: BinaryHeap<Reverse<Entry>>,
     serial: u64,
-    woken: Vec<u64>,
-    tries: HashMap<u64, u32>,
+    wake_at: Vec<u64>,
+    attempt_counts: HashMap<u64, u32>,
     lender: Option<credits::Lender>,
 }
 
-/// Pieces are numbered query by query.
+/// Range of piece keys reserved for each query.
 const PIECES_A_QUERY: u64 = 1 << 10;
 
-impl World {
+impl Simulation {
     pub fn new(site: Site, policy: Policy, seed: u64) -> Self {
-        let naive = matches!(policy, Policy::Naive).then(|| naive::NaiveState::new(seed));
+        let baseline =
+            matches!(policy, Policy::Baseline).then(|| baseline::BaselineState::new(seed));
         let (count, options) = match &policy {
             Policy::Owners(options) => (1, *options),
             Policy::Shares { fronts, options, .. } => (*fronts, *options),
             Policy::Subsets { fronts, options } => (*fronts, *options),
             Policy::Credits { fronts, options, .. } => (*fronts, *options),
-            Policy::Naive => (0, owner::Options::default()),
+            Policy::Baseline => (0, owner::Options::default()),
         };
         let lender = match &policy {
             Policy::Credits { period, recall, .. } => {
@@ -134,32 +134,32 @@
             owner.set_targets(TickTime(0), &records(&site, &policy, front));
             fronts.push(owner);
         }
-        let mut world = Self {
+        let mut sim = Self {
             site,
             now: 0,
-            woken: vec![u64::MAX; fronts.len()],
+            wake_at: vec![u64::MAX; fronts.len()],
             fronts,
             queries: Vec::new(),
             behaviours: vec![Behaviour::default(); site.targets() as usize],
-            overfilled: 0,
+            over_limit: 0,
             sent: 0,
-            spent: 0,
-            naive,
+            slot_time: 0,
+            baseline,
             sheds: false,
             seed,
             targets: (0..site.targets()).map(|_| TargetSim::default()).collect(),
             events: BinaryHeap::new(),
             serial: 0,
-            tries: HashMap::new(),
+            attempt_counts: HashMap::new(),
             lender,
         };
-        if let Some(period) = world.lender.as_ref().map(|lender| lender.period) {
-            world.push(period, Event::Lend);
+        if let Some(period) = sim.lender.as_ref().map(|lender| lender.period) {
+            sim.push(period, Event::Lend);
         }
-        world
+        sim
     }
 
-    /// Draws the arrivals of `loads`; the same for every policy.
+    /// Generates the arrivals of `loads`, the same for every policy.
     pub fn add_load(&mut self, loads: &[CallerLoad]) {
         for (number, load) in loads.iter().enumerate() {
             let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ (number as u64 + 1) << 20);
@@ -176,7 +176,8 @@
 
     pub fn add_query(&mut self, at: u64, load: &CallerLoad, rng: &mut ChaCha8Rng) {
         let first = rng.random_range(0..self.site.shards);
-        let shards = (0..load.breadth).map(|step| (first + step) % self.site.shards).collect();
+        let shards =
+            (0..load.shards_per_query).map(|step| (first + step) % self.site.shards).collect();
         self.queries.push(QueryRecord {
             caller: load.caller,
             number: rng.next_u64(),
@@ -209,41 +210,41 @@
         }
     }
 
-    /// Queries that were answered whole before their deadline.
-    pub fn good(&self, caller: Option<u32>) -> usize {
-        let of = |query: &&QueryRecord| caller.is_none_or(|caller| query.caller == caller);
-        self.queries.iter().filter(of).filter(|query| query.is_whole()).count()
+    /// Number of queries answered by all shards before their deadline.
+    pub fn completed(&self, caller: Option<u32>) -> usize {
+        let matches = |query: &&QueryRecord| caller.is_none_or(|caller| query.caller == caller);
+        self.queries.iter().filter(matches).filter(|query| query.is_complete()).count()
     }
 
-    /// A quantile of the latency of queries that were not refused whole.
+    /// A quantile of the latency of admitted queries.
     pub fn quantile(&self, caller: Option<u32>, share: f64) -> u64 {
-        let of = |query: &&QueryRecord| caller.is_none_or(|caller| query.caller == caller);
-        let ran = self.queries.iter().filter(of).filter(|query| query.refused.is_none());
-        let mut times: Vec<u64> = ran.map(|query| query.latency()).collect();
+        let matches = |query: &&QueryRecord| caller.is_none_or(|caller| query.caller == caller);
+        let admitted = self.queries.iter().filter(matches).filter(|query| query.refused.is_none());
+        let mut times: Vec<u64> = admitted.map(|query| query.latency()).collect();
         times.sort_unstable();
         let rank = ((times.len() as f64 * share).ceil() as usize).clamp(1, times.len().max(1));
         times.get(rank - 1).copied().unwrap_or(0)
     }
 
-    /// Shards answered over shards asked, of queries not refused whole.
+    /// Fraction of the requested shards that answered, over admitted queries.
     pub fn coverage(&self) -> f64 {
-        let ran = self.queries.iter().filter(|query| query.refused.is_none());
-        let (answered, asked) = ran.fold((0u64, 0u64), |(answered, asked), query| {
-            (answered + u64::from(query.answered), asked + query.shards.len() as u64)
+        let admitted = self.queries.iter().filter(|query| query.refused.is_none());
+        let (answered, requested) = admitted.fold((0u64, 0u64), |(answered, requested), query| {
+            (answered + u64::from(query.answered), requested + query.shards.len() as u64)
         });
-        answered as f64 / asked.max(1) as f64
+        answered as f64 / requested.max(1) as f64
     }
 
     pub fn first_attempts(&self) -> u64 {
-        self.tries.len() as u64
+        self.attempt_counts.len() as u64
     }
 
-    /// Attempts beyond the first of each piece, over first attempts.
-    pub fn extra(&self) -> f64 {
+    /// Ratio of extra attempts to first attempts.
+    pub fn extra_ratio(&self) -> f64 {
         self.sent as f64 / self.first_attempts().max(1) as f64 - 1.0
     }
 
-    /// When attempts came to the target.
+    /// Arrival times of attempts at the target.
     pub fn received(&self, target: u32) -> &[u64] {
         &self.targets[target as usize].received
     }
@@ -261,10 +262,10 @@
             Event::Ended { target, key, result } => self.on_ended(target, key, result),
             Event::Cancel { target, key } => self.on_cancel(target, key),
             Event::Wake { front } => {
-                if self.woken[front] == self.now {
-                    self.woken[front] = u64::MAX;
+                if self.wake_at[front] == self.now {
+                    self.wake_at[front] = u64::MAX;
                     self.fronts[front].tick(TickTime(self.now));
-                    self.act(front);
+                    self.process_actions(front);
                 }
             }
             Event::Observe { target, observation } => {
@@ -274,7 +275,7 @@
                         TargetKey(target),
                         observation.clone(),
                     );
-                    self.act(front);
+                    self.process_actions(front);
                 }
             }
             Event::Deadline { piece } => self.close_piece(piece, false),
@@ -287,9 +288,9 @@
         lender.lend(TickTime(self.now), &self.site, &mut self.fronts);
         let period = lender.period;
         for front in 0..self.fronts.len() {
-            self.act(front);
+            self.process_actions(front);
         }
-        // With nothing else to come the world is at its end.
+        // Without other events the simulation is over.
         if !self.events.is_empty() {
             self.push(self.now + period, Event::Lend);
         }
@@ -297,13 +298,13 @@
 
     fn on_query(&mut self, index: usize) {
         let query = self.queries[index].clone();
-        if self.naive.is_some() {
-            return self.on_naive_query(index, &query);
+        if self.baseline.is_some() {
+            return self.on_baseline_query(index, &query);
         }
         let front = (query.number % self.fronts.len() as u64) as usize;
         let now = TickTime(self.now);
         let shards: Vec<ShardKey> = query.shards.iter().map(|shard| ShardKey(*shard)).collect();
-        let batch = owner::BatchAsk {
+        let batch = owner::BatchRequest {
             caller: CallerKey(query.caller),
             urgency: query.urgency,
             shards: &shards,
@@ -332,21 +333,21 @@
                 self.close_piece(piece.piece.0, false);
             }
         }
-        self.act(front);
+        self.process_actions(front);
     }
 
-    fn on_naive_query(&mut self, index: usize, query: &QueryRecord) {
+    fn on_baseline_query(&mut self, index: usize, query: &QueryRecord) {
         self.queries[index].open = query.shards.len() as u32;
         for (step, shard) in query.shards.iter().enumerate() {
             let piece = index as u64 * PIECES_A_QUERY + step as u64;
-            let Some(naive) = &mut self.naive else { return };
-            let target = naive.choose(*shard, &self.site);
+            let Some(baseline) = &mut self.baseline else { return };
+            let target = baseline.choose(*shard, &self.site);
             self.push(query.deadline, Event::Deadline { piece });
             self.send(0, piece, piece, target);
         }
     }
 
-    fn act(&mut self, front: usize) {
+    fn process_actions(&mut self, front: usize) {
         while let Some(action) = self.fronts[front].poll_action() {
             match action {
                 OwnerAction::Send { attempt, piece, target, .. } => {
@@ -367,13 +368,13 @@
             }
         }
         let wake = self.fronts[front].next_wake().map_or(u64::MAX, |at| at.0.max(self.now));
-        if wake < self.woken[front] {
-            self.woken[front] = wake;
+        if wake < self.wake_at[front] {
+            self.wake_at[front] = wake;
             self.push(wake, Event::Wake { front });
         }
     }
 
-    /// The state page: always ready unless draining, like the ones that mislead.
+    /// Answers `GET /state`: ready unless draining, even if the target is slow, cold or hangs.
     fn probe(&mut self, target: u32) {
         let behaviour = self.behaviours[target as usize];
         let draining = self.now >= behaviour.drains_from;
@@ -385,15 +386,16 @@
     }
 
     fn send(&mut self, front: usize, attempt: u64, piece: u64, target: u32) {
-        let try_number = self.tries.entry(piece).or_insert(0);
-        let service = draw(&self.site, self.seed, &self.queries, piece, *try_number);
-        *try_number += 1;
-        let speed = self.behaviours[target as usize].speed;
+        let attempt_number = self.attempt_counts.entry(piece).or_insert(0);
+        let service =
+            sample_service_time(&self.site, self.seed, &self.queries, piece, *attempt_number);
+        *attempt_number += 1;
+        let slowdown = self.behaviours[target as usize].slowdown;
         self.sent += 1;
         self.serial += 1;
         let job = Job {
             key: JobKey { front, attempt },
-            service: (service * speed) as u64,
+            service: (service * slowdown) as u64,
             serial: self.serial,
             started: 0,
         };
@@ -401,8 +403,8 @@
     }
 
     fn close_piece(&mut self, piece: u64, answered: bool) {
-        if let Some(naive) = &mut self.naive
-            && !naive.close(piece)
+        if let Some(baseline) = &mut self.baseline
+            && !baseline.close(piece)
         {
             return;
         }
--- a/crates/hawthorn-decide/tests/support/model.rs
+++ b/crates/hawthorn-decide/tests/support/model.rs
@@ -1,5 +1,4 @@
-//! What must hold of an owner's actions whatever happens: a model that watches
-//! each call and each action.
+//! A reference model that checks the invariants of an owner's actions at each call and each action.
 
 use std::collections::HashMap;
 
@@ -25,7 +24,7 @@
     pub closed: bool,
 }
 
-/// An owner and everything it has been seen to do.
+/// An owner and the record of its actions.
 pub struct Model {
     pub owner: OwnerState,
     pub now: TickTime,
@@ -45,11 +44,11 @@
         if outcome == admit::Outcome::Queued {
             self.pieces.insert(piece.piece, (piece, None));
         }
-        self.settle()?;
+        self.check_actions()?;
         Ok(outcome)
     }
 
-    /// Attempts whose end has not been reported, cancelled ones too.
+    /// Attempts whose end has not been reported, including cancelled ones.
     pub fn open(&self) -> Vec<usize> {
         let open = |index: &usize| {
             let attempt = &self.attempts[*index];
@@ -63,13 +62,13 @@
         attempt.result = attempt.result.or(Some(result));
         let id = attempt.attempt;
         self.owner.complete(self.now, id, result);
-        self.settle()
+        self.check_actions()
     }
 
-    /// Drops what has ended, for long runs.
-    pub fn forget_ended(&mut self) {
+    /// Drops finished pieces and attempts, to bound memory in long runs.
+    pub fn drop_finished(&mut self) {
         self.attempts.retain(|sent| sent.result.is_none() && !sent.closed);
-        self.pieces.retain(|_, (_, end)| end.is_none());
+        self.pieces.retain(|_, (_, result)| result.is_none());
     }
 
     pub fn advance(&mut self, span: u64) -> Result<(), String> {
@@ -77,14 +76,14 @@
         while let Some(wake) = self.owner.next_wake().filter(|wake| *wake <= until) {
             self.now = self.now.max(wake);
             self.owner.tick(self.now);
-            self.settle()?;
+            self.check_actions()?;
         }
         self.now = until;
         Ok(())
     }
 
-    /// Takes all actions and checks each.
-    pub fn settle(&mut self) -> Result<(), String> {
+    /// Polls all actions and checks each.
+    pub fn check_actions(&mut self) -> Result<(), String> {
         while let Some(action) = self.owner.poll_action() {
             match action {
                 OwnerAction::Send { attempt, piece, target, .. } => {
@@ -93,7 +92,7 @@
                 OwnerAction::Finish { piece, result } => self.on_finish(piece, result)?,
                 OwnerAction::Close { attempt, .. } => {
                     let sent = self.attempts.iter_mut().find(|sent| sent.attempt == attempt);
-                    sent.ok_or("closed an attempt never sent")?.closed = true;
+                    sent.ok_or("closed an attempt that was never sent")?.closed = true;
                 }
                 OwnerAction::Cancel { .. } | OwnerAction::Probe { .. } => {}
             }
@@ -107,15 +106,15 @@
         piece: PieceKey,
         target: TargetKey,
     ) -> Result<(), String> {
-        let (ask, end) = self.pieces.get(&piece).copied().map_or_else(
-            // A piece is sent within the call that submits it.
-            || Err(format!("sent a piece that was not taken in: {piece:?}")),
+        let (request, result) = self.pieces.get(&piece).copied().map_or_else(
+            // A piece can be sent within the call that submits it.
+            || Err(format!("sent a piece that was never submitted: {piece:?}")),
             Ok,
         )?;
-        if end.is_some() {
+        if result.is_some() {
             return Err(format!("sent {piece:?} after its end"));
         }
-        if ask.at_most_once && self.attempts.iter().any(|sent| sent.piece == piece) {
+        if request.at_most_once && self.attempts.iter().any(|sent| sent.piece == piece) {
             return Err(format!("sent the non-idempotent {piece:?} twice"));
         }
         if self.attempts.iter().any(|sent| sent.attempt == attempt) {
@@ -139,26 +138,27 @@
     }
 
     fn on_finish(&mut self, piece: PieceKey, result: PieceResult) -> Result<(), String> {
-        let (ask, end) = self.pieces.get_mut(&piece).ok_or("finished a piece not taken in")?;
-        if let Some(end) = end {
-            return Err(format!("{piece:?} finished as {end:?} and as {result:?}"));
+        let (request, recorded) =
+            self.pieces.get_mut(&piece).ok_or("finished a piece never submitted")?;
+        if let Some(earlier) = recorded {
+            return Err(format!("{piece:?} finished as {earlier:?} and as {result:?}"));
         }
-        *end = Some(result);
-        let once = ask.at_most_once;
-        let mine = self.attempts.iter().filter(|sent| sent.piece == piece);
-        let reached = mine.clone().any(|sent| may_have_run(sent.result));
-        let truthful = match result {
-            PieceResult::Answered { attempt, target } => mine.clone().any(|sent| {
+        *recorded = Some(result);
+        let at_most_once = request.at_most_once;
+        let sent_attempts = self.attempts.iter().filter(|sent| sent.piece == piece);
+        let may_have_reached = sent_attempts.clone().any(|sent| may_have_run(sent.result));
+        let consistent = match result {
+            PieceResult::Answered { attempt, target } => sent_attempts.clone().any(|sent| {
                 sent.attempt == attempt
                     && sent.target == target
                     && sent.result == Some(AttemptResult::Answered)
             }),
-            PieceResult::Missing(_) => !once,
-            PieceResult::NotRun(_) => once && !reached,
-            PieceResult::Unknown(_) | PieceResult::Failed(_) => once && reached,
-            PieceResult::Cancelled { sent } => sent || !reached,
+            PieceResult::Missing(_) => !at_most_once,
+            PieceResult::NotRun(_) => at_most_once && !may_have_reached,
+            PieceResult::Unknown(_) | PieceResult::Failed(_) => at_most_once && may_have_reached,
+            PieceResult::Cancelled { sent } => sent || !may_have_reached,
         };
-        if truthful { Ok(()) } else { Err(format!("{piece:?} finished as {result:?}")) }
+        if consistent { Ok(()) } else { Err(format!("{piece:?} finished as {result:?}")) }
     }
 }
 
--- a/crates/hawthorn-decide/tests/support/policy.rs
+++ b/crates/hawthorn-decide/tests/support/policy.rs
@@ -1,4 +1,4 @@
-//! Who stands between queries and targets.
+//! Policies by which queries are sent to targets.
 
 use smallvec::smallvec;
 
@@ -9,19 +9,19 @@
 use hawthorn_types::TargetKey;
 use hawthorn_types::WantedState;
 
-/// One of the ways weighed.
+/// One of the policies compared.
 pub enum Policy {
-    /// Owners; shard `s` belongs to `s % owners`, queries are admitted whole.
+    /// One owner that holds all targets; the pieces of a query are admitted or rejected together.
     Owners(owner::Options),
-    /// Fronts that each hold all targets with `slots` slots of their own.
+    /// Static shares: each front holds all targets, with `slots` slots of its own.
     Shares { fronts: usize, slots: u16, options: owner::Options },
-    /// Fronts that each hold one replica of each shard alone.
+    /// Subsets: each front holds one replica of each shard.
     Subsets { fronts: usize, options: owner::Options },
-    /// Fronts that borrow slots of all targets from a lender, which gives what
-    /// is idle to those that have work waiting, each `period`.
+    /// Credits: fronts borrow slots of all targets from a lender, which reassigns idle slots to
+    /// fronts with queued work every `period`.
     Credits { fronts: usize, period: u64, recall: bool, options: owner::Options },
-    /// Random replica, no hedge, first come first served at the target.
-    Naive,
+    /// A random replica, no hedges, first-come first-served at the target.
+    Baseline,
 }
 
 /// Targets of shard `s` are `s`, `s + shards`, `s + 2 x shards`, ...
@@ -31,7 +31,7 @@
         Policy::Credits { .. } => 0,
         _ => site.slots,
     };
-    let mine = |target: u32| match policy {
+    let is_assigned = |target: u32| match policy {
         Policy::Subsets { .. } => (target / site.shards) as usize == front % site.replicas as usize,
         _ => true,
     };
@@ -41,5 +41,5 @@
         wanted: WantedState::Serve,
         shards: smallvec![ShardKey(target % site.shards)],
     };
-    (0..site.targets()).filter(|target| mine(*target)).map(record).collect()
+    (0..site.targets()).filter(|target| is_assigned(*target)).map(record).collect()
 }
--- a/crates/hawthorn-decide/tests/support/target.rs
+++ b/crates/hawthorn-decide/tests/support/target.rs
@@ -1,9 +1,9 @@
-//! Targets that work with a few slots, in virtual time.
+//! Simulated targets with a few slots.
 
 use std::collections::VecDeque;
 
 use super::Event;
-use super::World;
+use super::Simulation;
 use hawthorn_decide::AttemptResult;
 use hawthorn_decide::TickTime;
 use hawthorn_types::AttemptId;
@@ -31,7 +31,7 @@
     pub received: Vec<u64>,
 }
 
-impl World {
+impl Simulation {
     pub(super) fn on_arrive(&mut self, target: u32, job: Job) {
         let behaviour = self.behaviours[target as usize];
         let sim = &mut self.targets[target as usize];
@@ -49,7 +49,7 @@
             return self.end(target, job.key, AttemptResult::Refused(refusal));
         }
         if sim.running.len() >= usize::from(self.site.slots) {
-            self.overfilled += 1;
+            self.over_limit += 1;
             if self.sheds {
                 let result = AttemptResult::Refused(TargetRefusal::Shedding);
                 return self.end(target, job.key, result);
@@ -74,7 +74,7 @@
             return;
         };
         let job = sim.running.swap_remove(position);
-        self.spent += self.now - job.started;
+        self.slot_time += self.now - job.started;
         self.end(target, job.key, AttemptResult::Answered);
         self.start_next(target);
     }
@@ -92,7 +92,7 @@
             sim.waiting.remove(position);
         } else if let Some(position) = sim.running.iter().position(|job| job.key == key) {
             let job = sim.running.swap_remove(position);
-            self.spent += self.now - job.started;
+            self.slot_time += self.now - job.started;
             self.start_next(target);
         } else {
             return;
@@ -105,10 +105,10 @@
     }
 
     pub(super) fn on_ended(&mut self, _target: u32, key: JobKey, result: AttemptResult) {
-        if self.naive.is_some() {
+        if self.baseline.is_some() {
             return self.close_piece(key.attempt, result == AttemptResult::Answered);
         }
         self.fronts[key.front].complete(TickTime(self.now), AttemptId(key.attempt), result);
-        self.act(key.front);
+        self.process_actions(key.front);
     }
 }
