--- a/crates/hawthorn-daemon/src/owner/intent.rs
+++ b/crates/hawthorn-daemon/src/owner/intent.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use hawthorn_types::ConfigRevision;
+use hawthorn_types::DesiredState;
 use hawthorn_types::TargetKey;
 use hawthorn_types::TargetPhase;
-use hawthorn_types::WantedState;
 use hawthorn_types::target::TargetIntent;
 use hawthorn_types::target::TargetState;
 use hyper::Method;
@@ -64,22 +64,22 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TargetUse {
     /// What operators want.
-    pub(super) wanted: WantedState,
+    pub(super) wanted: DesiredState,
     wanted_since: Instant,
     /// How long the target takes to warm.
     cold_start: Duration,
     /// How it is used; none before it was decided for the first time.
-    used: Option<WantedState>,
+    used: Option<DesiredState>,
     used_since: Instant,
     /// None before it was asked for the first time.
     sight: Option<TargetSight>,
     /// The last order that it acknowledged.
-    told: Option<WantedState>,
+    told: Option<DesiredState>,
     probed_at: Option<Instant>,
 }
 
 impl TargetUse {
-    pub(super) fn new(wanted: WantedState, cold_start: Duration) -> Self {
+    pub(super) fn new(wanted: DesiredState, cold_start: Duration) -> Self {
         let now = Instant::now();
         Self {
             wanted,
@@ -94,7 +94,7 @@
     }
 
     /// Notes what the revision in force wants.
-    pub(super) fn want(&mut self, wanted: WantedState, cold_start: Duration) {
+    pub(super) fn want(&mut self, wanted: DesiredState, cold_start: Duration) {
         if self.wanted != wanted {
             self.wanted = wanted;
             self.wanted_since = Instant::now();
@@ -107,7 +107,7 @@
         self.sight = Some(sight);
     }
 
-    fn decide(&self, verdict: HoldVerdict) -> WantedState {
+    fn decide(&self, verdict: HoldVerdict) -> DesiredState {
         usage(UsageInputs {
             wanted: self.wanted,
             before: self.used,
@@ -123,12 +123,12 @@
 
     /// Whether fronts may count on it: it gets work and does not say it leaves.
     pub(super) fn is_usable(&self) -> bool {
-        self.used == Some(WantedState::Serve) && self.phase() != Some(TargetPhase::Draining)
+        self.used == Some(DesiredState::Serve) && self.phase() != Some(TargetPhase::Draining)
     }
 
     /// Whether another zone may let its replica go for this one's sake.
     pub(super) fn is_ready(&self) -> bool {
-        let is_used = self.wanted == WantedState::Serve && self.used == Some(WantedState::Serve);
+        let is_used = self.wanted == DesiredState::Serve && self.used == Some(DesiredState::Serve);
         let is_warm = self.phase() == Some(TargetPhase::Ready);
         is_used && is_warm && self.used_since.elapsed() >= READY_AFTER
     }
@@ -136,7 +136,7 @@
     /// Whether it is switched off, as told. What still answers then, an agent
     /// beside the target, reports that it drains and holds nothing.
     fn is_off(&self) -> bool {
-        let was_told = self.wanted == WantedState::Off && self.told == Some(WantedState::Off);
+        let was_told = self.wanted == DesiredState::Off && self.told == Some(DesiredState::Off);
         was_told && self.phase() == Some(TargetPhase::Draining) && self.is_bare()
     }
 
@@ -146,7 +146,7 @@
 
     /// Whether to ask it now, when the decisions want to.
     fn take_probe(&mut self) -> bool {
-        let is_off = self.wanted == WantedState::Off && (self.phase().is_none() || self.is_off());
+        let is_off = self.wanted == DesiredState::Off && (self.phase().is_none() || self.is_off());
         let is_recent = self.probed_at.is_some_and(|at| at.elapsed() < OFF_PROBE_INTERVAL);
         if is_off && is_recent {
             return false;
@@ -159,7 +159,7 @@
 /// The end of one order.
 pub(super) struct OrderEnd {
     target: TargetKey,
-    tell: WantedState,
+    tell: DesiredState,
     is_done: bool,
 }
 
@@ -170,7 +170,7 @@
     }
 
     /// How a target is used from now on.
-    pub(super) fn use_target(&mut self, key: TargetKey, revision: ConfigRevision) -> WantedState {
+    pub(super) fn use_target(&mut self, key: TargetKey, revision: ConfigRevision) -> DesiredState {
         let verdict = self.verdict(key, revision);
         let target = self.targets.get_mut(&key).expect("kept just before it is used");
         let used = target.usage.decide(verdict);
--- a/crates/hawthorn-daemon/src/owner/look.rs
+++ b/crates/hawthorn-daemon/src/owner/look.rs
@@ -4,9 +4,9 @@
 
 use hawthorn_decide::message::HeldShard;
 use hawthorn_decide::message::Observation;
+use hawthorn_types::DesiredState;
 use hawthorn_types::ShardKey;
 use hawthorn_types::TargetKey;
-use hawthorn_types::WantedState;
 use hawthorn_types::target::TargetState;
 
 use super::duty::OwnerDuty;
@@ -71,7 +71,7 @@
             return;
         }
         target.reachable = reachable;
-        if target.usage.wanted == WantedState::Off {
+        if target.usage.wanted == DesiredState::Off {
             // Gone or back as operators want it: no loss and no news.
             return;
         }
--- a/crates/hawthorn-daemon/src/owner/reload.rs
+++ b/crates/hawthorn-daemon/src/owner/reload.rs
@@ -8,10 +8,10 @@
 use hawthorn_fleet::SlotShare;
 use hawthorn_intent::catalog;
 use hawthorn_types::ConfigRevision;
+use hawthorn_types::DesiredState;
 use hawthorn_types::ShardKey;
 use hawthorn_types::ShardName;
 use hawthorn_types::TargetKey;
-use hawthorn_types::WantedState;
 
 use super::duty::OwnedTarget;
 use super::duty::OwnerDuty;
@@ -85,7 +85,7 @@
             && known.pool.address() == record.address
         {
             known.shards = shards;
-            if known.usage.wanted == WantedState::Off && wanted != WantedState::Off {
+            if known.usage.wanted == DesiredState::Off && wanted != DesiredState::Off {
                 warm(&known.pool, connections);
             }
             known.usage.want(wanted, cold_start);
@@ -98,7 +98,7 @@
         };
         let pool = Arc::new(TargetPool::new(record.address, options));
         // Switched off on purpose: nothing to connect to.
-        if wanted != WantedState::Off {
+        if wanted != DesiredState::Off {
             warm(&pool, connections);
         }
         let usage = TargetUse::new(wanted, cold_start);
@@ -107,7 +107,7 @@
         self.targets.insert(key, target);
         // Failure: a group changes hands, and until the new owner's turn to probe
         // comes, up to a second, fronts hear that nobody holds its shards.
-        if wanted != WantedState::Off {
+        if wanted != DesiredState::Off {
             self.probe_now(key);
         }
     }
--- a/crates/hawthorn-daemon/src/owner/seen.rs
+++ b/crates/hawthorn-daemon/src/owner/seen.rs
@@ -3,8 +3,8 @@
 use std::collections::HashSet;
 
 use hawthorn_types::ConfigRevision;
+use hawthorn_types::DesiredState;
 use hawthorn_types::TargetPhase;
-use hawthorn_types::WantedState;
 
 /// What is seen of one target. Named, as keys differ between duties.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
     /// The target.
     pub target: String,
     /// What to tell it.
-    pub tell: WantedState,
+    pub tell: DesiredState,
 }
 
 /// What one round of the reconciler asks of the owner's duty.
--- a/crates/hawthorn-daemon/src/owner/usage.rs
+++ b/crates/hawthorn-daemon/src/owner/usage.rs
@@ -4,8 +4,8 @@
 //! Without sockets or a clock: what is known of the target goes in, and how it
 //! is used comes out.
 
+use hawthorn_types::DesiredState;
 use hawthorn_types::TargetPhase;
-use hawthorn_types::WantedState;
 
 /// What the reconciler last said of a target that is not wanted to serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,9 +22,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageInputs {
     /// What operators want of it.
-    pub wanted: WantedState,
+    pub wanted: DesiredState,
     /// How it was used until now; none for one that was not owned here.
-    pub before: Option<WantedState>,
+    pub before: Option<DesiredState>,
     /// The phase it last reported; none when it cannot be reached.
     pub phase: Option<TargetPhase>,
     /// What the reconciler said.
@@ -34,7 +34,7 @@
 }
 
 /// How the target is used: it gets work only when the answer is
-/// [`WantedState::Serve`].
+/// [`DesiredState::Serve`].
 ///
 /// Two failures are guarded against. A rule turns a shard's only target off,
 /// and until another is warm every answer has a hole: a target that serves is
@@ -44,19 +44,19 @@
 /// for seconds by an owner that takes the refusal for news. So it gets none
 /// before it reports that it is ready; a report that never comes, as reports
 /// lag and mislead, is waited for no longer than a cold start takes.
-pub fn usage(inputs: UsageInputs) -> WantedState {
-    let served = inputs.before == Some(WantedState::Serve);
-    if inputs.wanted == WantedState::Serve {
+pub fn usage(inputs: UsageInputs) -> DesiredState {
+    let served = inputs.before == Some(DesiredState::Serve);
+    if inputs.wanted == DesiredState::Serve {
         let is_new = inputs.before.is_none();
         let is_ready = inputs.phase == Some(TargetPhase::Ready);
         return match served || is_new || is_ready || inputs.is_due {
-            true => WantedState::Serve,
-            false => WantedState::Standby,
+            true => DesiredState::Serve,
+            false => DesiredState::Standby,
         };
     }
     match inputs.verdict {
-        HoldVerdict::Held => WantedState::Serve,
-        HoldVerdict::NotJudged if served => WantedState::Serve,
+        HoldVerdict::Held => DesiredState::Serve,
+        HoldVerdict::NotJudged if served => DesiredState::Serve,
         HoldVerdict::NotJudged | HoldVerdict::Released => inputs.wanted,
     }
 }
--- a/crates/hawthorn-daemon/src/process/intent.rs
+++ b/crates/hawthorn-daemon/src/process/intent.rs
@@ -16,11 +16,11 @@
 use hawthorn_intent::reconcile::ReconcileMemory;
 use hawthorn_intent::reconcile::SeenTarget;
 use hawthorn_intent::reconcile::reconcile;
+use hawthorn_types::DesiredState;
 use hawthorn_types::ShardKey;
 use hawthorn_types::ShardName;
 use hawthorn_types::TargetKey;
 use hawthorn_types::TargetPhase;
-use hawthorn_types::WantedState;
 use hawthorn_types::ZoneKey;
 use smallvec::SmallVec;
 
@@ -35,7 +35,7 @@
     /// The target.
     pub target: String,
     /// What is wanted.
-    pub wanted: WantedState,
+    pub wanted: DesiredState,
     /// What is seen; none when it cannot be reached.
     pub seen: Option<TargetPhase>,
     /// For how long, at the time of the round.
@@ -165,7 +165,7 @@
 fn leaving_shards(catalog: &FleetCatalog, own: &[SeenTarget]) -> HashSet<ShardKey> {
     let ready = own.iter().filter(|seen| seen.phase == Some(TargetPhase::Ready));
     let records = ready.map(|seen| catalog.target(seen.target));
-    let leaving = records.filter(|record| record.wanted() != WantedState::Serve);
+    let leaving = records.filter(|record| record.wanted() != DesiredState::Serve);
     leaving.flat_map(|record| record.shards.iter().copied()).collect()
 }
 
--- a/crates/hawthorn-daemon/src/request/query.rs
+++ b/crates/hawthorn-daemon/src/request/query.rs
@@ -6,8 +6,8 @@
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use hawthorn_plan::admit;
+use hawthorn_plan::admit::AdmissionRequest;
 use hawthorn_plan::admit::FrontStage;
-use hawthorn_plan::admit::QueryAsk;
 use hawthorn_plan::admit::WaitReport;
 use hawthorn_plan::track;
 use hawthorn_plan::track::Action;
@@ -20,7 +20,7 @@
 use hawthorn_plan::track::Step;
 use hawthorn_plan::track::TrackContext;
 use hawthorn_plan::track::TrackedQuery;
-use hawthorn_plan::window::QueryEnd;
+use hawthorn_plan::window::QueryFeedback;
 use hawthorn_types::CallerAnswer;
 use hawthorn_types::CallerKey;
 use hawthorn_types::CallerOutcome;
@@ -77,7 +77,8 @@
     let request = new_request();
     let (found, queued) = search(front, &checked, request).await;
     let took = front.now().saturating_sub(began);
-    admitted.end = Some(QueryEnd { queued, turned_away: is_turned_away(&found), took });
+    admitted.end =
+        Some(QueryFeedback { queue_wait: queued, rejected: is_turned_away(&found), elapsed: took });
     count(front, &found, took);
     let mut answer = front.bare_answer(request, checked.query.request_id, CallerOutcome::Answer);
     answer.index_version = found.version;
@@ -109,8 +110,8 @@
     if query.deadline_ms == 0 {
         return Err(refuse(RefusalReason::DeadlinePast));
     }
-    let range = query.range.unwrap_or(KeyRange::WHOLE);
-    let range_is_fit = !range.is_empty() && range.end <= KeyRange::WHOLE.end;
+    let range = query.range.unwrap_or(KeyRange::FULL);
+    let range_is_fit = !range.is_empty() && range.end <= KeyRange::FULL.end;
     if !range_is_fit || query.limit > front.options.max_limit {
         return Err(refuse(RefusalReason::BadRequest));
     }
@@ -133,7 +134,7 @@
     caller: CallerKey,
     began: Duration,
     /// None when the caller hung up: that says nothing of the load.
-    end: Option<QueryEnd>,
+    end: Option<QueryFeedback>,
 }
 
 impl Drop for AdmittedQuery<'_> {
@@ -142,9 +143,9 @@
         let mut load = self.front.load.lock().expect("no holder of the lock panics");
         if let Some(end) = &self.end {
             let window = &self.front.options.admit.window;
-            load.learn(self.caller, self.front.now(), end, window);
+            load.record_feedback(self.caller, self.front.now(), end, window);
         }
-        load.finished(self.caller, took);
+        load.record_completion(self.caller, took);
     }
 }
 
@@ -154,13 +155,13 @@
     began: Duration,
 ) -> Result<AdmittedQuery<'a>, (RefusalReason, Option<Duration>)> {
     let ready = front.fleet.status.borrow().ready;
-    let ask = QueryAsk {
+    let ask = AdmissionRequest {
         caller: checked.caller,
         now: began,
         deadline: checked.deadline,
         expected_wait: expected_wait(front, checked),
         stage: if ready { FrontStage::Serving } else { FrontStage::Unconfigured },
-        draw: rand::random(),
+        random: rand::random(),
     };
     let mut load = front.load.lock().expect("no holder of the lock panics");
     match admit::admit(&mut load, &ask, &front.options.admit) {
@@ -176,7 +177,7 @@
     let fleet = front.fleet_view();
     let table = front.tables.table(checked.service, &checked.config, &fleet, &front.views);
     let now = front.now();
-    let shards = table.near(checked.range).iter();
+    let shards = table.candidates(checked.range).iter();
     let reports = shards.filter_map(|shard| {
         let usable = shard.options.iter().filter(|option| !option.versions.is_empty());
         let best = usable.min_by_key(|option| option.expected_wait)?;
@@ -204,7 +205,7 @@
         range: checked.range,
         limit: checked.query.limit as usize,
         deadline: checked.deadline,
-        draw: rand::random(),
+        random: rand::random(),
     };
     let mut batches = FuturesUnordered::new();
     let mut guards: Vec<(BatchId, DropGuard)> = Vec::new();
@@ -269,9 +270,9 @@
 ) -> T {
     let fleet = front.fleet_view();
     let table = front.tables.table(checked.service, &checked.config, &fleet, &front.views);
-    let own_zone = checked.config.catalog.zone_named(&front.zone).unwrap_or_default();
+    let local_zone = checked.config.catalog.zone_named(&front.zone).unwrap_or_default();
     let mut budget = front.budget.lock().expect("no holder of the lock panics");
-    run(&mut TrackContext { now: front.now(), table: &table, own_zone, budget: &mut budget })
+    run(&mut TrackContext { now: front.now(), table: &table, local_zone, budget: &mut budget })
 }
 
 async fn send_batch(
--- a/crates/hawthorn-daemon/src/request/status.rs
+++ b/crates/hawthorn-daemon/src/request/status.rs
@@ -5,7 +5,7 @@
 use hawthorn_intent::catalog::FleetCatalog;
 use hawthorn_intent::explain;
 use hawthorn_types::ConfigStamp;
-use hawthorn_types::WantedState;
+use hawthorn_types::DesiredState;
 use schemars::JsonSchema;
 use serde::Deserialize;
 use serde::Serialize;
@@ -164,7 +164,7 @@
 fn wanted(catalog: &FleetCatalog) -> BTreeMap<String, u64> {
     let mut counts = BTreeMap::new();
     for (_, target) in catalog.targets() {
-        let state: WantedState = target.wanted();
+        let state: DesiredState = target.wanted();
         *counts.entry(state.to_string()).or_insert(0) += 1;
     }
     counts
--- a/crates/hawthorn-daemon/tests/intent.rs
+++ b/crates/hawthorn-daemon/tests/intent.rs
@@ -15,8 +15,8 @@
 use hawthorn_daemon::version::owned::OwnedGroups;
 use hawthorn_fleet::SlotShare;
 use hawthorn_intent::reconcile::DriftCause;
+use hawthorn_types::DesiredState;
 use hawthorn_types::TargetPhase;
-use hawthorn_types::WantedState;
 use serde_json::json;
 
 type TestResult<T = ()> = Result<T, Box<dyn Error>>;
@@ -102,7 +102,7 @@
     let end = test.round(&config, 100);
     assert!(end.round.held.is_empty());
     assert_eq!(end.round.revision.0, 2);
-    assert_eq!(end.round.orders[0].tell, WantedState::Drain);
+    assert_eq!(end.round.orders[0].tell, DesiredState::Drain);
     Ok(())
 }
 
--- a/crates/hawthorn-daemon/tests/usage.rs
+++ b/crates/hawthorn-daemon/tests/usage.rs
@@ -3,23 +3,23 @@
 use hawthorn_daemon::owner::usage::HoldVerdict;
 use hawthorn_daemon::owner::usage::UsageInputs;
 use hawthorn_daemon::owner::usage::usage;
+use hawthorn_types::DesiredState;
 use hawthorn_types::TargetPhase;
-use hawthorn_types::WantedState;
 
 struct UsageCase {
     name: &'static str,
     inputs: UsageInputs,
-    used: WantedState,
+    used: DesiredState,
 }
 
 #[test]
 fn a_target_gets_work_only_when_it_can_and_may() {
+    use DesiredState::Off;
+    use DesiredState::Serve;
+    use DesiredState::Standby;
     use HoldVerdict::Held;
     use HoldVerdict::NotJudged;
     use HoldVerdict::Released;
-    use WantedState::Off;
-    use WantedState::Serve;
-    use WantedState::Standby;
     let ready = Some(TargetPhase::Ready);
     let inputs = |wanted, before, phase, verdict, is_due| UsageInputs {
         wanted,
--- a/crates/hawthorn-decide/benches/decide.rs
+++ b/crates/hawthorn-decide/benches/decide.rs
@@ -22,10 +22,10 @@
 use hawthorn_decide::owner;
 use hawthorn_types::AttemptId;
 use hawthorn_types::CallerKey;
+use hawthorn_types::DesiredState;
 use hawthorn_types::IndexVersion;
 use hawthorn_types::ShardKey;
 use hawthorn_types::TargetKey;
-use hawthorn_types::WantedState;
 use hawthorn_types::caller::UrgencyClass;
 
 const SHARDS: u32 = 30;
@@ -49,7 +49,7 @@
         let record = |target| TargetRecord {
             key: TargetKey(target),
             slots: SLOTS,
-            wanted: WantedState::Serve,
+            wanted: DesiredState::Serve,
             shards: smallvec![ShardKey(target % SHARDS)],
         };
         let records: Vec<_> = (0..SHARDS * REPLICAS).map(record).collect();
--- a/crates/hawthorn-decide/src/message.rs
+++ b/crates/hawthorn-decide/src/message.rs
@@ -7,6 +7,7 @@
 use crate::time::TickTime;
 use hawthorn_types::AttemptId;
 use hawthorn_types::CallerKey;
+use hawthorn_types::DesiredState;
 use hawthorn_types::FailureReason;
 use hawthorn_types::IndexVersion;
 use hawthorn_types::MissingReason;
@@ -15,7 +16,6 @@
 use hawthorn_types::TargetKey;
 use hawthorn_types::TargetPhase;
 use hawthorn_types::UnknownReason;
-use hawthorn_types::WantedState;
 use hawthorn_types::caller::UrgencyClass;
 use hawthorn_types::target::TargetRefusal;
 
@@ -35,7 +35,7 @@
     /// Concurrent requests that this owner may send to it.
     pub slots: u16,
     /// The state that operators want it to be in.
-    pub wanted: WantedState,
+    pub wanted: DesiredState,
     /// Shards of which it holds a replica.
     pub shards: SmallVec<[ShardKey; 2]>,
 }
--- a/crates/hawthorn-decide/src/owner/target.rs
+++ b/crates/hawthorn-decide/src/owner/target.rs
@@ -7,10 +7,10 @@
 use crate::shift::TargetHealth;
 use crate::slots::SlotCount;
 use crate::time::TickTime;
+use hawthorn_types::DesiredState;
 use hawthorn_types::IndexVersion;
 use hawthorn_types::ShardKey;
 use hawthorn_types::TargetKey;
-use hawthorn_types::WantedState;
 
 /// Weight of a new service time in a target's moving average: one eighth.
 const LATENCY_WEIGHT: u64 = 8;
@@ -48,7 +48,7 @@
             slots: 0,
             shards: SmallVec::new(),
             count: SlotCount::default(),
-            health: TargetHealth::new(WantedState::Serve),
+            health: TargetHealth::new(DesiredState::Serve),
             held: None,
             probe_armed: false,
             capacity_timer_at: TickTime::default(),
--- a/crates/hawthorn-decide/src/shift.rs
+++ b/crates/hawthorn-decide/src/shift.rs
@@ -10,7 +10,7 @@
 use crate::message::DrainSource;
 use crate::time::TickTime;
 use crate::time::micros;
-use hawthorn_types::WantedState;
+use hawthorn_types::DesiredState;
 
 /// Limits of traffic shifting.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -125,7 +125,7 @@
 /// Traffic state of one target.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TargetHealth {
-    pub(crate) wanted: WantedState,
+    pub(crate) wanted: DesiredState,
     pub(crate) phase: Phase,
     drain_sources: u8,
     drain_started_at: TickTime,
@@ -144,7 +144,7 @@
 }
 
 impl TargetHealth {
-    pub(crate) fn new(wanted: WantedState) -> Self {
+    pub(crate) fn new(wanted: DesiredState) -> Self {
         Self {
             wanted,
             phase: Phase::Serving,
@@ -165,7 +165,7 @@
 
     /// Whether it may get work, now or later.
     pub(crate) fn in_service(&self) -> bool {
-        self.wanted == WantedState::Serve && self.drain_sources == 0
+        self.wanted == DesiredState::Serve && self.drain_sources == 0
     }
 
     pub(crate) fn is_ejected(&self) -> bool {
@@ -352,8 +352,8 @@
     }
 
     /// Sets the state that operators want.
-    pub(crate) fn set_wanted(&mut self, wanted: WantedState, now: TickTime, options: &Options) {
-        let newly_wanted = wanted == WantedState::Serve && self.wanted != WantedState::Serve;
+    pub(crate) fn set_wanted(&mut self, wanted: DesiredState, now: TickTime, options: &Options) {
+        let newly_wanted = wanted == DesiredState::Serve && self.wanted != DesiredState::Serve;
         self.wanted = wanted;
         if newly_wanted {
             self.on_cold(now, options);
--- a/crates/hawthorn-decide/tests/owner.rs
+++ b/crates/hawthorn-decide/tests/owner.rs
@@ -29,6 +29,7 @@
 use hawthorn_decide::owner;
 use hawthorn_types::AttemptId;
 use hawthorn_types::CallerKey;
+use hawthorn_types::DesiredState;
 use hawthorn_types::IndexVersion;
 use hawthorn_types::MissingReason;
 use hawthorn_types::RefusalReason;
@@ -36,7 +37,6 @@
 use hawthorn_types::TargetKey;
 use hawthorn_types::TargetPhase;
 use hawthorn_types::UnknownReason;
-use hawthorn_types::WantedState;
 use hawthorn_types::caller::UrgencyClass;
 use hawthorn_types::target::TargetRefusal;
 use support::MILLI;
@@ -46,7 +46,7 @@
 const SLOTS: u16 = 2;
 
 /// Two shards; targets 0 and 1 hold the first, 1 and 2 the second.
-fn records(wanted: [WantedState; 3]) -> Vec<TargetRecord> {
+fn records(wanted: [DesiredState; 3]) -> Vec<TargetRecord> {
     let shards: [SmallVec<[ShardKey; 2]>; 3] =
         [smallvec![ShardKey(0)], smallvec![ShardKey(0), ShardKey(1)], smallvec![ShardKey(1)]];
     let record = |(index, shards)| TargetRecord {
@@ -60,7 +60,7 @@
 
 fn model() -> Model {
     let mut owner = OwnerState::new(owner::Options::default(), 9);
-    owner.set_targets(TickTime(0), &records([WantedState::Serve; 3]));
+    owner.set_targets(TickTime(0), &records([DesiredState::Serve; 3]));
     Model::new(owner, SLOTS)
 }
 
@@ -222,7 +222,7 @@
         model.submit(piece(number, number == 5))?;
     }
     assert_eq!(model.owner.counters().waiting, [2, 0], "four are in flight");
-    let wanted = [WantedState::Off, WantedState::Serve, WantedState::Serve];
+    let wanted = [DesiredState::Off, DesiredState::Serve, DesiredState::Serve];
     model.owner.set_targets(model.now, &records(wanted));
     model.owner.observe(model.now, TargetKey(1), Observation::DrainStarted(DrainSource::Platform));
     model.check_actions()?;
@@ -342,9 +342,9 @@
             model.owner.observe(model.now, TargetKey(target), observation(kind));
         }
         Step::SetTargets { wanted } => {
-            let mut states = [WantedState::Serve; 3];
+            let mut states = [DesiredState::Serve; 3];
             if let Some(state) = states.get_mut(wanted) {
-                *state = WantedState::Drain;
+                *state = DesiredState::Drain;
             }
             let mut owned = records(states);
             if wanted == 2 {
--- a/crates/hawthorn-decide/tests/queue.rs
+++ b/crates/hawthorn-decide/tests/queue.rs
@@ -14,10 +14,10 @@
 use hawthorn_decide::TickTime;
 use hawthorn_decide::owner;
 use hawthorn_types::CallerKey;
+use hawthorn_types::DesiredState;
 use hawthorn_types::IndexVersion;
 use hawthorn_types::ShardKey;
 use hawthorn_types::TargetKey;
-use hawthorn_types::WantedState;
 use hawthorn_types::caller::UrgencyClass;
 use support::CallerLoad;
 use support::DAR_PORT;
@@ -181,7 +181,7 @@
     let record = TargetRecord {
         key: TargetKey(0),
         slots: BOUND_SLOTS,
-        wanted: WantedState::Serve,
+        wanted: DesiredState::Serve,
         shards: smallvec![ShardKey(0)],
     };
     owner.set_targets(TickTime(0), &[record]);
--- a/crates/hawthorn-decide/tests/support/credits.rs
+++ b/crates/hawthorn-decide/tests/support/credits.rs
@@ -6,9 +6,9 @@
 use hawthorn_decide::OwnerState;
 use hawthorn_decide::TargetRecord;
 use hawthorn_decide::TickTime;
+use hawthorn_types::DesiredState;
 use hawthorn_types::ShardKey;
 use hawthorn_types::TargetKey;
-use hawthorn_types::WantedState;
 
 pub struct Lender {
     pub period: u64,
@@ -42,7 +42,7 @@
             let record = |target: u32| TargetRecord {
                 key: TargetKey(target),
                 slots: self.lent[front][target as usize],
-                wanted: WantedState::Serve,
+                wanted: DesiredState::Serve,
                 shards: smallvec![ShardKey(target % site.shards)],
             };
             let records: Vec<_> = (0..site.targets()).map(record).collect();
--- a/crates/hawthorn-decide/tests/support/policy.rs
+++ b/crates/hawthorn-decide/tests/support/policy.rs
@@ -5,9 +5,9 @@
 use super::Site;
 use hawthorn_decide::TargetRecord;
 use hawthorn_decide::owner;
+use hawthorn_types::DesiredState;
 use hawthorn_types::ShardKey;
 use hawthorn_types::TargetKey;
-use hawthorn_types::WantedState;
 
 /// One of the policies compared.
 pub enum Policy {
@@ -38,7 +38,7 @@
     let record = |target: u32| TargetRecord {
         key: TargetKey(target),
         slots,
-        wanted: WantedState::Serve,
+        wanted: DesiredState::Serve,
         shards: smallvec![ShardKey(target % site.shards)],
     };
     (0..site.targets()).filter(|target| is_assigned(*target)).map(record).collect()
--- a/crates/hawthorn-intent/src/catalog/mod.rs
+++ b/crates/hawthorn-intent/src/catalog/mod.rs
@@ -11,12 +11,12 @@
 
 use hawthorn_types::CallerKey;
 use hawthorn_types::ConfigRevision;
+use hawthorn_types::DesiredState;
 use hawthorn_types::GroupKey;
 use hawthorn_types::ServiceKey;
 use hawthorn_types::ShardKey;
 use hawthorn_types::ShardName;
 use hawthorn_types::TargetKey;
-use hawthorn_types::WantedState;
 use hawthorn_types::ZoneKey;
 use la_arena::Arena;
 use la_arena::Idx;
@@ -133,7 +133,7 @@
 
     /// The targets that hold a shard and are wanted to serve.
     pub fn serving_targets_of(&self, shard: ShardKey) -> impl Iterator<Item = TargetKey> {
-        let serves = |key: &TargetKey| self.target(*key).wanted() == WantedState::Serve;
+        let serves = |key: &TargetKey| self.target(*key).wanted() == DesiredState::Serve;
         self.targets_of(shard).iter().copied().filter(serves)
     }
 
--- a/crates/hawthorn-intent/src/catalog/record.rs
+++ b/crates/hawthorn-intent/src/catalog/record.rs
@@ -3,6 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use hawthorn_types::DesiredState;
 use hawthorn_types::GroupKey;
 use hawthorn_types::KeyRange;
 use hawthorn_types::ServiceKey;
@@ -10,7 +11,6 @@
 use hawthorn_types::ShardName;
 use hawthorn_types::TargetKey;
 use hawthorn_types::UrgencyClass;
-use hawthorn_types::WantedState;
 use hawthorn_types::ZoneKey;
 use smallvec::SmallVec;
 
@@ -88,7 +88,7 @@
 
 impl TargetRecord {
     /// The state wanted of it.
-    pub fn wanted(&self) -> WantedState {
+    pub fn wanted(&self) -> DesiredState {
         self.decision.state
     }
 }
--- a/crates/hawthorn-intent/src/check/placing.rs
+++ b/crates/hawthorn-intent/src/check/placing.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
+use hawthorn_types::DesiredState;
 use hawthorn_types::ShardName;
-use hawthorn_types::WantedState;
 use smallvec::SmallVec;
 
 use crate::check::CheckedFiles;
@@ -80,7 +80,7 @@
 }
 
 fn serving_zones<'c>(files: &CheckedFiles<'c, '_>, holding: &[usize]) -> SmallVec<[&'c str; 4]> {
-    let serves = |index: &&usize| files.decisions[**index].state == WantedState::Serve;
+    let serves = |index: &&usize| files.decisions[**index].state == DesiredState::Serve;
     holding.iter().filter(serves).map(|&index| &*files.inventory.targets[index].zone).collect()
 }
 
--- a/crates/hawthorn-intent/src/diff.rs
+++ b/crates/hawthorn-intent/src/diff.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
+use hawthorn_types::DesiredState;
 use hawthorn_types::ShardName;
-use hawthorn_types::WantedState;
 use serde::Serialize;
 use strum::Display;
 
@@ -88,9 +88,9 @@
         /// The target.
         target: String,
         /// What was wanted.
-        old: Option<WantedState>,
+        old: Option<DesiredState>,
         /// What is wanted.
-        new: Option<WantedState>,
+        new: Option<DesiredState>,
     },
     /// How many targets are wanted to serve a shard.
     Replicas {
@@ -192,7 +192,7 @@
     names_in(old, new) != names_in(new, old)
 }
 
-fn wanted_states(view: ConfigView<'_>) -> BTreeMap<&str, WantedState> {
+fn wanted_states(view: ConfigView<'_>) -> BTreeMap<&str, DesiredState> {
     let decisions = wanted(view.inventory, view.rules);
     let targets = view.inventory.targets.iter();
     targets.zip(decisions).map(|(target, decision)| (&*target.name, decision.state)).collect()
@@ -216,7 +216,7 @@
     let decisions = wanted(view.inventory, view.rules);
     for (target, decision) in view.inventory.targets.iter().zip(decisions) {
         for shard in &target.shards {
-            *counts.entry(shard).or_default() += usize::from(decision.state == WantedState::Serve);
+            *counts.entry(shard).or_default() += usize::from(decision.state == DesiredState::Serve);
         }
     }
     counts
@@ -236,7 +236,7 @@
     changes
 }
 
-fn show_state(state: Option<WantedState>) -> &'static str {
+fn show_state(state: Option<DesiredState>) -> &'static str {
     state.map_or(ABSENT, <&str>::from)
 }
 
--- a/crates/hawthorn-intent/src/explain.rs
+++ b/crates/hawthorn-intent/src/explain.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use hawthorn_types::WantedState;
+use hawthorn_types::DesiredState;
 use quick_error::quick_error;
 use serde::Serialize;
 
@@ -30,7 +30,7 @@
     /// Its name.
     pub name: String,
     /// What it wants.
-    pub wanted: WantedState,
+    pub wanted: DesiredState,
     /// Its priority.
     pub priority: i32,
     /// How many replicas it keeps, if any.
@@ -45,7 +45,7 @@
     /// The shard.
     pub shard: String,
     /// The others, each with the state wanted of it.
-    pub peers: Vec<(String, WantedState)>,
+    pub peers: Vec<(String, DesiredState)>,
 }
 
 /// What decided in the end.
@@ -77,7 +77,7 @@
     /// Whether it is a spare one.
     pub spare: bool,
     /// The state wanted of it.
-    pub wanted: WantedState,
+    pub wanted: DesiredState,
     /// What decided.
     pub basis: DecisionBasis,
     /// Every rule that matches, the one that decided first.
@@ -177,7 +177,7 @@
             (DecisionBasis::KeptReplica, Some(replicas)) => {
                 writeln!(f, "  kept serving: the rule keeps {replicas} serving for each shard")
             }
-            (_, Some(replicas)) if self.wanted != WantedState::Serve => {
+            (_, Some(replicas)) if self.wanted != DesiredState::Serve => {
                 writeln!(f, "  not kept: others are the {replicas} that serve each of its shards")
             }
             _ => Ok(()),
--- a/crates/hawthorn-intent/src/field.rs
+++ b/crates/hawthorn-intent/src/field.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use hawthorn_types::DesiredState;
 use hawthorn_types::UrgencyClass;
-use hawthorn_types::WantedState;
 use toml::de::DeValue;
 
 use crate::fault::FaultKind;
@@ -121,7 +121,7 @@
     }
 }
 
-impl FieldValue for WantedState {
+impl FieldValue for DesiredState {
     const EXPECTED: &'static str = "serve, standby, drain or off";
 
     fn read(value: &DeValue<'_>) -> Result<Self, FaultKind> {
--- a/crates/hawthorn-intent/src/reconcile/memory.rs
+++ b/crates/hawthorn-intent/src/reconcile/memory.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
+use hawthorn_types::DesiredState;
 use hawthorn_types::TargetPhase;
-use hawthorn_types::WantedState;
 
 use crate::catalog::FleetCatalog;
 use crate::reconcile::SeenTarget;
@@ -12,9 +12,9 @@
 /// What is remembered of a target between rounds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TargetMemory {
-    pub(super) told: Option<(WantedState, Duration)>,
+    pub(super) told: Option<(DesiredState, Duration)>,
     pub(super) wanted_since: Duration,
-    wanted: WantedState,
+    wanted: DesiredState,
     drift_since: Option<Duration>,
     draining_since: Option<Duration>,
 }
@@ -36,7 +36,7 @@
     pub(super) fn enter(&mut self, catalog: &FleetCatalog, seen: &[SeenTarget], now: Duration) {
         let owned = seen.iter().filter(|seen| seen.owned);
         let records = owned.map(|seen| catalog.target(seen.target));
-        let wanted: HashMap<&str, WantedState> =
+        let wanted: HashMap<&str, DesiredState> =
             records.map(|record| (&*record.name, record.wanted())).collect();
         self.targets.retain(|name, _| wanted.contains_key(&**name));
         for (name, wanted) in wanted {
@@ -55,11 +55,11 @@
 }
 
 impl TargetMemory {
-    fn new(wanted: WantedState, now: Duration) -> Self {
+    fn new(wanted: DesiredState, now: Duration) -> Self {
         Self { told: None, wanted_since: now, wanted, drift_since: None, draining_since: None }
     }
 
-    fn note_wanted(&mut self, wanted: WantedState, now: Duration) {
+    fn note_wanted(&mut self, wanted: DesiredState, now: Duration) {
         if self.wanted != wanted {
             self.wanted = wanted;
             self.wanted_since = now;
@@ -67,7 +67,7 @@
         }
     }
 
-    pub(super) fn was_told(&self, state: WantedState) -> bool {
+    pub(super) fn was_told(&self, state: DesiredState) -> bool {
         self.told.is_some_and(|(told, _)| told == state)
     }
 
@@ -75,20 +75,20 @@
     /// time since `moment`.
     pub(super) fn has_served_since(&self, moment: Duration) -> bool {
         let told_before =
-            self.told.is_none_or(|(told, at)| told == WantedState::Serve && at <= moment);
+            self.told.is_none_or(|(told, at)| told == DesiredState::Serve && at <= moment);
         told_before && self.wanted_since <= moment
     }
 
     /// Whether the last order leads away from `wanted`: then what is seen is
     /// about to change, however well it fits now.
-    pub(super) fn other_order(&self, wanted: WantedState) -> bool {
+    pub(super) fn other_order(&self, wanted: DesiredState) -> bool {
         self.told.is_some_and(|(told, _)| {
-            let on_the_way = told == WantedState::Drain && wanted == WantedState::Off;
+            let on_the_way = told == DesiredState::Drain && wanted == DesiredState::Off;
             told != wanted && !on_the_way
         })
     }
 
-    pub(super) fn told_within(&self, state: WantedState, now: Duration, time: Duration) -> bool {
+    pub(super) fn told_within(&self, state: DesiredState, now: Duration, time: Duration) -> bool {
         self.told.is_some_and(|(told, at)| told == state && now.saturating_sub(at) < time)
     }
 
--- a/crates/hawthorn-intent/src/reconcile/mod.rs
+++ b/crates/hawthorn-intent/src/reconcile/mod.rs
@@ -13,10 +13,10 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
+use hawthorn_types::DesiredState;
 use hawthorn_types::ShardKey;
 use hawthorn_types::TargetKey;
 use hawthorn_types::TargetPhase;
-use hawthorn_types::WantedState;
 use serde::Serialize;
 use strum::Display;
 
@@ -91,7 +91,7 @@
     pub target: TargetKey,
     /// What to tell it, which is not always what is wanted in the end: a
     /// target drains before it is switched off.
-    pub tell: WantedState,
+    pub tell: DesiredState,
 }
 
 /// Why a target that differs from the intent is not simply told.
@@ -123,7 +123,7 @@
     /// The target.
     pub target: TargetKey,
     /// What is wanted.
-    pub wanted: WantedState,
+    pub wanted: DesiredState,
     /// What is seen; `None` when it can't be reached.
     pub seen: Option<TargetPhase>,
     /// When the difference was first seen, on the clock given to the rounds.
@@ -159,7 +159,7 @@
             self.cause,
             DriftCause::HeldForShard | DriftCause::Settling | DriftCause::RateLimited
         );
-        self.wanted != WantedState::Serve && untold && self.seen == Some(TargetPhase::Ready)
+        self.wanted != DesiredState::Serve && untold && self.seen == Some(TargetPhase::Ready)
     }
 }
 
@@ -209,7 +209,7 @@
     let ready = seen.iter().filter(|seen| seen.phase == Some(TargetPhase::Ready));
     let ready = ready.filter(is_trusted);
     let records = ready.map(|seen| catalog.target(seen.target));
-    let serving = records.filter(|record| record.wanted() == WantedState::Serve);
+    let serving = records.filter(|record| record.wanted() == DesiredState::Serve);
     let mut counts = HashMap::new();
     for &shard in serving.flat_map(|record| &record.shards) {
         *counts.entry(shard).or_default() += 1;
@@ -231,7 +231,7 @@
     /// It is as wanted.
     Settled,
     /// Tell it.
-    Tell(WantedState),
+    Tell(DesiredState),
     /// Nothing can or need be told now.
     Wait(DriftCause),
     /// It goes on serving for a shard.
@@ -264,30 +264,30 @@
         use TargetPhase::Ready;
         use TargetPhase::Standby;
         match (record.wanted(), seen.phase) {
-            (WantedState::Serve, Some(Ready))
-            | (WantedState::Standby, Some(Standby))
-            | (WantedState::Drain, Some(Draining) | None)
-            | (WantedState::Off, None) => match memory.other_order(record.wanted()) {
+            (DesiredState::Serve, Some(Ready))
+            | (DesiredState::Standby, Some(Standby))
+            | (DesiredState::Drain, Some(Draining) | None)
+            | (DesiredState::Off, None) => match memory.other_order(record.wanted()) {
                 true => TargetStep::Tell(record.wanted()),
                 false => TargetStep::Settled,
             },
-            (WantedState::Serve, Some(Cold)) if memory.was_told(WantedState::Serve) => {
+            (DesiredState::Serve, Some(Cold)) if memory.was_told(DesiredState::Serve) => {
                 TargetStep::Wait(DriftCause::Warming)
             }
-            (WantedState::Standby, Some(Cold)) if memory.was_told(WantedState::Standby) => {
+            (DesiredState::Standby, Some(Cold)) if memory.was_told(DesiredState::Standby) => {
                 TargetStep::Wait(DriftCause::Warming)
             }
-            (WantedState::Standby | WantedState::Drain, Some(Ready)) => {
+            (DesiredState::Standby | DesiredState::Drain, Some(Ready)) => {
                 self.leave(record, memory, record.wanted())
             }
-            (WantedState::Serve | WantedState::Standby, _) => TargetStep::Tell(record.wanted()),
-            (WantedState::Drain, Some(Cold | Standby)) => TargetStep::Tell(WantedState::Drain),
-            (WantedState::Off, Some(Ready)) => self.leave(record, memory, WantedState::Drain),
-            (WantedState::Off, Some(Draining)) => self.switch_off(seen, memory),
-            (WantedState::Off, Some(Cold | Standby)) if seen.in_flight > 0 => {
-                TargetStep::Tell(WantedState::Drain)
+            (DesiredState::Serve | DesiredState::Standby, _) => TargetStep::Tell(record.wanted()),
+            (DesiredState::Drain, Some(Cold | Standby)) => TargetStep::Tell(DesiredState::Drain),
+            (DesiredState::Off, Some(Ready)) => self.leave(record, memory, DesiredState::Drain),
+            (DesiredState::Off, Some(Draining)) => self.switch_off(seen, memory),
+            (DesiredState::Off, Some(Cold | Standby)) if seen.in_flight > 0 => {
+                TargetStep::Tell(DesiredState::Drain)
             }
-            (WantedState::Off, Some(Cold | Standby)) => TargetStep::Tell(WantedState::Off),
+            (DesiredState::Off, Some(Cold | Standby)) => TargetStep::Tell(DesiredState::Off),
         }
     }
 
@@ -305,7 +305,7 @@
         &self,
         record: &TargetRecord,
         memory: &TargetMemory,
-        state: WantedState,
+        state: DesiredState,
     ) -> TargetStep {
         let settled_for = self.now.saturating_sub(memory.wanted_since);
         let cold_start = self.catalog.service(record.service).cold_start;
@@ -333,13 +333,13 @@
         if seen.in_flight > 0 || memory.drained_for(self.now) < self.options.drain_time {
             return TargetStep::Wait(DriftCause::Draining);
         }
-        TargetStep::Tell(WantedState::Off)
+        TargetStep::Tell(DesiredState::Off)
     }
 
     fn tell(
         &mut self,
         seen: &SeenTarget,
-        state: WantedState,
+        state: DesiredState,
         memory: &mut TargetMemory,
     ) -> DriftCause {
         let is_unreachable = seen.phase.is_none();
--- a/crates/hawthorn-intent/src/rules.rs
+++ b/crates/hawthorn-intent/src/rules.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 use serde_with::skip_serializing_none;
 
-use hawthorn_types::WantedState;
+use hawthorn_types::DesiredState;
 
 use crate::fault::ConfigFault;
 use crate::fault::ConfigFile;
@@ -51,7 +51,7 @@
     #[serde(rename = "match")]
     pub pattern: RulePattern,
     /// What is wanted of them.
-    pub wanted: WantedState,
+    pub wanted: DesiredState,
     /// Why, for whoever asks later.
     pub reason: String,
     /// Of the rules that match a target the one with the greatest priority
@@ -125,7 +125,7 @@
     RuleEntry {
         name: name(reader),
         pattern: reader.table("match", pattern),
-        wanted: reader.required("wanted", WantedState::Serve),
+        wanted: reader.required("wanted", DesiredState::Serve),
         reason: reason(reader),
         priority: reader.or_default("priority", 0),
         replicas: reader.optional_within("replicas", 1..=MAX_REPLICAS),
--- a/crates/hawthorn-intent/src/wanted.rs
+++ b/crates/hawthorn-intent/src/wanted.rs
@@ -10,8 +10,8 @@
 use std::collections::HashMap;
 use std::collections::HashSet;
 
+use hawthorn_types::DesiredState;
 use hawthorn_types::ShardName;
-use hawthorn_types::WantedState;
 use smallvec::SmallVec;
 
 use crate::inventory::Inventory;
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WantedDecision {
     /// The state.
-    pub state: WantedState,
+    pub state: DesiredState,
     /// What decided it.
     pub cause: WantedCause,
     /// Every rule that matches, the deciding one first, as positions in
@@ -51,7 +51,7 @@
     let mut decisions: Vec<_> = inventory.targets.iter().map(decide).collect();
     let mut serving = ServingCount::default();
     for (target, decision) in inventory.targets.iter().zip(&decisions) {
-        if decision.state == WantedState::Serve {
+        if decision.state == DesiredState::Serve {
             serving.add(target);
         }
     }
@@ -76,8 +76,8 @@
     let matched: SmallVec<[usize; 4]> = order.iter().copied().filter(matches).collect();
     let (state, cause) = match matched.first() {
         Some(&index) => (rules.rules[index].wanted, WantedCause::Rule(index)),
-        None if target.spare => (WantedState::Off, WantedCause::SpareDefault),
-        None => (WantedState::Serve, WantedCause::ServeDefault),
+        None if target.spare => (DesiredState::Off, WantedCause::SpareDefault),
+        None => (DesiredState::Serve, WantedCause::ServeDefault),
     };
     WantedDecision { state, cause, matched }
 }
@@ -121,18 +121,18 @@
     serving: &mut ServingCount<'i>,
 ) {
     let decided = |at: &usize| decisions[*at].cause == WantedCause::Rule(index);
-    let not_serving = |at: &usize| decisions[*at].state != WantedState::Serve;
+    let not_serving = |at: &usize| decisions[*at].state != DesiredState::Serve;
     let mut candidates: Vec<usize> =
         (0..decisions.len()).filter(decided).filter(not_serving).collect();
     candidates.sort_by_key(|&at| inventory.targets[at].spare);
     for new_zone in [true, false] {
         for &at in &candidates {
             let target = &inventory.targets[at];
-            let kept = decisions[at].state == WantedState::Serve;
+            let kept = decisions[at].state == DesiredState::Serve;
             if kept || !serving.lacks(target, replicas, new_zone) {
                 continue;
             }
-            decisions[at].state = WantedState::Serve;
+            decisions[at].state = DesiredState::Serve;
             decisions[at].cause = WantedCause::KeptReplica(index);
             serving.add(target);
         }
--- a/crates/hawthorn-intent/tests/reconcile.rs
+++ b/crates/hawthorn-intent/tests/reconcile.rs
@@ -15,13 +15,13 @@
 use hawthorn_intent::reconcile::reconcile;
 use hawthorn_intent::rules;
 use hawthorn_types::ConfigRevision;
+use hawthorn_types::DesiredState;
 use hawthorn_types::TargetKey;
 use hawthorn_types::TargetPhase;
 use hawthorn_types::TargetPhase::Cold;
 use hawthorn_types::TargetPhase::Draining;
 use hawthorn_types::TargetPhase::Ready;
 use hawthorn_types::TargetPhase::Standby;
-use hawthorn_types::WantedState;
 use proptest::prelude::prop;
 use support::SmallTarget;
 use support::TestResult;
@@ -58,7 +58,7 @@
     SeenTarget { target, phase, in_flight: 0, owned: true }
 }
 
-fn orders(outcome: &Outcome) -> Vec<(TargetKey, WantedState)> {
+fn orders(outcome: &Outcome) -> Vec<(TargetKey, DesiredState)> {
     outcome.orders.iter().map(|order| (order.target, order.tell)).collect()
 }
 
@@ -72,13 +72,13 @@
     old: Option<TargetPhase>,
     in_flight: u32,
     new: Option<TargetPhase>,
-    orders: &'static [(TargetKey, WantedState)],
+    orders: &'static [(TargetKey, DesiredState)],
     causes: &'static [(TargetKey, DriftCause)],
 }
 
 const fn moment(
     (at, old, in_flight, new): (u64, Option<TargetPhase>, u32, Option<TargetPhase>),
-    orders: &'static [(TargetKey, WantedState)],
+    orders: &'static [(TargetKey, DesiredState)],
     causes: &'static [(TargetKey, DriftCause)],
 ) -> RoundCase {
     RoundCase { at, old, in_flight, new, orders, causes }
@@ -94,7 +94,7 @@
     let cases = [
         moment(
             (0, Some(Ready), 2, None),
-            &[(NEW, WantedState::Serve)],
+            &[(NEW, DesiredState::Serve)],
             &[(NEW, DriftCause::Told), (OLD, DriftCause::HeldForShard)],
         ),
         moment(
@@ -109,14 +109,14 @@
         ),
         moment(
             (91, Some(Ready), 2, Some(Ready)),
-            &[(OLD, WantedState::Drain)],
+            &[(OLD, DesiredState::Drain)],
             &[(OLD, DriftCause::Told)],
         ),
         moment((92, Some(Draining), 1, Some(Ready)), &[], &[(OLD, DriftCause::Draining)]),
         moment((99, Some(Draining), 1, Some(Ready)), &[], &[(OLD, DriftCause::Draining)]),
         moment(
             (100, Some(Draining), 0, Some(Ready)),
-            &[(OLD, WantedState::Off)],
+            &[(OLD, DesiredState::Off)],
             &[(OLD, DriftCause::Told)],
         ),
         moment((101, None, 0, Some(Ready)), &[], &[]),
@@ -153,7 +153,7 @@
             let round: Vec<_> =
                 (0..4).map(|key| seen(TargetKey(key), Some(phases[key as usize]))).collect();
             let outcome = reconcile(&catalog, &round, &mut memory, secs(at), &Options::default());
-            outcome.orders.iter().any(|order| order.tell == WantedState::Drain)
+            outcome.orders.iter().any(|order| order.tell == DesiredState::Drain)
         })
     };
     assert_eq!(first_drain(20), Some(20), "both new ones are ready");
@@ -178,14 +178,14 @@
 
     let late = reconcile(&before, &both, &mut behind, secs(100), &options);
     let early = reconcile(&after, &both, &mut ahead, secs(100), &options);
-    assert_eq!(orders(&late), [(NEW, WantedState::Drain)], "the host that is behind");
+    assert_eq!(orders(&late), [(NEW, DesiredState::Drain)], "the host that is behind");
     assert_eq!(causes(&early), [(OLD, DriftCause::HeldForShard)], "the host that is ahead");
 
     let drained = [seen(OLD, Some(Ready)), seen(NEW, Some(Draining))];
     let caught_up = reconcile(&after, &drained, &mut behind, secs(101), &options);
-    assert_eq!(orders(&caught_up), [(NEW, WantedState::Serve)], "and is told to serve again");
+    assert_eq!(orders(&caught_up), [(NEW, DesiredState::Serve)], "and is told to serve again");
     let later = reconcile(&after, &drained, &mut ahead, secs(106), &options);
-    assert_eq!(orders(&later), [(NEW, WantedState::Serve)]);
+    assert_eq!(orders(&later), [(NEW, DesiredState::Serve)]);
     assert_eq!(causes(&later)[1], (OLD, DriftCause::HeldForShard));
     Ok(())
 }
@@ -209,7 +209,7 @@
             assert_eq!(outcome.held().collect::<Vec<_>>(), [OLD]);
         }
     }
-    assert_eq!(told, [(13, OLD, WantedState::Drain), (18, OLD, WantedState::Drain)]);
+    assert_eq!(told, [(13, OLD, DesiredState::Drain), (18, OLD, DesiredState::Drain)]);
     Ok(())
 }
 
@@ -223,9 +223,9 @@
     let both = [seen(OLD, Some(Ready)), seen(NEW, Some(Ready))];
     let mut memory = ReconcileMemory::default();
     let told = reconcile(&leave, &both, &mut memory, secs(10), &options);
-    assert_eq!(orders(&told), [(OLD, WantedState::Drain)]);
+    assert_eq!(orders(&told), [(OLD, DesiredState::Drain)]);
     let taken_back = reconcile(&keep, &both, &mut memory, secs(11), &options);
-    assert_eq!(orders(&taken_back), [(OLD, WantedState::Serve)]);
+    assert_eq!(orders(&taken_back), [(OLD, DesiredState::Serve)]);
     let settled = reconcile(&keep, &both, &mut memory, secs(12), &options);
     assert_eq!(settled, Outcome::default());
     Ok(())
@@ -273,7 +273,7 @@
         let round: Vec<_> = (0..COUNT).map(|index| seen(TargetKey(index), phase(index))).collect();
         let outcome = reconcile(&catalog, &round, &mut memory, secs(at), &options);
         assert!(outcome.orders.len() <= options.orders_per_round);
-        let drains = outcome.orders.iter().filter(|order| order.tell == WantedState::Drain);
+        let drains = outcome.orders.iter().filter(|order| order.tell == DesiredState::Drain);
         if drains.count() > 0 {
             drained_at = drained_at.or(Some(at));
         }
@@ -286,14 +286,14 @@
 struct SettledCase {
     wanted: &'static str,
     phase: Option<TargetPhase>,
-    expected: Option<WantedState>,
+    expected: Option<DesiredState>,
 }
 
 #[test]
 fn each_phase_is_led_to_each_wanted_state() -> TestResult {
-    use WantedState::Drain;
-    use WantedState::Off;
-    use WantedState::Serve;
+    use DesiredState::Drain;
+    use DesiredState::Off;
+    use DesiredState::Serve;
     let case = |wanted, phase, expected| SettledCase { wanted, phase, expected };
     let cases = [
         case("serve", Some(Ready), None),
@@ -301,10 +301,10 @@
         case("serve", Some(Draining), Some(Serve)),
         case("serve", Some(Standby), Some(Serve)),
         case("serve", None, Some(Serve)),
-        case("standby", Some(Ready), Some(WantedState::Standby)),
+        case("standby", Some(Ready), Some(DesiredState::Standby)),
         case("standby", Some(Standby), None),
-        case("standby", Some(Draining), Some(WantedState::Standby)),
-        case("standby", None, Some(WantedState::Standby)),
+        case("standby", Some(Draining), Some(DesiredState::Standby)),
+        case("standby", None, Some(DesiredState::Standby)),
         case("drain", Some(Ready), Some(Drain)),
         case("drain", Some(Cold), Some(Drain)),
         case("drain", Some(Draining), None),
@@ -334,7 +334,7 @@
 struct SlowTarget {
     phase: Option<TargetPhase>,
     shown: Option<TargetPhase>,
-    told: Option<(WantedState, u64)>,
+    told: Option<(DesiredState, u64)>,
 }
 
 impl SlowTarget {
@@ -345,12 +345,12 @@
             return;
         }
         self.phase = match (state, self.phase) {
-            (WantedState::Serve, Some(Ready)) => Some(Ready),
-            (WantedState::Serve, Some(Cold)) if at >= told_at + 3 * delay => Some(Ready),
-            (WantedState::Serve, _) => Some(Cold),
-            (WantedState::Standby, _) => Some(Standby),
-            (WantedState::Drain, _) => Some(Draining),
-            (WantedState::Off, _) => None,
+            (DesiredState::Serve, Some(Ready)) => Some(Ready),
+            (DesiredState::Serve, Some(Cold)) if at >= told_at + 3 * delay => Some(Ready),
+            (DesiredState::Serve, _) => Some(Cold),
+            (DesiredState::Standby, _) => Some(Standby),
+            (DesiredState::Drain, _) => Some(Draining),
+            (DesiredState::Off, _) => None,
         };
     }
 }
@@ -387,7 +387,7 @@
                     targets[order.target.index()].told = Some((order.tell, at));
                 }
                 let serves = |target: &SlowTarget| {
-                    let leaves = target.told.is_some_and(|(told, _)| told != WantedState::Serve);
+                    let leaves = target.told.is_some_and(|(told, _)| told != DesiredState::Serve);
                     target.phase == Some(Ready) && !leaves
                 };
                 assert!(targets.iter().any(serves), "no target serves at {at} s");
--- a/crates/hawthorn-intent/tests/wanted.rs
+++ b/crates/hawthorn-intent/tests/wanted.rs
@@ -6,11 +6,11 @@
 use hawthorn_intent::rules;
 use hawthorn_intent::wanted::WantedCause;
 use hawthorn_intent::wanted::wanted;
-use hawthorn_types::WantedState;
-use hawthorn_types::WantedState::Drain;
-use hawthorn_types::WantedState::Off;
-use hawthorn_types::WantedState::Serve;
-use hawthorn_types::WantedState::Standby;
+use hawthorn_types::DesiredState;
+use hawthorn_types::DesiredState::Drain;
+use hawthorn_types::DesiredState::Off;
+use hawthorn_types::DesiredState::Serve;
+use hawthorn_types::DesiredState::Standby;
 use support::SmallTarget;
 use support::TestResult;
 use support::rule;
@@ -30,7 +30,7 @@
 struct WantedCase {
     name: &'static str,
     rules: String,
-    expected: [WantedState; 5],
+    expected: [DesiredState; 5],
 }
 
 #[test]
--- a/crates/hawthorn-plan/benches/plan.rs
+++ b/crates/hawthorn-plan/benches/plan.rs
@@ -52,7 +52,7 @@
     let table = table();
     let options = plan::Options::default();
     let remaining = Duration::from_millis(50);
-    let input = PlanInput::first(&table, KeyRange::WHOLE, ZoneKey(0), remaining);
+    let input = PlanInput::first(&table, KeyRange::FULL, ZoneKey(0), remaining);
     let mut group = criterion.benchmark_group("plan of 270 pieces");
     group.throughput(Throughput::Elements(u64::from(SHARDS)));
     let mut kept = QueryPlan::default();
@@ -74,17 +74,17 @@
     let table = table();
     let mut budget = RetryBudget::default();
     let query = TrackedQuery {
-        range: KeyRange::WHOLE,
+        range: KeyRange::FULL,
         limit: 100,
         deadline: Duration::from_millis(50),
-        draw: 1,
+        random: 1,
     };
     criterion.bench_function("life of a query of 270 pieces", |bencher| {
         bencher.iter(|| {
             let mut context = TrackContext {
                 now: Duration::ZERO,
                 table: &table,
-                own_zone: ZoneKey(0),
+                local_zone: ZoneKey(0),
                 budget: &mut budget,
             };
             let mut step = track::start(query, &mut context, track::Options::default());
--- a/crates/hawthorn-plan/src/admit.rs
+++ b/crates/hawthorn-plan/src/admit.rs
@@ -65,7 +65,7 @@
 
 /// A query at the door.
 #[derive(Clone, Copy, Debug)]
-pub struct QueryAsk {
+pub struct AdmissionRequest {
     /// Who asks.
     pub caller: CallerKey,
     /// Now.
@@ -77,13 +77,13 @@
     /// Where the front is in its life.
     pub stage: FrontStage,
     /// Any random number; spreads the moments at which refused callers return.
-    pub draw: u64,
+    pub random: u64,
 }
 
 /// What becomes of the query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Taken; [`FrontLoad::finished`] has to follow once.
+    /// Taken; [`FrontLoad::record_completion`] has to follow once.
     Admitted,
     /// Not run, and nothing of it was sent.
     Refused {
@@ -123,11 +123,11 @@
 }
 
 /// Admits or refuses the whole query and notes it in `load`.
-pub fn admit(load: &mut FrontLoad, ask: &QueryAsk, options: &Options) -> Outcome {
+pub fn admit(load: &mut FrontLoad, ask: &AdmissionRequest, options: &Options) -> Outcome {
     if let Some(reason) = refusal_by_stage(ask.stage) {
         return refused(reason, Some(options.min_retry_after), ask, options);
     }
-    load.asked(ask.caller, ask.now);
+    load.record_request(ask.caller, ask.now);
     let remaining = ask.deadline.saturating_sub(ask.now);
     if remaining.is_zero() {
         return refused(RefusalReason::DeadlinePast, None, ask, options);
@@ -138,7 +138,7 @@
     if let Some(reason) = refusal_by_load(load, ask, options) {
         return refused(reason, Some(load.query_time()), ask, options);
     }
-    load.admitted(ask.caller);
+    load.record_admission(ask.caller);
     Outcome::Admitted
 }
 
@@ -171,7 +171,11 @@
 /// and a few places for one who has not asked of late. Idle capacity is thus
 /// used, and a flood never costs another caller its share for longer than the
 /// queries already in flight take.
-fn refusal_by_load(load: &FrontLoad, ask: &QueryAsk, options: &Options) -> Option<RefusalReason> {
+fn refusal_by_load(
+    load: &FrontLoad,
+    ask: &AdmissionRequest,
+    options: &Options,
+) -> Option<RefusalReason> {
     let free = options.max_in_flight.saturating_sub(load.in_flight());
     if free == 0 {
         return Some(RefusalReason::QueueFull);
@@ -182,7 +186,7 @@
         return Some(if alone { RefusalReason::QueueFull } else { RefusalReason::CallerOverShare });
     }
     let share = (options.max_in_flight / present).max(1);
-    if load.held(ask.caller) < share && present > 1 {
+    if load.caller_in_flight(ask.caller) < share && present > 1 {
         return None;
     }
     let unused = load.unused_shares(ask.caller, share, ask.now, options.presence_window);
@@ -196,10 +200,10 @@
 fn refused(
     reason: RefusalReason,
     wait: Option<Duration>,
-    ask: &QueryAsk,
+    ask: &AdmissionRequest,
     options: &Options,
 ) -> Outcome {
-    let retry_after = wait.map(|wait| spread(wait, ask.draw, options));
+    let retry_after = wait.map(|wait| spread(wait, ask.random, options));
     Outcome::Refused { reason, retry_after }
 }
 
@@ -207,8 +211,8 @@
 ///
 /// Load: a burst refused in one moment. If all were told the same moment they
 /// would return as the same burst.
-fn spread(wait: Duration, draw: u64, options: &Options) -> Duration {
+fn spread(wait: Duration, random: u64, options: &Options) -> Duration {
     let least = wait.clamp(options.min_retry_after, options.max_retry_after);
-    let part = (draw >> 32) as f64 / f64::from(u32::MAX);
+    let part = (random >> 32) as f64 / f64::from(u32::MAX);
     least.mul_f64(1.0 + part).min(options.max_retry_after)
 }
--- a/crates/hawthorn-plan/src/load.rs
+++ b/crates/hawthorn-plan/src/load.rs
@@ -6,7 +6,7 @@
 
 use crate::window;
 use crate::window::CallerWindow;
-use crate::window::QueryEnd;
+use crate::window::QueryFeedback;
 
 /// Weight of the newest query in the smoothed time of a query, as a divisor:
 /// the average forgets a slow spell after some tens of queries.
@@ -34,7 +34,7 @@
     }
 
     /// Queries of `caller` in flight.
-    pub fn held(&self, caller: CallerKey) -> u32 {
+    pub fn caller_in_flight(&self, caller: CallerKey) -> u32 {
         self.callers.get(caller.index()).map_or(0, |load| load.in_flight)
     }
 
@@ -72,25 +72,25 @@
     }
 
     /// Takes in what a query of `caller` that ended says of the load. To be
-    /// called before [`FrontLoad::finished`].
-    pub fn learn(
+    /// called before [`FrontLoad::record_completion`].
+    pub fn record_feedback(
         &mut self,
         caller: CallerKey,
         now: Duration,
-        end: &QueryEnd,
+        end: &QueryFeedback,
         options: &window::Options,
     ) {
         let load = self.entry(caller);
-        load.window.learn(now, load.in_flight, end, options);
+        load.window.update(now, load.in_flight, end, options);
     }
 
     /// Notes that `caller` asked, whatever comes of it.
-    pub fn asked(&mut self, caller: CallerKey, now: Duration) {
+    pub fn record_request(&mut self, caller: CallerKey, now: Duration) {
         self.entry(caller).asked_at = Some(now);
     }
 
     /// Notes that a query of `caller` was admitted.
-    pub fn admitted(&mut self, caller: CallerKey) {
+    pub fn record_admission(&mut self, caller: CallerKey) {
         let load = self.entry(caller);
         load.in_flight = load.in_flight.saturating_add(1);
         self.in_flight = self.in_flight.saturating_add(1);
@@ -98,7 +98,7 @@
 
     /// Notes that an admitted query of `caller` was answered `took` after it
     /// was admitted. To be called exactly once for each admitted query.
-    pub fn finished(&mut self, caller: CallerKey, took: Duration) {
+    pub fn record_completion(&mut self, caller: CallerKey, took: Duration) {
         let load = self.entry(caller);
         load.in_flight = load.in_flight.saturating_sub(1);
         self.in_flight = self.in_flight.saturating_sub(1);
--- a/crates/hawthorn-plan/src/plan/missing.rs
+++ b/crates/hawthorn-plan/src/plan/missing.rs
@@ -15,7 +15,7 @@
 /// Lists `range` as missing, split where the reason changes.
 pub(super) fn explain(input: &PlanInput<'_>, plan: &mut QueryPlan, range: KeyRange) {
     let mut rest = RangeSet::from(range);
-    for shard in input.table.near(range) {
+    for shard in input.table.candidates(range) {
         let part = shard.range.intersect(range);
         if part.is_empty() {
             continue;
--- a/crates/hawthorn-plan/src/plan/mod.rs
+++ b/crates/hawthorn-plan/src/plan/mod.rs
@@ -82,7 +82,7 @@
     /// The keys asked for.
     pub range: KeyRange,
     /// The zone of this front.
-    pub own_zone: ZoneKey,
+    pub local_zone: ZoneKey,
     /// How long the caller still waits.
     pub remaining: Duration,
     /// Which versions may be chosen.
@@ -95,7 +95,7 @@
     /// shard and host.
     pub learned: &'a [LearnedVersions],
     /// Any random number; spreads work that shifts between zones.
-    pub draw: u64,
+    pub random: u64,
 }
 
 impl<'a> PlanInput<'a> {
@@ -103,19 +103,19 @@
     pub fn first(
         table: &'a ShardTable,
         range: KeyRange,
-        own_zone: ZoneKey,
+        local_zone: ZoneKey,
         remaining: Duration,
     ) -> Self {
         Self {
             table,
             range,
-            own_zone,
+            local_zone,
             remaining,
             version: VersionChoice::Any,
             lost: &[],
             tried: &[],
             learned: &[],
-            draw: 0,
+            random: 0,
         }
     }
 }
@@ -200,7 +200,7 @@
     plan.version = choose_version(input, &mut plan.tally);
     let mut cursor = input.range.start;
     if let Some(version) = plan.version {
-        for shard in input.table.near(input.range) {
+        for shard in input.table.candidates(input.range) {
             cursor = place_shard(input, plan, shard, version, cursor, options);
         }
     }
--- a/crates/hawthorn-plan/src/plan/version.rs
+++ b/crates/hawthorn-plan/src/plan/version.rs
@@ -29,7 +29,7 @@
     if let VersionChoice::Exactly(version) = input.version {
         return Some(version);
     }
-    for (number, shard) in (1..).zip(input.table.near(input.range)) {
+    for (number, shard) in (1..).zip(input.table.candidates(input.range)) {
         let keys = u64::from(shard.range.intersect(input.range).len());
         if keys == 0 {
             continue;
--- a/crates/hawthorn-plan/src/plan/zone.rs
+++ b/crates/hawthorn-plan/src/plan/zone.rs
@@ -32,7 +32,7 @@
         if !versions(input, shard, option).contains(&version) {
             continue;
         }
-        let is_own = option.zone == input.own_zone;
+        let is_own = option.zone == input.local_zone;
         let cost =
             option.expected_wait + if is_own { Duration::ZERO } else { options.cross_zone_cost };
         if is_own {
@@ -50,14 +50,14 @@
         return Some(own);
     }
     let hopeless = own_cost >= input.remaining && best_cost < input.remaining;
-    let shift = hopeless || is_drawn(input.draw, shard.shard, gain, own_cost);
+    let shift = hopeless || is_drawn(input.random, shard.shard, gain, own_cost);
     Some(if shift { best } else { own })
 }
 
 /// True with the chance `gain / cost`.
-fn is_drawn(draw: u64, shard: ShardKey, gain: Duration, cost: Duration) -> bool {
+fn is_drawn(random: u64, shard: ShardKey, gain: Duration, cost: Duration) -> bool {
     // The finalizer of splitmix64 turns neighbouring shards into unrelated numbers.
-    let mut mixed = draw ^ u64::from(shard.0).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    let mut mixed = random ^ u64::from(shard.0).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     let unit = (mixed >> 32) as f64 / f64::from(u32::MAX);
--- a/crates/hawthorn-plan/src/table.rs
+++ b/crates/hawthorn-plan/src/table.rs
@@ -71,7 +71,7 @@
     }
 
     /// The shards whose nominal ranges may meet `range`, ascending.
-    pub fn near(&self, range: KeyRange) -> &[ShardRecord] {
+    pub fn candidates(&self, range: KeyRange) -> &[ShardRecord] {
         let ends_before = |shard: &ShardRecord| {
             u64::from(shard.range.start) + u64::from(self.widest) <= u64::from(range.start)
         };
--- a/crates/hawthorn-plan/src/track/mod.rs
+++ b/crates/hawthorn-plan/src/track/mod.rs
@@ -88,7 +88,7 @@
     /// When the caller stops waiting.
     pub deadline: Duration,
     /// Any random number, fixed for the query.
-    pub draw: u64,
+    pub random: u64,
 }
 
 /// What the front knows at the moment of a step.
@@ -99,7 +99,7 @@
     /// The shards of the service as known now.
     pub table: &'a ShardTable,
     /// The zone of this front.
-    pub own_zone: ZoneKey,
+    pub local_zone: ZoneKey,
     /// Extra pieces that may be sent, shared with the other queries.
     pub budget: &'a mut RetryBudget,
 }
--- a/crates/hawthorn-plan/src/track/state.rs
+++ b/crates/hawthorn-plan/src/track/state.rs
@@ -171,13 +171,13 @@
         let input = PlanInput {
             table: context.table,
             range,
-            own_zone: context.own_zone,
+            local_zone: context.local_zone,
             remaining: self.remaining(context.now),
             version,
             lost: &self.lost,
             tried,
             learned: &self.learned,
-            draw: self.query.draw,
+            random: self.query.random,
         };
         plan::plan(&input, &self.options.plan)
     }
--- a/crates/hawthorn-plan/src/window.rs
+++ b/crates/hawthorn-plan/src/window.rs
@@ -18,39 +18,39 @@
     /// 4 slots it is a queue of 24 pieces a slot row, 120 ms at 5 ms each: a
     /// burst at the start does not eat a deadline of half a second. Calm callers
     /// have one or two in flight, and good answers widen it within a few.
-    pub first: f64,
+    pub initial: f64,
     /// Never fewer than this, so that a caller always learns when it is over.
-    pub least: f64,
+    pub min: f64,
     /// Never more than this.
-    pub most: f64,
+    pub max: f64,
     /// Pieces waited longer than this for a slot: the queue stands. Half of
     /// what 99 in 100 whole answers may take.
     pub standing_wait: Duration,
     /// What is left of the window after such a query.
-    pub shrink: f64,
+    pub decrease_factor: f64,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            first: 4.0,
-            least: 1.0,
-            most: 512.0,
+            initial: 4.0,
+            min: 1.0,
+            max: 512.0,
             standing_wait: Duration::from_millis(25),
-            shrink: 0.7,
+            decrease_factor: 0.7,
         }
     }
 }
 
 /// What a query that ended says of the load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct QueryEnd {
+pub struct QueryFeedback {
     /// The longest time that one of its pieces waited for a slot.
-    pub queued: Duration,
+    pub queue_wait: Duration,
     /// Whether a piece of it was turned away for load, or waited in vain.
-    pub turned_away: bool,
+    pub rejected: bool,
     /// How long it took.
-    pub took: Duration,
+    pub elapsed: Duration,
 }
 
 /// The window of one caller. Additive increase, multiplicative decrease.
@@ -69,7 +69,7 @@
 
     /// Queries that may be in flight at once.
     pub fn size(&self, options: &Options) -> f64 {
-        self.size.unwrap_or(options.first).clamp(options.least, options.most)
+        self.size.unwrap_or(options.initial).clamp(options.min, options.max)
     }
 
     /// Takes in how a query ended, with `held` in flight until then.
@@ -77,17 +77,17 @@
     /// Shrinks at most once in the time of a query: those in flight were
     /// admitted by the window before, and say the same thing again. Grows only
     /// while it is used: an idle caller's window says nothing.
-    pub fn learn(&mut self, now: Duration, held: u32, end: &QueryEnd, options: &Options) {
+    pub fn update(&mut self, now: Duration, held: u32, end: &QueryFeedback, options: &Options) {
         let size = self.size(options);
-        let is_standing = end.queued > options.standing_wait;
-        if is_standing || end.turned_away {
+        let is_standing = end.queue_wait > options.standing_wait;
+        if is_standing || end.rejected {
             let since = self.shrunk_at.map_or(Duration::MAX, |at| now.saturating_sub(at));
-            if since >= end.took {
-                self.size = Some((size * options.shrink).max(options.least));
+            if since >= end.elapsed {
+                self.size = Some((size * options.decrease_factor).max(options.min));
                 self.shrunk_at = Some(now);
             }
         } else if f64::from(held) * 2.0 >= size {
-            self.size = Some((size + 1.0 / size).min(options.most));
+            self.size = Some((size + 1.0 / size).min(options.max));
         }
     }
 }
--- a/crates/hawthorn-plan/tests/admit.rs
+++ b/crates/hawthorn-plan/tests/admit.rs
@@ -5,9 +5,9 @@
 
 use hawthorn_plan::FrontLoad;
 use hawthorn_plan::admit;
+use hawthorn_plan::admit::AdmissionRequest;
 use hawthorn_plan::admit::FrontStage;
 use hawthorn_plan::admit::Outcome;
-use hawthorn_plan::admit::QueryAsk;
 use hawthorn_plan::admit::WaitReport;
 use hawthorn_plan::window;
 use hawthorn_types::CallerKey;
@@ -23,20 +23,21 @@
     Duration::from_millis(milliseconds)
 }
 
-fn ask(caller: CallerKey) -> QueryAsk {
-    QueryAsk {
+fn ask(caller: CallerKey) -> AdmissionRequest {
+    AdmissionRequest {
         caller,
         now: ms(1000),
         deadline: ms(1050),
         expected_wait: Duration::ZERO,
         stage: FrontStage::Serving,
-        draw: 0,
+        random: 0,
     }
 }
 
 fn options(max_in_flight: u32) -> admit::Options {
     // The windows stand open: what is tested here are the shares.
-    let window = window::Options { first: f64::from(max_in_flight), ..window::Options::default() };
+    let window =
+        window::Options { initial: f64::from(max_in_flight), ..window::Options::default() };
     admit::Options { max_in_flight, window, ..admit::Options::default() }
 }
 
@@ -48,7 +49,7 @@
 
 struct DoorCase {
     name: &'static str,
-    ask: QueryAsk,
+    ask: AdmissionRequest,
     outcome: Outcome,
 }
 
@@ -57,9 +58,9 @@
     let refused =
         |reason, after: Option<u64>| Outcome::Refused { reason, retry_after: after.map(ms) };
     let case = |name, ask, outcome| DoorCase { name, ask, outcome };
-    let at = |stage| QueryAsk { stage, ..ask(QUIET) };
-    let until = |deadline| QueryAsk { deadline: ms(deadline), ..ask(QUIET) };
-    let behind = |wait| QueryAsk { expected_wait: ms(wait), ..ask(QUIET) };
+    let at = |stage| AdmissionRequest { stage, ..ask(QUIET) };
+    let until = |deadline| AdmissionRequest { deadline: ms(deadline), ..ask(QUIET) };
+    let behind = |wait| AdmissionRequest { expected_wait: ms(wait), ..ask(QUIET) };
     let stopping = refused(RefusalReason::Stopping, Some(20));
     let unconfigured = refused(RefusalReason::NoConfiguration, Some(20));
     let past = refused(RefusalReason::DeadlinePast, None);
@@ -70,7 +71,7 @@
         case("stopping", at(FrontStage::Stopping), stopping),
         case(
             "stopping goes before a past deadline",
-            QueryAsk { deadline: ms(0), ..at(FrontStage::Stopping) },
+            AdmissionRequest { deadline: ms(0), ..at(FrontStage::Stopping) },
             stopping,
         ),
         case("deadline past", until(1000), past),
@@ -104,7 +105,7 @@
     for case in cases {
         let mut load = FrontLoad::default();
         if case.quiet_before {
-            load.asked(QUIET, ms(999));
+            load.record_request(QUIET, ms(999));
         }
         let [flood, quiet, newcomer] = case.admitted;
         assert_eq!(admit_many(&mut load, FLOOD, 500, 64), flood, "{}", case.name);
@@ -124,14 +125,14 @@
     admit_many(&mut load, FLOOD, 500, 64);
     admit_many(&mut load, QUIET, 500, 64);
     for _ in 0..64 {
-        load.finished(FLOOD, ms(10));
+        load.record_completion(FLOOD, ms(10));
         admit_many(&mut load, FLOOD, 10, 64);
         admit_many(&mut load, QUIET, 10, 64);
-        if load.held(FLOOD) <= 32 {
+        if load.caller_in_flight(FLOOD) <= 32 {
             break;
         }
     }
-    assert_eq!((load.held(FLOOD), load.held(QUIET)), (32, 32));
+    assert_eq!((load.caller_in_flight(FLOOD), load.caller_in_flight(QUIET)), (32, 32));
     Ok(())
 }
 
@@ -168,11 +169,11 @@
 fn refused_callers_are_told_different_moments() -> TestResult {
     let mut load = FrontLoad::default();
     admit_many(&mut load, FLOOD, 500, 64);
-    load.finished(FLOOD, ms(100));
-    load.admitted(FLOOD);
+    load.record_completion(FLOOD, ms(100));
+    load.record_admission(FLOOD);
     let mut moments = Vec::new();
     for draw in 0..8_u64 {
-        let ask = QueryAsk { draw: draw << 61, ..ask(FLOOD) };
+        let ask = AdmissionRequest { random: draw << 61, ..ask(FLOOD) };
         let Outcome::Refused { retry_after: Some(after), .. } =
             admit::admit(&mut load, &ask, &options(64))
         else {
--- a/crates/hawthorn-plan/tests/cover.rs
+++ b/crates/hawthorn-plan/tests/cover.rs
@@ -95,7 +95,7 @@
 #[test]
 fn one_missing_key_is_less_than_all() -> TestResult {
     let searched = RangeSet::from(KeyRange::new(0, KEY_SPACE - 1));
-    let coverage = cover::cover(KeyRange::WHOLE, &searched, &[]);
+    let coverage = cover::cover(KeyRange::FULL, &searched, &[]);
     assert!(coverage.fraction < 1.0);
     assert_eq!(coverage.missing.len(), 1);
     Ok(())
--- a/crates/hawthorn-plan/tests/invariants.rs
+++ b/crates/hawthorn-plan/tests/invariants.rs
@@ -179,7 +179,7 @@
         answers.retain(|answer| !omitted.contains(&answer.piece));
         for answer in answers.iter_mut().filter(|answer| crossed.contains(&answer.piece)) {
             answer.piece = PieceId(answer.piece.0 + 1000);
-            answer.outcome = found(send.version, KeyRange::WHOLE.into());
+            answer.outcome = found(send.version, KeyRange::FULL.into());
         }
         answers
     }
@@ -223,7 +223,7 @@
         prop_assert!(answer.matches.iter().all(|it| covered.contains(it.key)));
         let missing: RangeSet = answer.coverage.missing.iter().map(|it| it.range).collect();
         prop_assert!(covered.difference(&missing) == covered, "covered and missing");
-        prop_assert_eq!(covered.len() + missing.len(), KeyRange::WHOLE.len());
+        prop_assert_eq!(covered.len() + missing.len(), KeyRange::FULL.len());
         prop_assert_eq!(answer.coverage.fraction == 1.0, missing.is_empty());
         prop_assert!(answer.total <= u64::from(run.sent as u32));
 
--- a/crates/hawthorn-plan/tests/plan.rs
+++ b/crates/hawthorn-plan/tests/plan.rs
@@ -34,7 +34,7 @@
 type TestResult = Result<(), Box<dyn Error>>;
 
 fn plan_of(table: &ShardTable) -> QueryPlan {
-    let input = PlanInput::first(table, KeyRange::WHOLE, OWN, ms(50));
+    let input = PlanInput::first(table, KeyRange::FULL, OWN, ms(50));
     plan::plan(&input, &plan::Options::default())
 }
 
@@ -90,7 +90,7 @@
             ShardRecord::new(ShardKey(number), KeyRange::part(number, 4), options)
         });
         let table = ShardTable::new(shards.collect());
-        let first = PlanInput::first(&table, KeyRange::WHOLE, OWN, ms(50));
+        let first = PlanInput::first(&table, KeyRange::FULL, OWN, ms(50));
         let input = PlanInput { version: case.choice, ..first };
         let plan = plan::plan(&input, &plan::Options::default());
         assert_eq!(plan.version, case.version, "{}", case.name);
@@ -134,8 +134,8 @@
             ShardRecord::new(ShardKey(number), KeyRange::part(number, 1000), options)
         });
         let table = ShardTable::new(shards.collect());
-        let first = PlanInput::first(&table, KeyRange::WHOLE, OWN, ms(50));
-        let plan = plan::plan(&PlanInput { draw: 11, ..first }, &plan::Options::default());
+        let first = PlanInput::first(&table, KeyRange::FULL, OWN, ms(50));
+        let plan = plan::plan(&PlanInput { random: 11, ..first }, &plan::Options::default());
         let other = plan.batches.iter().find(|batch| batch.host == HostKey(1));
         let shifted = other.map_or(0, |batch| batch.pieces.len());
         let (least, most) = case.shifted;
@@ -175,7 +175,7 @@
     let mut kept = QueryPlan::default();
     for count in [7, 270, 1, 30] {
         let table = even_table(count, 3, BOTH);
-        let input = PlanInput::first(&table, KeyRange::WHOLE, OWN, ms(50));
+        let input = PlanInput::first(&table, KeyRange::FULL, OWN, ms(50));
         plan::plan_into(&input, &mut kept, &plan::Options::default());
         let fresh = plan_of(&table);
         assert_eq!(
--- a/crates/hawthorn-plan/tests/support/mod.rs
+++ b/crates/hawthorn-plan/tests/support/mod.rs
@@ -62,7 +62,7 @@
 }
 
 pub fn query(deadline: Duration) -> TrackedQuery {
-    TrackedQuery { range: KeyRange::WHOLE, limit: 100, deadline, draw: 1 }
+    TrackedQuery { range: KeyRange::FULL, limit: 100, deadline, random: 1 }
 }
 
 pub fn budget_of(burst: u32) -> RetryBudget {
@@ -74,7 +74,7 @@
     table: &'a ShardTable,
     budget: &'a mut RetryBudget,
 ) -> TrackContext<'a> {
-    TrackContext { now, table, own_zone: OWN, budget }
+    TrackContext { now, table, local_zone: OWN, budget }
 }
 
 /// One document at the first key searched.
@@ -115,7 +115,7 @@
 impl Front {
     /// Starts a query with 50 ms to go.
     pub fn start(table: ShardTable, budget: u32) -> Self {
-        Self::start_for(KeyRange::WHOLE, table, budget)
+        Self::start_for(KeyRange::FULL, table, budget)
     }
 
     pub fn start_for(range: KeyRange, table: ShardTable, budget: u32) -> Self {
--- a/crates/hawthorn-plan/tests/track.rs
+++ b/crates/hawthorn-plan/tests/track.rs
@@ -287,7 +287,7 @@
         [("unknown batch", 9, 0, 0), ("another owner", 0, 1, 0), ("unknown piece", 0, 0, 9)]
     {
         let mut front = Front::start(even_table(1, 1, &[OLD]), 6);
-        let outcome = found(OLD, KeyRange::WHOLE.into());
+        let outcome = found(OLD, KeyRange::FULL.into());
         let pieces = vec![PieceAnswer { piece: PieceId(piece), outcome }];
         let (batch, host) = (BatchId(batch), HostKey(host));
         front.event(5, Event::BatchAnswered { batch, host, pieces })?;
--- a/crates/hawthorn-plan/tests/window.rs
+++ b/crates/hawthorn-plan/tests/window.rs
@@ -5,7 +5,7 @@
 
 use hawthorn_plan::CallerWindow;
 use hawthorn_plan::window::Options;
-use hawthorn_plan::window::QueryEnd;
+use hawthorn_plan::window::QueryFeedback;
 
 type TestResult = Result<(), Box<dyn Error>>;
 
@@ -14,8 +14,8 @@
 /// One query without a wait.
 const SERVICE: Duration = Duration::from_millis(10);
 
-fn end(queued: Duration, turned_away: bool) -> QueryEnd {
-    QueryEnd { queued, turned_away, took: SERVICE + queued }
+fn end(queue_wait: Duration, rejected: bool) -> QueryFeedback {
+    QueryFeedback { queue_wait, rejected, elapsed: SERVICE + queue_wait }
 }
 
 /// The wait that a closed loop of `held` queries sees at the targets.
@@ -36,7 +36,7 @@
         let held = window.size(&options).floor();
         let wait = wait_of(held);
         now += (SERVICE + wait).div_f64(held);
-        window.learn(now, held as u32, &end(wait, false), &options);
+        window.update(now, held as u32, &end(wait, false), &options);
         waits.push(wait);
     }
     let settled = &waits[1_000..];
@@ -50,7 +50,7 @@
 struct LearnCase {
     name: &'static str,
     held: u32,
-    end: QueryEnd,
+    end: QueryFeedback,
     grows: Option<bool>,
 }
 
@@ -69,7 +69,7 @@
     for case in cases {
         let mut window = CallerWindow::default();
         let before = window.size(&options);
-        window.learn(Duration::from_secs(1), case.held, &case.end, &options);
+        window.update(Duration::from_secs(1), case.held, &case.end, &options);
         let after = window.size(&options);
         let grows = (after != before).then_some(after > before);
         assert_eq!(grows, case.grows, "{}", case.name);
@@ -85,9 +85,9 @@
     let mut window = CallerWindow::default();
     let at = Duration::from_secs(1);
     for held in (1..=40).rev() {
-        window.learn(at, held, &end(Duration::from_millis(80), true), &options);
+        window.update(at, held, &end(Duration::from_millis(80), true), &options);
     }
-    assert_eq!(window.size(&options), options.first * options.shrink);
+    assert_eq!(window.size(&options), options.initial * options.decrease_factor);
     Ok(())
 }
 
@@ -96,7 +96,7 @@
     let options = Options::default();
     let mut window = CallerWindow::default();
     for second in 0..200 {
-        window.learn(Duration::from_secs(second), 1, &end(SERVICE, true), &options);
+        window.update(Duration::from_secs(second), 1, &end(SERVICE, true), &options);
     }
     assert!(window.allows(0, &options));
     assert!(!window.allows(1, &options));
--- a/crates/hawthorn-route/src/door.rs
+++ b/crates/hawthorn-route/src/door.rs
@@ -12,7 +12,7 @@
 
 use hawthorn_plan::window;
 use hawthorn_plan::window::CallerWindow;
-use hawthorn_plan::window::QueryEnd;
+use hawthorn_plan::window::QueryFeedback;
 use serde::Deserialize;
 use serde_with::DurationMilliSeconds;
 use serde_with::serde_as;
@@ -66,8 +66,8 @@
 impl Options {
     /// Of the window of queries that are in flight at once.
     fn window(&self) -> window::Options {
-        let (first, least) = (self.first_window, self.least_window);
-        window::Options { first, least, ..window::Options::default() }
+        let (initial, min) = (self.first_window, self.least_window);
+        window::Options { initial, min, ..window::Options::default() }
     }
 }
 
@@ -162,10 +162,14 @@
             let standing_wait = aim.mul_f64(options.standing_share);
             let away = load.turned_away as f64 / load.shards.max(1) as f64;
             let turned_away = away >= options.turned_away_share;
-            let end = QueryEnd { queued: load.decisive_wait(), turned_away, took };
+            let end = QueryFeedback {
+                queue_wait: load.decisive_wait(),
+                rejected: turned_away,
+                elapsed: took,
+            };
             let window = window::Options { standing_wait, ..options.window() };
-            self.window.learn(now, self.open, &end, &window);
-            if turned_away || end.queued > standing_wait {
+            self.window.update(now, self.open, &end, &window);
+            if turned_away || end.queue_wait > standing_wait {
                 self.crowded_until = now + options.crowded_time;
             }
             // Failure: targets are full, each query fails within a few milliseconds as
--- a/crates/hawthorn-standin/src/check/answers.rs
+++ b/crates/hawthorn-standin/src/check/answers.rs
@@ -101,7 +101,7 @@
 ) -> bool {
     let Some(coverage) = &answer.coverage else { return false };
     let covered: RangeSet = coverage.covered.iter().copied().collect();
-    ranges_add_up(query.range.unwrap_or(KeyRange::WHOLE), coverage, &covered)
+    ranges_add_up(query.range.unwrap_or(KeyRange::FULL), coverage, &covered)
         && corpus.is_none_or(|corpus| matches_bear_out(query, answer, version, &covered, corpus))
 }
 
--- a/crates/hawthorn-standin/src/load/naive.rs
+++ b/crates/hawthorn-standin/src/load/naive.rs
@@ -131,7 +131,7 @@
 
     async fn search(&self, query: &SearchQuery) -> CallerAnswer {
         let start = Instant::now();
-        let asked = query.range.unwrap_or(KeyRange::WHOLE);
+        let asked = query.range.unwrap_or(KeyRange::FULL);
         let Some(shards) = self.services.get(&query.service) else {
             let outcome = CallerOutcome::NotRun(RefusalReason::UnknownService);
             return answer(0, query.request_id.clone(), outcome, start);
--- a/crates/hawthorn-standin/src/target/control.rs
+++ b/crates/hawthorn-standin/src/target/control.rs
@@ -5,11 +5,11 @@
 use std::sync::MutexGuard;
 use std::time::Duration;
 
+use hawthorn_types::DesiredState;
 use hawthorn_types::IndexVersion;
 use hawthorn_types::KeyRange;
 use hawthorn_types::RangeSet;
 use hawthorn_types::TargetPhase;
-use hawthorn_types::WantedState;
 use hawthorn_types::target::HeldRanges;
 use hawthorn_types::target::TargetIntent;
 use hawthorn_types::target::TargetState;
@@ -122,7 +122,7 @@
     }
 
     /// The state it was last told to be in.
-    pub fn wanted(&self) -> WantedState {
+    pub fn wanted(&self) -> DesiredState {
         self.shared.lock().wanted
     }
 
@@ -178,11 +178,11 @@
     }
 
     /// Puts it in `wanted`, as `POST /intent` does.
-    pub fn set_wanted(&self, wanted: WantedState) {
+    pub fn set_wanted(&self, wanted: DesiredState) {
         self.change_leaving(|state, now| {
             let was = std::mem::replace(&mut state.wanted, wanted);
             // A target that was off starts again from cold.
-            if was == WantedState::Off && wanted != WantedState::Off {
+            if was == DesiredState::Off && wanted != DesiredState::Off {
                 state.ready_at = now + self.shared.options.cold_start;
             }
         });
--- a/crates/hawthorn-standin/src/target/state.rs
+++ b/crates/hawthorn-standin/src/target/state.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use hawthorn_types::ConfigRevision;
+use hawthorn_types::DesiredState;
 use hawthorn_types::IndexVersion;
 use hawthorn_types::KeyRange;
 use hawthorn_types::RangeSet;
-use hawthorn_types::WantedState;
 use hawthorn_types::target::HeldRanges;
 use hawthorn_types::target::ShardAnswer;
 use hawthorn_types::target::TargetPhase;
@@ -60,7 +60,7 @@
 
 #[derive(Debug)]
 pub(super) struct State {
-    pub(super) wanted: WantedState,
+    pub(super) wanted: DesiredState,
     pub(super) leaving: bool,
     /// The newest revision that an order was followed of.
     pub(super) obeyed: ConfigRevision,
@@ -85,7 +85,7 @@
     pub(super) fn new(options: &TargetOptions) -> Self {
         let now = Instant::now();
         let mut state = Self {
-            wanted: WantedState::Serve,
+            wanted: DesiredState::Serve,
             leaving: false,
             obeyed: ConfigRevision::default(),
             ready_at: now + options.cold_start,
@@ -111,10 +111,10 @@
     pub(super) fn phase(&self, now: Instant) -> TargetPhase {
         match self.wanted {
             _ if self.leaving => TargetPhase::Draining,
-            WantedState::Drain | WantedState::Off => TargetPhase::Draining,
+            DesiredState::Drain | DesiredState::Off => TargetPhase::Draining,
             _ if now < self.ready_at => TargetPhase::Cold,
-            WantedState::Standby => TargetPhase::Standby,
-            WantedState::Serve => TargetPhase::Ready,
+            DesiredState::Standby => TargetPhase::Standby,
+            DesiredState::Serve => TargetPhase::Ready,
         }
     }
 
@@ -219,12 +219,12 @@
 
     /// Whether it takes no new work because it is on its way out.
     pub(super) fn leaves(&self) -> bool {
-        self.leaving || matches!(self.wanted, WantedState::Drain | WantedState::Off)
+        self.leaving || matches!(self.wanted, DesiredState::Drain | DesiredState::Off)
     }
 
     /// Off, and everything that was running has ended.
     fn is_off(&self) -> bool {
-        self.wanted == WantedState::Off && self.counters.busy + self.counters.waiting == 0
+        self.wanted == DesiredState::Off && self.counters.busy + self.counters.waiting == 0
     }
 
     /// How many times slower than usual the target still is after its start.
--- a/crates/hawthorn-standin/tests/check.rs
+++ b/crates/hawthorn-standin/tests/check.rs
@@ -289,7 +289,7 @@
             |answer| {
                 let coverage = AnswerCoverage {
                     fraction: 1.0,
-                    covered: vec![KeyRange::WHOLE],
+                    covered: vec![KeyRange::FULL],
                     missing: vec![],
                 };
                 answer.coverage = Some(coverage);
--- a/crates/hawthorn-standin/tests/check_targets.rs
+++ b/crates/hawthorn-standin/tests/check_targets.rs
@@ -10,7 +10,7 @@
 use hawthorn_standin::check;
 use hawthorn_standin::check::BrokenPromise;
 use hawthorn_standin::check::BrokenSubject;
-use hawthorn_types::WantedState;
+use hawthorn_types::DesiredState;
 use support::Fallible;
 use support::TestResult;
 
@@ -49,7 +49,7 @@
 async fn work_sent_to_a_draining_target_is_found() -> TestResult {
     let history = History::default();
     let target = target("leaving", &history).await?;
-    target.control().set_wanted(WantedState::Drain);
+    target.control().set_wanted(DesiredState::Drain);
     for attempt in 1..=2 {
         let reply = support::post(target.address(), "/run", &support::run(attempt)).await?;
         assert_eq!(reply.status, 503);
--- a/crates/hawthorn-standin/tests/deployment.rs
+++ b/crates/hawthorn-standin/tests/deployment.rs
@@ -48,14 +48,14 @@
                 .collect();
             assert_eq!(zones.len(), service.replicas as usize, "{} {shard}", service.name);
         }
-        assert_eq!(covered, RangeSet::from(KeyRange::WHOLE));
+        assert_eq!(covered, RangeSet::from(KeyRange::FULL));
     }
     Ok(())
 }
 
 #[test]
 fn every_text_to_search_for_is_found() {
-    let whole = RangeSet::from(KeyRange::WHOLE);
+    let whole = RangeSet::from(KeyRange::FULL);
     for flavour in CorpusFlavour::iter() {
         let options = CorpusOptions { flavour, ..CorpusOptions::default() };
         let corpus = Corpus::generate("any", &options);
--- a/crates/hawthorn-standin/tests/load.rs
+++ b/crates/hawthorn-standin/tests/load.rs
@@ -31,12 +31,12 @@
 use hawthorn_types::CallerAnswer;
 use hawthorn_types::CallerOutcome;
 use hawthorn_types::ConfigStamp;
+use hawthorn_types::DesiredState;
 use hawthorn_types::IndexVersion;
 use hawthorn_types::KeyRange;
 use hawthorn_types::OnceRequest;
 use hawthorn_types::RefusalReason;
 use hawthorn_types::SearchQuery;
-use hawthorn_types::WantedState;
 use support::Fallible;
 use support::TestResult;
 
@@ -99,7 +99,7 @@
         match self.conduct {
             FakeConduct::Refuse => {}
             FakeConduct::ClaimEverything => {
-                let covered = vec![KeyRange::WHOLE];
+                let covered = vec![KeyRange::FULL];
                 answer.outcome = CallerOutcome::Answer;
                 answer.index_version = Some(IndexVersion(1));
                 answer.coverage =
@@ -228,7 +228,7 @@
     let deployment = StandinDeployment::start(small()).await?;
     let holds = |shards: &[u32]| shards.contains(&0);
     for target in deployment.targets.iter().filter(|target| holds(&target.shards)) {
-        target.standin.control().set_wanted(WantedState::Drain);
+        target.standin.control().set_wanted(DesiredState::Drain);
     }
     let stage = DeploymentStage::new(&deployment);
     let options = options(LoadScenario::Calm, &deployment);
--- a/crates/hawthorn-standin/tests/support/mod.rs
+++ b/crates/hawthorn-standin/tests/support/mod.rs
@@ -97,7 +97,7 @@
         attempt,
         shard: ShardName(format!("{SERVICE}/00")),
         version: IndexVersion(1),
-        range: KeyRange::WHOLE,
+        range: KeyRange::FULL,
         text: String::new(),
         limit: 10,
         deadline_ms: 5_000,
@@ -126,7 +126,7 @@
     HeldRanges {
         service: SERVICE.to_owned(),
         version: IndexVersion(1),
-        ranges: RangeSet::from(KeyRange::WHOLE),
+        ranges: RangeSet::from(KeyRange::FULL),
     }
 }
 
--- a/crates/hawthorn-standin/tests/target.rs
+++ b/crates/hawthorn-standin/tests/target.rs
@@ -11,9 +11,9 @@
 use hawthorn_standin::target::ServiceTime;
 use hawthorn_standin::target::StateLie;
 use hawthorn_types::ConfigRevision;
+use hawthorn_types::DesiredState;
 use hawthorn_types::IndexVersion;
 use hawthorn_types::TargetPhase;
-use hawthorn_types::WantedState;
 use hawthorn_types::target::RefusedAttempt;
 use hawthorn_types::target::TargetIntent;
 use hawthorn_types::target::TargetRefusal;
@@ -45,7 +45,7 @@
         },
         RefusalCase {
             name: "draining",
-            prepare: |target| target.control().set_wanted(WantedState::Drain),
+            prepare: |target| target.control().set_wanted(DesiredState::Drain),
             status: 503,
             refusal: TargetRefusal::Draining,
         },
@@ -53,14 +53,14 @@
             name: "leaving by itself although intent says serve",
             prepare: |target| {
                 target.control().set_leaving(true);
-                target.control().set_wanted(WantedState::Serve);
+                target.control().set_wanted(DesiredState::Serve);
             },
             status: 503,
             refusal: TargetRefusal::Draining,
         },
         RefusalCase {
             name: "standby",
-            prepare: |target| target.control().set_wanted(WantedState::Standby),
+            prepare: |target| target.control().set_wanted(DesiredState::Standby),
             status: 503,
             refusal: TargetRefusal::Draining,
         },
@@ -203,7 +203,7 @@
 async fn state_lags_and_lies() -> TestResult {
     let state_lag = Duration::from_secs(60);
     let target = TargetStandin::start(TargetOptions { state_lag, ..support::options() }).await?;
-    target.control().set_wanted(WantedState::Drain);
+    target.control().set_wanted(DesiredState::Drain);
     let mut client = Client::connect(target.address()).await?;
     assert_eq!(client.get("/state").await?.json::<TargetState>()?.phase, TargetPhase::Ready);
     let lie = StateLie { phase: TargetPhase::Standby, busy: 9 };
@@ -213,7 +213,7 @@
 
     let state_lag = Duration::from_millis(20);
     let target = TargetStandin::start(TargetOptions { state_lag, ..support::options() }).await?;
-    target.control().set_wanted(WantedState::Drain);
+    target.control().set_wanted(DesiredState::Drain);
     support::until(|| target.control().shown().phase == TargetPhase::Draining).await
 }
 
@@ -224,10 +224,10 @@
         TargetStandin::start(TargetOptions { history: history.clone(), ..support::options() })
             .await?;
     let cases = [
-        (WantedState::Standby, TargetPhase::Standby, 1),
-        (WantedState::Drain, TargetPhase::Draining, 1),
-        (WantedState::Off, TargetPhase::Draining, 0),
-        (WantedState::Serve, TargetPhase::Ready, 1),
+        (DesiredState::Standby, TargetPhase::Standby, 1),
+        (DesiredState::Drain, TargetPhase::Draining, 1),
+        (DesiredState::Off, TargetPhase::Draining, 0),
+        (DesiredState::Serve, TargetPhase::Ready, 1),
     ];
     for (wanted, phase, held) in cases {
         let intent = TargetIntent { wanted, revision: ConfigRevision(7) };
@@ -242,7 +242,7 @@
     let leaving = HistoryEvent::TargetLeaving { target: name() };
     assert_eq!(recorded, [leaving, HistoryEvent::TargetServing { target: name() }]);
     target.control().set_faults(|faults| faults.ignore_intent = true);
-    let drain = TargetIntent { wanted: WantedState::Drain, revision: ConfigRevision(7) };
+    let drain = TargetIntent { wanted: DesiredState::Drain, revision: ConfigRevision(7) };
     support::post(target.address(), "/intent", &drain).await?;
     assert_eq!(target.control().phase(), TargetPhase::Ready);
     Ok(())
@@ -254,18 +254,18 @@
 async fn an_order_of_an_older_revision_is_ignored() -> TestResult {
     struct OrderCase {
         revision: u64,
-        wanted: WantedState,
+        wanted: DesiredState,
         phase: TargetPhase,
     }
     let target = TargetStandin::start(support::options()).await?;
     let case = |revision, wanted, phase| OrderCase { revision, wanted, phase };
     let cases = [
-        case(0, WantedState::Drain, TargetPhase::Draining),
-        case(4, WantedState::Drain, TargetPhase::Draining),
-        case(5, WantedState::Serve, TargetPhase::Ready),
-        case(4, WantedState::Drain, TargetPhase::Ready),
-        case(0, WantedState::Off, TargetPhase::Ready),
-        case(5, WantedState::Standby, TargetPhase::Standby),
+        case(0, DesiredState::Drain, TargetPhase::Draining),
+        case(4, DesiredState::Drain, TargetPhase::Draining),
+        case(5, DesiredState::Serve, TargetPhase::Ready),
+        case(4, DesiredState::Drain, TargetPhase::Ready),
+        case(0, DesiredState::Off, TargetPhase::Ready),
+        case(5, DesiredState::Standby, TargetPhase::Standby),
     ];
     for case in cases {
         let revision = ConfigRevision(case.revision);
--- a/crates/hawthorn-standin/tests/target_answers.rs
+++ b/crates/hawthorn-standin/tests/target_answers.rs
@@ -27,7 +27,7 @@
     let asked = support::search(7);
     assert_eq!((answer.request, answer.attempt), (asked.request, asked.attempt));
     assert_eq!((answer.shard, answer.version), (asked.shard, asked.version));
-    let whole = RangeSet::from(KeyRange::WHOLE);
+    let whole = RangeSet::from(KeyRange::FULL);
     let truth = support::corpus().search(IndexVersion(1), &whole, "", 10);
     assert_eq!(answer.searched, whole);
     assert_eq!((answer.total, answer.matches), (truth.total, truth.matches));
@@ -128,7 +128,7 @@
     assert_eq!(moved.refusal, TargetRefusal::RangeMoved);
     let found = support::post(new.address(), "/search", &rest).await?.json::<ShardAnswer>()?;
     assert_eq!(found.searched, RangeSet::from(upper));
-    let whole = support::corpus().search(IndexVersion(1), &RangeSet::from(KeyRange::WHOLE), "", 0);
+    let whole = support::corpus().search(IndexVersion(1), &RangeSet::from(KeyRange::FULL), "", 0);
     assert_eq!(answer.total + found.total, whole.total);
     Ok(())
 }
--- a/crates/hawthorn-types/src/lib.rs
+++ b/crates/hawthorn-types/src/lib.rs
@@ -41,7 +41,7 @@
 pub use reason::RefusalReason;
 pub use reason::RetryReason;
 pub use reason::UnknownReason;
+pub use target::DesiredState;
 pub use target::TargetPhase;
-pub use target::WantedState;
 pub use version::ConfigRevision;
 pub use version::IndexVersion;
--- a/crates/hawthorn-types/src/range.rs
+++ b/crates/hawthorn-types/src/range.rs
@@ -37,7 +37,7 @@
 
 impl KeyRange {
     /// The whole key space.
-    pub const WHOLE: Self = Self { start: 0, end: KEY_SPACE };
+    pub const FULL: Self = Self { start: 0, end: KEY_SPACE };
 
     /// The range from `start` up to `end`; empty when `end <= start`.
     pub fn new(start: u32, end: u32) -> Self {
--- a/crates/hawthorn-types/src/target.rs
+++ b/crates/hawthorn-types/src/target.rs
@@ -39,7 +39,7 @@
 )]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
-pub enum WantedState {
+pub enum DesiredState {
     /// Takes work.
     Serve,
     /// Switched on and warm, takes no work until it is needed.
@@ -210,7 +210,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetIntent {
     /// The wanted state.
-    pub wanted: WantedState,
+    pub wanted: DesiredState,
     /// The configuration revision that wants it; 0 when it is not given.
     #[serde(default)]
     pub revision: ConfigRevision,
--- a/crates/hawthorn-types/tests/range.rs
+++ b/crates/hawthorn-types/tests/range.rs
@@ -55,7 +55,7 @@
     for count in [1, 3, 20, 30, 270] {
         let parts: Vec<_> = (0..count).map(|number| KeyRange::part(number, count)).collect();
         assert_eq!(parts.iter().map(|part| part.len()).sum::<u32>(), KEY_SPACE);
-        assert_eq!(parts.into_iter().collect::<RangeSet>(), RangeSet::from(KeyRange::WHOLE));
+        assert_eq!(parts.into_iter().collect::<RangeSet>(), RangeSet::from(KeyRange::FULL));
     }
     Ok(())
 }
--- a/tests/intent.rs
+++ b/tests/intent.rs
@@ -17,8 +17,8 @@
 use hawthorn_store::edit;
 use hawthorn_store::edit::ProposedEdit;
 use hawthorn_types::CallerOutcome;
+use hawthorn_types::DesiredState;
 use hawthorn_types::TargetPhase;
-use hawthorn_types::WantedState;
 use support::FleetOptions;
 use support::TestFleet;
 use support::TestResult;
@@ -64,7 +64,7 @@
     fleet.deployment.inventory_toml().replace(&line, &format!("{line}spare = true\n"))
 }
 
-fn rule(name: &str, target: &str, wanted: WantedState) -> String {
+fn rule(name: &str, target: &str, wanted: DesiredState) -> String {
     format!(
         "[[rule]]\nname = \"{name}\"\nmatch = {{ target = \"{target}\" }}\n\
          wanted = \"{wanted}\"\nreason = \"cooling is replaced\"\n\n"
@@ -176,7 +176,7 @@
     queried(&fleet, async {
         let inventory = inventory_with_spare(&fleet, SECOND);
         edit(&fleet, 1, inventory, fleet.deployment.rules_toml()).await?;
-        until("off", || spare.wanted() == WantedState::Off).await?;
+        until("off", || spare.wanted() == DesiredState::Off).await?;
         until_settled(&fleet).await?;
         spare.set_down(true);
         // Longer than a target that is off is left unasked.
@@ -206,13 +206,13 @@
     let (first, second) = (control(&fleet, FIRST)?, control(&fleet, SECOND)?);
     let inventory = inventory_with_spare(&fleet, SECOND);
     edit(&fleet, 1, inventory.clone(), fleet.deployment.rules_toml()).await?;
-    until("off", || second.wanted() == WantedState::Off).await?;
+    until("off", || second.wanted() == DesiredState::Off).await?;
     until_settled(&fleet).await?;
     let rules = rules_with(
         &fleet,
         &[
-            rule("repairs", FIRST, WantedState::Drain),
-            rule("stand-by-power", SECOND, WantedState::Serve),
+            rule("repairs", FIRST, DesiredState::Drain),
+            rule("stand-by-power", SECOND, DesiredState::Serve),
         ],
     );
     queried(&fleet, async {
@@ -222,10 +222,10 @@
             drift.is_some_and(|drift| drift.held_for.as_deref() == Some("agent-desk/00"))
         });
         held.await?;
-        until("the replacement's start", || second.wanted() == WantedState::Serve).await?;
+        until("the replacement's start", || second.wanted() == DesiredState::Serve).await?;
         until("the drain", || {
             let is_warm = second.phase() == TargetPhase::Ready;
-            let leaves = first.wanted() != WantedState::Serve;
+            let leaves = first.wanted() != DesiredState::Serve;
             assert!(is_warm || !leaves, "{FIRST} left before {SECOND} was warm");
             leaves
         })
@@ -253,7 +253,7 @@
     let fleet = start().await?;
     let second = control(&fleet, SECOND)?;
     let (inventory, plain) = (fleet.deployment.inventory_toml(), fleet.deployment.rules_toml());
-    let standby = rules_with(&fleet, &[rule("reserve", SECOND, WantedState::Standby)]);
+    let standby = rules_with(&fleet, &[rule("reserve", SECOND, DesiredState::Standby)]);
     queried(&fleet, async {
         edit(&fleet, 1, inventory.clone(), standby).await?;
         until("standby", || second.phase() == TargetPhase::Standby).await?;
@@ -279,7 +279,7 @@
     let fleet = start().await?;
     let first = control(&fleet, FIRST)?;
     first.set_faults(|faults| faults.ignore_intent = true);
-    let rules = rules_with(&fleet, &[rule("repairs", FIRST, WantedState::Drain)]);
+    let rules = rules_with(&fleet, &[rule("repairs", FIRST, DesiredState::Drain)]);
     edit(&fleet, 1, fleet.deployment.inventory_toml(), rules).await?;
     let is_waiting = |report: &FleetReport| {
         drift_of(report, FIRST).is_some_and(|drift| drift.cause == "waiting")
@@ -344,7 +344,7 @@
         rules: rules.to_owned(),
         fault,
     };
-    let hurried = rules_with(&fleet, &[rule("hurried", "agent-desk-0*", WantedState::Off)]);
+    let hurried = rules_with(&fleet, &[rule("hurried", "agent-desk-0*", DesiredState::Off)]);
     let cases = [
         case("a shard without a target", &inventory, &hurried, "no-serving-replica"),
         case("an unknown key", &inventory, &format!("tint = 1\n{rules}"), "unknown-key"),
