--- a/crates/hawthorn-plan/benches/plan.rs
+++ b/crates/hawthorn-plan/benches/plan.rs
@@ -1,5 +1,5 @@
-//! What a query of 270 shards over three zones costs the front: its plan, with
-//! buffers used again and with fresh ones, and its whole life.
+//! Cost of a query of 270 shards over three zones at the front: planning with
+//! reused and with new buffers, and processing from start to finish.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -55,11 +55,11 @@
     let input = PlanInput::first(&table, KeyRange::FULL, ZoneKey(0), remaining);
     let mut group = criterion.benchmark_group("plan of 270 pieces");
     group.throughput(Throughput::Elements(u64::from(SHARDS)));
-    let mut kept = QueryPlan::default();
+    let mut reused = QueryPlan::default();
     group.bench_function("buffers used again", |bencher| {
         bencher.iter(|| {
-            plan::plan_into(black_box(&input), &mut kept, &options);
-            black_box(kept.piece_count())
+            plan::plan_into(black_box(&input), &mut reused, &options);
+            black_box(reused.piece_count())
         });
     });
     group.bench_function("fresh buffers", |bencher| {
@@ -68,8 +68,8 @@
     group.finish();
 }
 
-/// A whole query in the front: planned, sent to three owners, answered with one
-/// match for each shard, merged.
+/// Processes a query in the front: planned, sent to three owners, answered with
+/// one match for each shard, merged.
 fn track_query(criterion: &mut Criterion) {
     let table = table();
     let mut budget = RetryBudget::default();
@@ -98,7 +98,7 @@
                     Action::Send(send) => Some(send),
                     Action::Cancel { .. } | Action::Wake(_) => None,
                 }));
-                let send = unanswered.pop().expect("a waiting query has a batch to answer");
+                let send = unanswered.pop().expect("a waiting query has an open batch");
                 step = track.step(answer(send), &mut context);
             }
         });
--- a/crates/hawthorn-plan/src/admit.rs
+++ b/crates/hawthorn-plan/src/admit.rs
@@ -1,7 +1,7 @@
-//! Admits or refuses a whole query before anything of it is sent.
+//! Admission control for queries, before any shard request is sent.
 //!
-//! A query that cannot be answered in time costs 270 shard requests for
-//! nothing; refused here it costs none, and `not run` is true by construction.
+//! A query that cannot be answered in time would waste up to 270 shard
+//! requests. Refused here it costs none, and `not run` holds by construction.
 
 use std::time::Duration;
 
@@ -13,26 +13,26 @@
 use crate::load::FrontLoad;
 use crate::window;
 
-/// Bounds of one front.
+/// Admission limits of one front.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Queries in flight at most. Bounds memory (a query of 270 pieces holds
-    /// tens of kilobytes until it is merged) and the work a stop waits for.
+    /// Maximum number of queries in flight. Bounds memory (a query of 270 pieces
+    /// holds tens of kilobytes until it is merged) and the work to finish on shutdown.
     pub max_in_flight: u32,
-    /// Places kept for a caller that has not asked of late, as a divisor of
-    /// `max_in_flight`, so that its first query finds room.
-    pub newcomer_divisor: u32,
-    /// How long after its last query a caller counts as present.
-    pub presence_window: Duration,
-    /// Part of the time left that must remain after the expected wait.
+    /// Slots reserved for the first query of an inactive caller, as a divisor of
+    /// `max_in_flight`.
+    pub reserve_divisor: u32,
+    /// How long after its last request a caller counts as active.
+    pub activity_window: Duration,
+    /// Time for the search itself that must remain after the expected wait.
     pub search_time: Duration,
-    /// A report of an owner's wait older than this says nothing.
+    /// Owners' wait reports older than this are ignored.
     pub report_ttl: Duration,
-    /// Shortest advice on when to ask again.
+    /// Lower bound of `retry_after`.
     pub min_retry_after: Duration,
-    /// Longest advice on when to ask again.
+    /// Upper bound of `retry_after`.
     pub max_retry_after: Duration,
-    /// Of each caller's window.
+    /// Limits of each caller's concurrency window.
     pub window: window::Options,
 }
 
@@ -40,8 +40,8 @@
     fn default() -> Self {
         Self {
             max_in_flight: 512,
-            newcomer_divisor: 16,
-            presence_window: Duration::from_secs(1),
+            reserve_divisor: 16,
+            activity_window: Duration::from_secs(1),
             search_time: Duration::from_millis(5),
             report_ttl: Duration::from_secs(1),
             min_retry_after: Duration::from_millis(20),
@@ -51,64 +51,64 @@
     }
 }
 
-/// Where the front is in its life.
+/// Lifecycle stage of the front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum FrontStage {
-    /// Started, and knows no configuration yet.
+    /// Started, without a configuration yet.
     Unconfigured,
-    /// Takes queries.
+    /// Accepts queries.
     Serving,
-    /// Finishes what it has.
+    /// Finishes queries in flight and accepts no new ones.
     Stopping,
 }
 
-/// A query at the door.
+/// A query that asks for admission.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest {
-    /// Who asks.
+    /// The caller.
     pub caller: CallerKey,
-    /// Now.
+    /// The current time.
     pub now: Duration,
-    /// When the caller stops waiting.
+    /// When the caller stops waiting for the answer.
     pub deadline: Duration,
     /// The longest wait among the owners concerned, from [`expected_wait`].
     pub expected_wait: Duration,
-    /// Where the front is in its life.
+    /// Lifecycle stage of the front.
     pub stage: FrontStage,
-    /// Any random number; spreads the moments at which refused callers return.
+    /// A random number; adds jitter to `retry_after`.
     pub random: u64,
 }
 
-/// What becomes of the query.
+/// The decision on a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Taken; [`FrontLoad::record_completion`] has to follow once.
+    /// Admitted; must be followed by exactly one [`FrontLoad::record_completion`].
     Admitted,
-    /// Not run, and nothing of it was sent.
+    /// Not run; no shard request was sent.
     Refused {
-        /// Why.
+        /// The reason.
         reason: RefusalReason,
-        /// When asking again is worth it; `None` when the same query would be refused again.
+        /// When to retry; `None` when the same query would be refused again.
         retry_after: Option<Duration>,
     },
 }
 
-/// What an owner said of its queue.
+/// The queue wait that an owner reported.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitReport {
-    /// How long a new piece would wait there.
+    /// How long a new piece would wait in the queue.
     pub wait: Duration,
-    /// When it said so.
+    /// When the owner reported it.
     pub reported_at: Duration,
 }
 
-/// The longest wait among `reports` that are recent enough to mean something.
+/// The longest wait among the `reports` that have not expired.
 ///
-/// Load: an owner reports a long queue, every front turns its queries away,
-/// and because reports ride on answers no newer report follows. The harm is a
-/// front that refuses for ever over an empty queue. A report therefore
-/// lapses after `report_ttl`, and the next queries go out and learn the truth.
+/// Reports are piggybacked on answers: a front that refuses every query because
+/// of a long queue receives no newer report and would refuse forever, even when
+/// the queue is empty again. Reports therefore expire after `report_ttl`, and
+/// the next queries return fresh ones.
 pub fn expected_wait(
     reports: impl IntoIterator<Item = WaitReport>,
     now: Duration,
@@ -122,23 +122,23 @@
         .unwrap_or(Duration::ZERO)
 }
 
-/// Admits or refuses the whole query and notes it in `load`.
-pub fn admit(load: &mut FrontLoad, ask: &AdmissionRequest, options: &Options) -> Outcome {
-    if let Some(reason) = refusal_by_stage(ask.stage) {
-        return refused(reason, Some(options.min_retry_after), ask, options);
+/// Admits or refuses a query and records the decision in `load`.
+pub fn admit(load: &mut FrontLoad, request: &AdmissionRequest, options: &Options) -> Outcome {
+    if let Some(reason) = refusal_by_stage(request.stage) {
+        return refused(reason, Some(options.min_retry_after), request, options);
     }
-    load.record_request(ask.caller, ask.now);
-    let remaining = ask.deadline.saturating_sub(ask.now);
+    load.record_request(request.caller, request.now);
+    let remaining = request.deadline.saturating_sub(request.now);
     if remaining.is_zero() {
-        return refused(RefusalReason::DeadlinePast, None, ask, options);
+        return refused(RefusalReason::DeadlinePast, None, request, options);
     }
-    if let Some(excess) = wait_beyond(ask.expected_wait, remaining, options) {
-        return refused(RefusalReason::WaitBeyondDeadline, Some(excess), ask, options);
+    if let Some(excess) = wait_excess(request.expected_wait, remaining, options) {
+        return refused(RefusalReason::WaitBeyondDeadline, Some(excess), request, options);
     }
-    if let Some(reason) = refusal_by_load(load, ask, options) {
-        return refused(reason, Some(load.query_time()), ask, options);
+    if let Some(reason) = refusal_by_load(load, request, options) {
+        return refused(reason, Some(load.query_time()), request, options);
     }
-    load.record_admission(ask.caller);
+    load.record_admission(request.caller);
     Outcome::Admitted
 }
 
@@ -150,48 +150,47 @@
     }
 }
 
-/// By how much the expected wait is too long, if it is.
+/// By how much the expected wait exceeds the remaining time, if it does.
 ///
-/// Load: queues at owners longer than callers wait. The harm is a target that
-/// works on answers nobody reads. The slowest owner decides, because the
-/// answer is complete only with it; `search_time` is what the search itself
-/// needs after the wait.
-fn wait_beyond(wait: Duration, remaining: Duration, options: &Options) -> Option<Duration> {
+/// Sheds load when owners' queues are longer than callers wait, so that targets
+/// do not work on answers that arrive after the deadline. The wait is that of
+/// the slowest owner, as the answer is complete only with it; `search_time` is
+/// what the search itself needs after the wait.
+fn wait_excess(wait: Duration, remaining: Duration, options: &Options) -> Option<Duration> {
     let needed = wait.saturating_add(options.search_time);
     let excess = needed.saturating_sub(remaining);
     (!excess.is_zero()).then_some(excess)
 }
 
-/// Refuses by the bounds of the front.
+/// Refuses by the number of queries in flight, with fair shares between callers.
 ///
-/// Load: one member firm floods while others ask now and then. The harm is a
-/// front that is full of the flood, so that others are refused or served
-/// after it. A caller within its share needs only a free place. Beyond its
-/// share it may use what is free, less the unused shares of the others present
-/// and a few places for one who has not asked of late. Idle capacity is thus
-/// used, and a flood never costs another caller its share for longer than the
-/// queries already in flight take.
+/// Handles one caller flooding the front while others send few queries: without
+/// shares the flood would occupy every slot. A caller within its share needs
+/// only a free slot. Beyond its share it may use free slots, except the unused
+/// shares of other active callers and the slots reserved for inactive ones. Idle
+/// capacity is thus used, and a flood withholds another caller's share no longer
+/// than the queries already in flight take.
 fn refusal_by_load(
     load: &FrontLoad,
-    ask: &AdmissionRequest,
+    request: &AdmissionRequest,
     options: &Options,
 ) -> Option<RefusalReason> {
     let free = options.max_in_flight.saturating_sub(load.in_flight());
     if free == 0 {
         return Some(RefusalReason::QueueFull);
     }
-    let present = load.present(ask.now, options.presence_window).max(1);
-    if !load.window_allows(ask.caller, &options.window) {
-        let alone = present == 1;
+    let active = load.active_callers(request.now, options.activity_window).max(1);
+    if !load.window_allows(request.caller, &options.window) {
+        let alone = active == 1;
         return Some(if alone { RefusalReason::QueueFull } else { RefusalReason::CallerOverShare });
     }
-    let share = (options.max_in_flight / present).max(1);
-    if load.caller_in_flight(ask.caller) < share && present > 1 {
+    let share = (options.max_in_flight / active).max(1);
+    if load.caller_in_flight(request.caller) < share && active > 1 {
         return None;
     }
-    let unused = load.unused_shares(ask.caller, share, ask.now, options.presence_window);
-    let newcomers = options.max_in_flight / options.newcomer_divisor.max(1);
-    if free > unused.saturating_add(newcomers) {
+    let unused = load.unused_shares(request.caller, share, request.now, options.activity_window);
+    let reserved = options.max_in_flight / options.reserve_divisor.max(1);
+    if free > unused.saturating_add(reserved) {
         return None;
     }
     Some(RefusalReason::CallerOverShare)
@@ -200,19 +199,18 @@
 fn refused(
     reason: RefusalReason,
     wait: Option<Duration>,
-    ask: &AdmissionRequest,
+    request: &AdmissionRequest,
     options: &Options,
 ) -> Outcome {
-    let retry_after = wait.map(|wait| spread(wait, ask.random, options));
+    let retry_after = wait.map(|wait| jittered(wait, request.random, options));
     Outcome::Refused { reason, retry_after }
 }
 
-/// Between once and twice `wait`, within the limits.
+/// A random duration between `wait` and twice `wait`, within the limits.
 ///
-/// Load: a burst refused in one moment. If all were told the same moment they
-/// would return as the same burst.
-fn spread(wait: Duration, random: u64, options: &Options) -> Duration {
-    let least = wait.clamp(options.min_retry_after, options.max_retry_after);
-    let part = (random >> 32) as f64 / f64::from(u32::MAX);
-    least.mul_f64(1.0 + part).min(options.max_retry_after)
+/// Callers refused together would otherwise retry together, as the same burst.
+fn jittered(wait: Duration, random: u64, options: &Options) -> Duration {
+    let base = wait.clamp(options.min_retry_after, options.max_retry_after);
+    let jitter = (random >> 32) as f64 / f64::from(u32::MAX);
+    base.mul_f64(1.0 + jitter).min(options.max_retry_after)
 }
--- a/crates/hawthorn-plan/src/budget.rs
+++ b/crates/hawthorn-plan/src/budget.rs
@@ -1,12 +1,12 @@
-//! How much extra work fallbacks, hedges and second searches may cause.
+//! Limits the extra work caused by fallbacks, hedges and repeated searches.
 
 /// Limits of a [`RetryBudget`].
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Extra pieces allowed for each hundred first pieces sent.
+    /// Extra pieces allowed per hundred first attempts.
     pub percent: u32,
-    /// Extra pieces that may be saved up. Enough for the queries in flight
-    /// when one owner of three dies; the plans made afterwards avoid it.
+    /// Maximum balance, in extra pieces. Covers the queries in flight when one
+    /// owner of three fails; later plans avoid that owner.
     pub burst: u32,
 }
 
@@ -16,14 +16,14 @@
     }
 }
 
-const HUNDRED: u64 = 100;
+const HUNDREDTHS_PER_PIECE: u64 = 100;
 
 /// Extra pieces that one front may still send, shared by all its queries.
 ///
-/// Load: an owner or a whole zone fails while the rest is near its limit. The
-/// harm is a retry storm: every query falls back at once, the targets left
-/// shed, and their refusals cause the next fallbacks. Extra pieces are
-/// therefore a fixed part of first pieces, with a burst that covers the loss
+/// Prevents retry storms: when an owner or a zone fails while the rest is near
+/// its limit, every query falls back at once, the remaining targets shed load,
+/// and their refusals cause further fallbacks. Extra pieces are therefore
+/// limited to a fixed ratio of first attempts, plus a burst that covers the loss
 /// of one owner.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
@@ -34,19 +34,19 @@
 impl RetryBudget {
     /// A full budget.
     pub fn new(options: Options) -> Self {
-        Self { hundredths: u64::from(options.burst) * HUNDRED, options }
+        Self { hundredths: u64::from(options.burst) * HUNDREDTHS_PER_PIECE, options }
     }
 
-    /// Notes `pieces` sent for the first time.
+    /// Credits `pieces` first attempts.
     pub fn earn(&mut self, pieces: usize) {
-        let limit = u64::from(self.options.burst) * HUNDRED;
+        let limit = u64::from(self.options.burst) * HUNDREDTHS_PER_PIECE;
         let earned = pieces as u64 * u64::from(self.options.percent);
         self.hundredths = (self.hundredths + earned).min(limit);
     }
 
-    /// Takes `pieces` from the budget; `false`, and nothing taken, when it does not hold them.
-    pub fn take(&mut self, pieces: usize) -> bool {
-        let cost = pieces as u64 * HUNDRED;
+    /// Spends `pieces`; returns `false` and spends nothing when the balance is too small.
+    pub fn spend(&mut self, pieces: usize) -> bool {
+        let cost = pieces as u64 * HUNDREDTHS_PER_PIECE;
         if self.hundredths < cost {
             return false;
         }
@@ -54,9 +54,9 @@
         true
     }
 
-    /// Whole extra pieces left.
-    pub fn left(&self) -> u64 {
-        self.hundredths / HUNDRED
+    /// Extra pieces left, rounded down.
+    pub fn remaining(&self) -> u64 {
+        self.hundredths / HUNDREDTHS_PER_PIECE
     }
 }
 
--- a/crates/hawthorn-plan/src/cover.rs
+++ b/crates/hawthorn-plan/src/cover.rs
@@ -1,4 +1,4 @@
-//! What an answer covers, by exact ranges, and why the rest is missing.
+//! Coverage of an answer: the exact ranges covered, and why others are missing.
 
 use hawthorn_types::AnswerCoverage;
 use hawthorn_types::KeyRange;
@@ -6,54 +6,54 @@
 use hawthorn_types::MissingReason;
 use hawthorn_types::RangeSet;
 
-/// The coverage of an answer to `asked`.
+/// The coverage of an answer to a query for `requested`.
 ///
-/// `searched` holds the ranges that targets state they searched at the one
-/// version of the answer; `reasons` why ranges were given up, the first that
-/// names a key decides. Coverage comes from `searched` alone: a range that no
-/// one explained is still missing, and `fraction` is exactly 1 only when
-/// nothing is.
-pub fn cover(asked: KeyRange, searched: &RangeSet, reasons: &[MissingRange]) -> AnswerCoverage {
-    let covered = searched.clip(asked);
-    let mut rest = RangeSet::from(asked).difference(&covered);
+/// `searched` holds the ranges that targets reported as searched at the answer's
+/// version; `reasons` lists the ranges given up, where the first entry that
+/// contains a key takes precedence. Coverage is derived from `searched` alone: a
+/// range without a reason still counts as missing, and `fraction` is exactly 1
+/// only when nothing is missing.
+pub fn cover(requested: KeyRange, searched: &RangeSet, reasons: &[MissingRange]) -> AnswerCoverage {
+    let covered = searched.clip(requested);
+    let mut rest = RangeSet::from(requested).difference(&covered);
     let mut missing = Vec::new();
-    for given in reasons {
-        for &range in rest.clip(given.range).ranges() {
-            missing.push(MissingRange { range, reason: given.reason });
+    for given_up in reasons {
+        for &range in rest.clip(given_up.range).ranges() {
+            missing.push(MissingRange { range, reason: given_up.reason });
         }
-        rest.remove(given.range);
+        rest.remove(given_up.range);
     }
-    missing.extend(rest.ranges().iter().map(|&range| unexplained(range)));
+    missing.extend(rest.ranges().iter().map(|&range| without_reason(range)));
     missing.sort_by_key(|part| part.range);
     AnswerCoverage {
-        fraction: fraction(asked, &covered, missing.is_empty()),
+        fraction: fraction(requested, &covered, missing.is_empty()),
         covered: covered.ranges().to_vec(),
-        missing: join(missing),
+        missing: merge_adjacent(missing),
     }
 }
 
-fn unexplained(range: KeyRange) -> MissingRange {
+fn without_reason(range: KeyRange) -> MissingRange {
     MissingRange { range, reason: MissingReason::DeadlinePast }
 }
 
-fn fraction(asked: KeyRange, covered: &RangeSet, complete: bool) -> f64 {
+fn fraction(requested: KeyRange, covered: &RangeSet, complete: bool) -> f64 {
     if complete {
         return 1.0;
     }
-    // Both fit a double exactly, so a missing key always leaves less than 1.
-    f64::from(covered.len()) / f64::from(asked.len())
+    // Both lengths are exact in an f64, so one missing key already gives less than 1.
+    f64::from(covered.len()) / f64::from(requested.len())
 }
 
-/// Joins neighbours with the same reason.
-fn join(parts: Vec<MissingRange>) -> Vec<MissingRange> {
-    let mut joined: Vec<MissingRange> = Vec::with_capacity(parts.len());
+/// Merges adjacent ranges that have the same reason.
+fn merge_adjacent(parts: Vec<MissingRange>) -> Vec<MissingRange> {
+    let mut merged: Vec<MissingRange> = Vec::with_capacity(parts.len());
     for part in parts {
-        match joined.last_mut() {
+        match merged.last_mut() {
             Some(last) if last.range.end == part.range.start && last.reason == part.reason => {
                 last.range.end = part.range.end;
             }
-            _ => joined.push(part),
+            _ => merged.push(part),
         }
     }
-    joined
+    merged
 }
--- a/crates/hawthorn-plan/src/lib.rs
+++ b/crates/hawthorn-plan/src/lib.rs
@@ -1,20 +1,24 @@
-//! Decisions of the front: admit a query whole, plan it at one version, state its coverage.
+//! Query processing in the front: admission control, planning, tracking and coverage.
 //!
-//! Nothing here knows a socket, a clock or a thread. Moments are
-//! [`std::time::Duration`] since the start of the process, randomness comes in
-//! as a `u64` drawn by whoever calls.
+//! The *front* is the host that received a query. It splits the query into
+//! *pieces*, each a key range of one shard, and sends them in batches to the
+//! *owners*, the hosts that own the shards' targets.
 //!
-//! | module | its one job |
+//! The crate performs no I/O and uses no clock or threads. Points in time are
+//! [`std::time::Duration`]s since the start of the process; the caller passes
+//! random numbers in as `u64`.
+//!
+//! | module | purpose |
 //! |---|---|
-//! | [`load`] | what the front has in flight, for each caller |
-//! | [`admit`] | take or refuse a whole query before anything is sent |
-//! | [`table`] | the shards of a service and who can search them |
-//! | [`plan`] | one version, one owner for each piece |
-//! | [`budget`] | how much extra work fallbacks may cause |
-//! | [`track`] | the life of one query, events in and actions out |
-//! | [`merge`] | the best matches, each document once |
-//! | [`window`] | how much of a caller's load is let in at once |
-//! | [`cover`] | what the answer covers and what it does not |
+//! | [`load`] | queries in flight, in total and for each caller |
+//! | [`admit`] | admission control, before anything is sent |
+//! | [`table`] | the shards of a service and the owners of their replicas |
+//! | [`plan`] | selects the index version and an owner for each piece |
+//! | [`budget`] | retry budget for fallbacks and hedged requests |
+//! | [`track`] | state machine of one query: events in, actions out |
+//! | [`merge`] | merges and deduplicates matches |
+//! | [`window`] | adaptive concurrency window of each caller |
+//! | [`cover`] | coverage of an answer, with reasons for missing ranges |
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms)]
 
--- a/crates/hawthorn-plan/src/merge.rs
+++ b/crates/hawthorn-plan/src/merge.rs
@@ -1,11 +1,11 @@
-//! The best matches of all parts, each document once.
+//! Merges the matches of all parts, without duplicates.
 
 use std::cmp::Ordering;
 use std::collections::HashSet;
 
 use hawthorn_types::target::DocumentMatch;
 
-/// Matches and totals gathered from the parts of one version.
+/// Matches and totals collected from parts that were searched at one version.
 #[derive(Clone, Debug, Default)]
 pub struct MergedMatches {
     matches: Vec<DocumentMatch>,
@@ -13,21 +13,21 @@
 }
 
 impl MergedMatches {
-    /// Adds one part: how many documents matched in it, and the best of them.
+    /// Adds one part: the number of documents that matched, and the best of them.
     ///
-    /// Parts of disjoint ranges may be added up; that they are disjoint is
-    /// the promise of [`crate::plan`] and [`crate::track`].
-    pub fn absorb(&mut self, total: u64, matches: Vec<DocumentMatch>) {
+    /// Totals are summed, which requires disjoint ranges; [`crate::plan`] and
+    /// [`crate::track`] guarantee that.
+    pub fn add_part(&mut self, total: u64, matches: Vec<DocumentMatch>) {
         self.total = self.total.saturating_add(total);
         self.matches.extend(matches);
     }
 
-    /// How many documents matched in all parts.
+    /// Number of documents that matched in all parts.
     pub fn total(&self) -> u64 {
         self.total
     }
 
-    /// Forgets everything.
+    /// Removes all matches and resets the total.
     pub fn clear(&mut self) {
         self.matches.clear();
         self.total = 0;
@@ -35,21 +35,22 @@
 
     /// The total, and the best `limit` matches in descending order of score.
     ///
-    /// Failure: a document found by two parts, because a target searched a
-    /// key twice while it moved, shows as a doubled order. It counts once: by
-    /// its id, the better score kept, and the total lowered by the copies seen.
+    /// Failure: two parts return the same document, because its key was searched
+    /// twice while it moved between targets; callers would see it twice. Documents
+    /// are deduplicated by id, the higher score is kept, and the total is reduced
+    /// by the duplicates found.
     pub fn finish(mut self, limit: usize) -> (u64, Vec<DocumentMatch>) {
         self.matches.sort_by(by_rank);
         let mut seen = HashSet::with_capacity(self.matches.len());
         let found = self.matches.len();
         self.matches.retain(|document| seen.insert(document.id.clone()));
-        let copies = (found - self.matches.len()) as u64;
+        let duplicates = (found - self.matches.len()) as u64;
         self.matches.truncate(limit);
-        (self.total.saturating_sub(copies), self.matches)
+        (self.total.saturating_sub(duplicates), self.matches)
     }
 }
 
-/// Better score first; equal scores by id, so that equal answers read equal.
+/// Higher scores first, equal scores by id, so that the order is deterministic.
 fn by_rank(left: &DocumentMatch, right: &DocumentMatch) -> Ordering {
     right.score.total_cmp(&left.score).then_with(|| left.id.cmp(&right.id))
 }
--- a/crates/hawthorn-plan/src/plan/missing.rs
+++ b/crates/hawthorn-plan/src/plan/missing.rs
@@ -1,4 +1,4 @@
-//! Why keys cannot be searched.
+//! Reasons for keys that cannot be searched.
 
 use hawthorn_types::KeyRange;
 use hawthorn_types::MissingRange;
@@ -12,7 +12,7 @@
 use crate::table::ReplicaOption;
 use crate::table::ShardRecord;
 
-/// Lists `range` as missing, split where the reason changes.
+/// Adds `range` to the missing ranges, split where the reason changes.
 pub(super) fn explain(input: &PlanInput<'_>, plan: &mut QueryPlan, range: KeyRange) {
     let mut rest = RangeSet::from(range);
     for shard in input.table.candidates(range) {
@@ -26,9 +26,9 @@
         }
         rest.remove(part);
     }
-    let nobody = rest.ranges().iter();
+    let unassigned = rest.ranges().iter();
     plan.missing
-        .extend(nobody.map(|&range| MissingRange { range, reason: MissingReason::NoReplica }));
+        .extend(unassigned.map(|&range| MissingRange { range, reason: MissingReason::NoReplica }));
     plan.missing.sort_by_key(|missing| missing.range);
 }
 
--- a/crates/hawthorn-plan/src/plan/mod.rs
+++ b/crates/hawthorn-plan/src/plan/mod.rs
@@ -1,7 +1,7 @@
-//! Plans a query: one index version, and one owner for each piece.
+//! Plans a query: selects the index version and an owner for each piece.
 //!
-//! Pieces are disjoint by construction, so totals may be added up; a key that
-//! no one can search at the version is listed as missing with its reason.
+//! Pieces are disjoint by construction, so their totals can be summed. Keys that
+//! no owner can search at the version are listed as missing with a reason.
 
 mod missing;
 mod version;
@@ -25,14 +25,14 @@
 use crate::table::ShardRecord;
 use crate::table::ShardTable;
 
-/// How a zone is chosen.
+/// Parameters of zone selection.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// What a piece in another zone costs beyond the wait there: the round
+    /// Cost of a piece in another zone in addition to the wait there: the round
     /// trip between zones.
     pub cross_zone_cost: Duration,
-    /// How much better another zone must look before work is sent there.
-    /// Reports lag by about a heartbeat; smaller differences are noise.
+    /// Minimum advantage of another zone before pieces are sent there. Wait
+    /// reports lag by about one heartbeat; smaller differences are noise.
     pub shift_margin: Duration,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// An owner that has already failed to search a shard for this query.
+/// An owner that was already asked to search a shard for this query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TriedOwner {
     /// The shard.
@@ -51,55 +51,55 @@
     pub host: HostKey,
 }
 
-/// What an owner said a shard holds now, newer than the table.
+/// Versions that an owner reported for a shard, more recent than the table.
 #[derive(Clone, Debug)]
-pub struct LearnedVersions {
+pub struct ReportedVersions {
     /// The shard.
     pub shard: ShardKey,
     /// The owner.
     pub host: HostKey,
-    /// All versions that its targets hold.
+    /// All versions held by its targets.
     pub versions: SmallVec<[IndexVersion; 2]>,
 }
 
 /// Which versions a plan may choose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum VersionChoice {
-    /// The newest of those that cover most.
+    /// The newest of the versions with the highest coverage.
     #[default]
     Any,
-    /// As `Any`, of those newer than this.
+    /// As `Any`, among versions newer than this one.
     NewerThan(IndexVersion),
-    /// This one.
+    /// Exactly this version.
     Exactly(IndexVersion),
 }
 
-/// What a plan is made from.
+/// Input of a plan.
 #[derive(Clone, Copy, Debug)]
 pub struct PlanInput<'a> {
     /// The shards of the service.
     pub table: &'a ShardTable,
-    /// The keys asked for.
+    /// The keys to search.
     pub range: KeyRange,
     /// The zone of this front.
     pub local_zone: ZoneKey,
-    /// How long the caller still waits.
+    /// Time left until the deadline.
     pub remaining: Duration,
     /// Which versions may be chosen.
     pub version: VersionChoice,
     /// Owners that cannot be reached.
     pub lost: &'a [HostKey],
-    /// Owners that have failed with a shard.
+    /// Owners that were already asked for a shard.
     pub tried: &'a [TriedOwner],
-    /// What owners said of versions since the table was made, ascending by
-    /// shard and host.
-    pub learned: &'a [LearnedVersions],
-    /// Any random number; spreads work that shifts between zones.
+    /// Versions reported by owners since the table was built, ordered by shard
+    /// and host.
+    pub reported: &'a [ReportedVersions],
+    /// A random number; selects the shards that shift to another zone.
     pub random: u64,
 }
 
 impl<'a> PlanInput<'a> {
-    /// A first plan for `range`, with nothing tried and nothing learned.
+    /// Input of the first plan for `range`, without failed attempts or reported versions.
     pub fn first(
         table: &'a ShardTable,
         range: KeyRange,
@@ -114,52 +114,52 @@
             version: VersionChoice::Any,
             lost: &[],
             tried: &[],
-            learned: &[],
+            reported: &[],
             random: 0,
         }
     }
 }
 
-/// A part of the query for one shard.
+/// The part of a query that one shard is to search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedPiece {
     /// The shard.
     pub shard: ShardKey,
-    /// The zone whose replicas are to search it.
+    /// The zone whose replicas search it.
     pub zone: ZoneKey,
     /// The keys to search.
     pub range: KeyRange,
 }
 
-/// Everything that goes to one owner in one message.
+/// All pieces of a query for one owner, sent in one message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnerBatch {
     /// The owner.
     pub host: HostKey,
-    /// The pieces, ascending by range.
+    /// The pieces, ordered by range.
     pub pieces: Vec<PlannedPiece>,
 }
 
-/// A plan; kept and filled again by [`plan_into`] it stops allocating.
+/// A plan. Reuse it with [`plan_into`] to avoid allocations.
 #[derive(Clone, Debug, Default)]
 pub struct QueryPlan {
-    /// The one version; `None` when nothing can be searched.
+    /// The index version of all pieces; `None` when nothing can be searched.
     pub version: Option<IndexVersion>,
     /// One batch for each owner.
     pub batches: SmallVec<[OwnerBatch; 8]>,
-    /// What cannot be searched at the version, ascending.
+    /// Ranges that cannot be searched at the version, ascending.
     pub missing: Vec<MissingRange>,
-    spare: Vec<Vec<PlannedPiece>>,
+    free_buffers: Vec<Vec<PlannedPiece>>,
     tally: SmallVec<[VersionTally; 4]>,
 }
 
 impl QueryPlan {
-    /// How many pieces are to be sent.
+    /// Number of pieces.
     pub fn piece_count(&self) -> usize {
         self.batches.iter().map(|batch| batch.pieces.len()).sum()
     }
 
-    /// How many keys are to be searched.
+    /// Number of keys to search.
     pub fn planned_keys(&self) -> u64 {
         let pieces = self.batches.iter().flat_map(|batch| &batch.pieces);
         pieces.map(|piece| u64::from(piece.range.len())).sum()
@@ -169,7 +169,7 @@
         for batch in self.batches.drain(..) {
             let mut pieces = batch.pieces;
             pieces.clear();
-            self.spare.push(pieces);
+            self.free_buffers.push(pieces);
         }
         self.version = None;
         self.missing.clear();
@@ -181,34 +181,34 @@
             batch.pieces.push(piece);
             return;
         }
-        let mut pieces = self.spare.pop().unwrap_or_default();
+        let mut pieces = self.free_buffers.pop().unwrap_or_default();
         pieces.push(piece);
         self.batches.push(OwnerBatch { host, pieces });
     }
 }
 
-/// Plans into a new [`QueryPlan`].
+/// Creates a plan.
 pub fn plan(input: &PlanInput<'_>, options: &Options) -> QueryPlan {
     let mut plan = QueryPlan::default();
     plan_into(input, &mut plan, options);
     plan
 }
 
-/// Plans into `plan`, whose buffers are used again.
+/// Creates a plan in `plan`, reusing its buffers.
 pub fn plan_into(input: &PlanInput<'_>, plan: &mut QueryPlan, options: &Options) {
     plan.reset();
     plan.version = choose_version(input, &mut plan.tally);
     let mut cursor = input.range.start;
     if let Some(version) = plan.version {
         for shard in input.table.candidates(input.range) {
-            cursor = place_shard(input, plan, shard, version, cursor, options);
+            cursor = assign_shard(input, plan, shard, version, cursor, options);
         }
     }
-    fill_gap(input, plan, KeyRange::new(cursor, input.range.end), options);
+    assign_gap(input, plan, KeyRange::new(cursor, input.range.end), options);
 }
 
-/// Places what `shard` adds beyond `cursor`, and returns the new cursor.
-fn place_shard(
+/// Assigns the keys of `shard` from `cursor` on, and returns the new cursor.
+fn assign_shard(
     input: &PlanInput<'_>,
     plan: &mut QueryPlan,
     shard: &ShardRecord,
@@ -217,27 +217,28 @@
     options: &Options,
 ) -> u32 {
     let mut cursor = cursor;
-    let window = shard.range.intersect(KeyRange::new(cursor, input.range.end));
-    if window.is_empty() {
+    let uncovered = shard.range.intersect(KeyRange::new(cursor, input.range.end));
+    if uncovered.is_empty() {
         return cursor;
     }
     let Some(option) = choose_option(input, shard, version, options) else {
         return cursor;
     };
     for held in shard.held.ranges() {
-        let range = held.intersect(window);
+        let range = held.intersect(uncovered);
         if range.is_empty() {
             continue;
         }
-        fill_gap(input, plan, KeyRange::new(cursor, range.start), options);
+        assign_gap(input, plan, KeyRange::new(cursor, range.start), options);
         plan.push(option.owner, PlannedPiece { shard: shard.shard, zone: option.zone, range });
         cursor = range.end;
     }
     cursor
 }
 
-/// Places keys of `gap` that shards hold beyond their nominal range, and lists the rest.
-fn fill_gap(input: &PlanInput<'_>, plan: &mut QueryPlan, gap: KeyRange, options: &Options) {
+/// Assigns keys of `gap` to shards that hold them outside their nominal range; the
+/// others are missing.
+fn assign_gap(input: &PlanInput<'_>, plan: &mut QueryPlan, gap: KeyRange, options: &Options) {
     if gap.is_empty() {
         return;
     }
--- a/crates/hawthorn-plan/src/plan/version.rs
+++ b/crates/hawthorn-plan/src/plan/version.rs
@@ -1,4 +1,4 @@
-//! Which version a plan searches, and who holds it.
+//! Selection of the index version, and the owners that hold it.
 
 use hawthorn_types::IndexVersion;
 use smallvec::SmallVec;
@@ -9,19 +9,20 @@
 use crate::table::ReplicaOption;
 use crate::table::ShardRecord;
 
-/// How many keys a version covers.
+/// Number of keys that a version covers.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct VersionTally {
     version: IndexVersion,
     keys: u64,
-    counted: u32,
+    /// Ordinal of the last shard counted, so that its replicas count once.
+    last_shard: u32,
 }
 
-/// Chooses the one version: the newest of those that cover most keys.
+/// Chooses the newest of the versions that cover the most keys.
 ///
-/// Load: an index version being published reaches targets over seconds. The
-/// newest alone would answer from a handful of shards; mixing would break the
-/// one snapshot. Coverage decides first, age second.
+/// A newly published index version takes seconds to reach all targets. Always
+/// choosing the newest would answer from few shards, and mixing versions would
+/// break the snapshot. Coverage therefore takes precedence over age.
 pub(super) fn choose_version(
     input: &PlanInput<'_>,
     tally: &mut SmallVec<[VersionTally; 4]>,
@@ -29,14 +30,14 @@
     if let VersionChoice::Exactly(version) = input.version {
         return Some(version);
     }
-    for (number, shard) in (1..).zip(input.table.candidates(input.range)) {
+    for (ordinal, shard) in (1..).zip(input.table.candidates(input.range)) {
         let keys = u64::from(shard.range.intersect(input.range).len());
         if keys == 0 {
             continue;
         }
         for option in usable(input, shard) {
             for &version in versions(input, shard, option) {
-                count(tally, version, keys, number);
+                count(tally, version, keys, ordinal);
             }
         }
     }
@@ -44,26 +45,27 @@
     allowed.max_by_key(|entry| (entry.keys, entry.version)).map(|entry| entry.version)
 }
 
-/// Counts `keys` for `version`, once for each shard `number`.
-fn count(tally: &mut SmallVec<[VersionTally; 4]>, version: IndexVersion, keys: u64, number: u32) {
+/// Adds `keys` to the tally of `version`, once for each shard `ordinal`.
+fn count(tally: &mut SmallVec<[VersionTally; 4]>, version: IndexVersion, keys: u64, ordinal: u32) {
     match tally.iter_mut().find(|entry| entry.version == version) {
-        Some(entry) if entry.counted == number => {}
+        Some(entry) if entry.last_shard == ordinal => {}
         Some(entry) => {
             entry.keys += keys;
-            entry.counted = number;
+            entry.last_shard = ordinal;
         }
-        None => tally.push(VersionTally { version, keys, counted: number }),
+        None => tally.push(VersionTally { version, keys, last_shard: ordinal }),
     }
 }
 
 fn is_allowed(choice: VersionChoice, version: IndexVersion) -> bool {
     match choice {
         VersionChoice::Any => true,
-        VersionChoice::NewerThan(least) => version > least,
+        VersionChoice::NewerThan(bound) => version > bound,
         VersionChoice::Exactly(exact) => version == exact,
     }
 }
 
+/// The options of `shard` whose owners are reachable and not yet tried.
 pub(super) fn usable<'a>(
     input: &'a PlanInput<'_>,
     shard: &'a ShardRecord,
@@ -74,13 +76,14 @@
     })
 }
 
-/// What the owner said last, or else what the table says.
+/// The versions last reported by the owner, or else those in the table.
 pub(super) fn versions<'a>(
     input: &'a PlanInput<'_>,
     shard: &ShardRecord,
     option: &'a ReplicaOption,
 ) -> &'a [IndexVersion] {
     let owner = (shard.shard, option.owner);
-    let said = input.learned.binary_search_by_key(&owner, |learned| (learned.shard, learned.host));
-    said.map_or(&option.versions, |index| &input.learned[index].versions)
+    let position =
+        input.reported.binary_search_by_key(&owner, |reported| (reported.shard, reported.host));
+    position.map_or(&option.versions, |index| &input.reported[index].versions)
 }
--- a/crates/hawthorn-plan/src/table.rs
+++ b/crates/hawthorn-plan/src/table.rs
@@ -1,4 +1,4 @@
-//! The shards of a service, and for each zone who can search them.
+//! The shards of a service, and the owner of their replicas in each zone.
 
 use std::time::Duration;
 
@@ -10,35 +10,35 @@
 use hawthorn_types::ZoneKey;
 use smallvec::SmallVec;
 
-/// One way to search a shard: the owner of its replicas in one zone.
+/// The replicas of a shard in one zone, with the host that owns them.
 #[derive(Clone, Debug)]
 pub struct ReplicaOption {
     /// The zone of the replicas.
     pub zone: ZoneKey,
     /// The host that owns them.
     pub owner: HostKey,
-    /// Versions that at least one usable replica holds; empty when none is usable.
+    /// Versions held by at least one usable replica; empty when no replica is usable.
     pub versions: SmallVec<[IndexVersion; 2]>,
-    /// How long a new piece would wait at the owner, as it reports.
+    /// The queue wait of a new piece, as reported by the owner.
     pub expected_wait: Duration,
 }
 
-/// One shard as the front knows it now.
+/// The front's current view of one shard.
 #[derive(Clone, Debug)]
 pub struct ShardRecord {
     /// The shard.
     pub shard: ShardKey,
-    /// The keys it nominally holds.
+    /// Its nominal range: the keys assigned to it in the inventory.
     pub range: KeyRange,
-    /// The keys its targets report as held. Differs from `range` from a
-    /// repartition of the index until the inventory follows.
+    /// The keys its targets report as held. Differs from `range` between a
+    /// repartition of the index and the update of the inventory.
     pub held: RangeSet,
-    /// One option for each zone that has a live owner for it.
+    /// One option for each zone with a live owner.
     pub options: SmallVec<[ReplicaOption; 3]>,
 }
 
 impl ShardRecord {
-    /// A shard that holds what it nominally does.
+    /// A shard that holds exactly its nominal range.
     pub fn new(
         shard: ShardKey,
         range: KeyRange,
@@ -48,21 +48,21 @@
     }
 }
 
-/// The shards of one service in ascending order of their ranges.
+/// The shards of one service, ordered by range.
 #[derive(Clone, Debug, Default)]
 pub struct ShardTable {
     shards: Vec<ShardRecord>,
     moved: Vec<usize>,
-    widest: u32,
+    max_range_len: u32,
 }
 
 impl ShardTable {
-    /// Orders `shards` by range.
+    /// Creates a table, ordering `shards` by range.
     pub fn new(mut shards: Vec<ShardRecord>) -> Self {
         shards.sort_by_key(|shard| (shard.range.start, shard.range.end));
-        let moved = (0..shards.len()).filter(|&index| holds_beyond(&shards[index]));
-        let widest = shards.iter().map(|shard| shard.range.len()).max().unwrap_or(0);
-        Self { moved: moved.collect(), widest, shards }
+        let moved = (0..shards.len()).filter(|&index| holds_outside_range(&shards[index]));
+        let max_range_len = shards.iter().map(|shard| shard.range.len()).max().unwrap_or(0);
+        Self { moved: moved.collect(), max_range_len, shards }
     }
 
     /// The shards, ascending by range.
@@ -70,17 +70,17 @@
         &self.shards
     }
 
-    /// The shards whose nominal ranges may meet `range`, ascending.
+    /// The shards whose nominal ranges may overlap `range`, ascending.
     pub fn candidates(&self, range: KeyRange) -> &[ShardRecord] {
         let ends_before = |shard: &ShardRecord| {
-            u64::from(shard.range.start) + u64::from(self.widest) <= u64::from(range.start)
+            u64::from(shard.range.start) + u64::from(self.max_range_len) <= u64::from(range.start)
         };
         let from = self.shards.partition_point(ends_before);
         let to = self.shards.partition_point(|shard| shard.range.start < range.end);
         &self.shards[from.min(to)..to]
     }
 
-    /// The options of every shard, for refreshing versions and waits in place.
+    /// The options of every shard, to update versions and waits in place.
     pub fn options_mut(&mut self) -> impl Iterator<Item = (ShardKey, &mut ReplicaOption)> {
         self.shards.iter_mut().flat_map(|record| {
             let shard = record.shard;
@@ -94,6 +94,6 @@
     }
 }
 
-fn holds_beyond(shard: &ShardRecord) -> bool {
+fn holds_outside_range(shard: &ShardRecord) -> bool {
     shard.held.ranges().iter().any(|held| held.intersect(shard.range) != *held)
 }
--- a/crates/hawthorn-plan/src/track/wire.rs
+++ b/crates/hawthorn-plan/src/track/action.rs
@@ -1,4 +1,4 @@
-//! What a track tells the daemon to do, and what comes back.
+//! Actions that a track requests from the daemon, and the results that return.
 
 use std::time::Duration;
 
@@ -14,22 +14,22 @@
 use hawthorn_types::target::DocumentMatch;
 use strum::EnumCount;
 
-/// A batch of one query; echoed by the owner.
+/// Identifies a batch within its query; echoed by the owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BatchId(pub u32);
 
-/// A piece of one query; echoed by the owner.
+/// Identifies a piece within its query; echoed by the owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PieceId(pub u32);
 
-/// One piece as sent.
+/// One attempt of a piece.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PieceSend {
     /// The piece.
     pub piece: PieceId,
-    /// The shard, in the table given to this step.
+    /// The shard, a key of the table passed to this step.
     pub shard: ShardKey,
-    /// The zone whose replicas are to search it.
+    /// The zone whose replicas search it.
     pub zone: ZoneKey,
     /// The keys to search.
     pub range: KeyRange,
@@ -48,67 +48,67 @@
     pub pieces: Vec<PieceSend>,
 }
 
-/// What the daemon is to do.
+/// An action for the daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a batch.
     Send(BatchSend),
-    /// Tell the owner that the batch is no longer wanted.
+    /// Cancel a batch at its owner.
     Cancel {
         /// The batch.
         batch: BatchId,
         /// Its owner.
         host: HostKey,
     },
-    /// Give [`super::Event::Timer`] at this moment; replaces the earlier moment.
+    /// Send [`super::Event::Timer`] at this time; replaces the previous timer.
     Wake(Duration),
 }
 
-/// What became of a piece at its owner.
+/// The outcome of a piece at its owner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PieceOutcome {
-    /// A target searched.
+    /// A target searched the piece.
     Answered {
         /// The version searched.
         version: IndexVersion,
-        /// The keys searched, within those asked.
+        /// The keys searched, a subset of the requested ones.
         searched: RangeSet,
-        /// How many documents matched there.
+        /// Number of documents that matched in these keys.
         total: u64,
-        /// The best of them.
+        /// The best matches.
         matches: Vec<DocumentMatch>,
     },
-    /// No target searched.
+    /// No target searched the piece.
     Missing(MissingReason),
     /// The targets no longer hold the version.
     VersionRetired {
-        /// The versions they hold now.
+        /// The versions that they hold now.
         versions: Vec<IndexVersion>,
     },
 }
 
-/// A piece as answered.
+/// An owner's answer for one piece.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PieceAnswer {
-    /// The piece, as echoed.
+    /// The piece id, as echoed by the owner.
     pub piece: PieceId,
-    /// What became of it.
+    /// The outcome.
     pub outcome: PieceOutcome,
 }
 
-/// What one query cost and what it threw away.
+/// Attempts, retries and discarded answers of one query.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct TrackCounts {
-    /// Pieces sent, all attempts.
+    /// Pieces sent, including retries.
     pub pieces_sent: u32,
-    /// Times the whole query was planned anew.
+    /// How often the query was replanned.
     pub replans: u32,
-    /// Answered pieces that came after they were settled or given up.
+    /// Answers for pieces that were already settled or given up.
     pub late: u32,
-    /// Answered pieces that belonged to no batch of the query.
+    /// Answers that match no batch or piece of the query.
     pub crossed: u32,
-    /// Answered pieces that were at another version, outside the range asked
-    /// or absent from the owner's answer.
+    /// Invalid answers: at another version, outside the requested range, or missing
+    /// from the owner's answer.
     pub bad: u32,
     retries: [u32; RetryReason::COUNT],
 }
@@ -119,22 +119,22 @@
         self.retries[reason as usize]
     }
 
-    pub(super) fn retry(&mut self, reason: RetryReason) {
+    pub(super) fn count_retry(&mut self, reason: RetryReason) {
         self.retries[reason as usize] += 1;
     }
 }
 
-/// The whole answer to a query.
+/// The answer to a query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FinishedQuery {
-    /// The one version of every match; `None` when nothing could be searched.
+    /// The index version of all matches; `None` when nothing could be searched.
     pub version: Option<IndexVersion>,
     /// What the answer covers.
     pub coverage: AnswerCoverage,
-    /// How many documents matched in the ranges covered.
+    /// Number of documents that matched in the ranges covered.
     pub total: u64,
     /// The best matches, descending by score.
     pub matches: Vec<DocumentMatch>,
-    /// What it cost.
+    /// Attempts, retries and discarded answers.
     pub counts: TrackCounts,
 }
--- a/crates/hawthorn-plan/src/track/answer.rs
+++ b/crates/hawthorn-plan/src/track/answer.rs
@@ -1,4 +1,4 @@
-//! What owners answer: checked, then kept or recovered from.
+//! Handling of owners' answers: validation, then acceptance or recovery.
 
 use std::mem;
 
@@ -11,17 +11,18 @@
 
 use super::RepartitionPolicy;
 use super::TrackContext;
+use super::action::BatchId;
+use super::action::PieceAnswer;
+use super::action::PieceId;
+use super::action::PieceOutcome;
 use super::state::QueryTrack;
-use super::wire::BatchId;
-use super::wire::PieceAnswer;
-use super::wire::PieceId;
-use super::wire::PieceOutcome;
-use crate::plan::LearnedVersions;
+use crate::plan::ReportedVersions;
 
-/// A part of the query as large as one zone's owner may have of it, as a divisor.
-const MUCH_DIVISOR: usize = 3;
+/// Share of the query's pieces, as a divisor, from which retired pieces cause a replan:
+/// the share that one owner has when the pieces are spread over three zones.
+const RETIRED_SHARE_DIVISOR: usize = 3;
 
-/// One target's part of the answer.
+/// The part of the answer that one target searched.
 struct SearchedPart {
     version: IndexVersion,
     searched: RangeSet,
@@ -30,13 +31,13 @@
 }
 
 impl QueryTrack {
-    /// Takes in the answer to a batch.
+    /// Handles the answer to a batch.
     ///
-    /// Failure: an answer meant for another batch, or one that comes after its
-    /// batch was given up, shows as foreign or doubled matches. Only an open
-    /// batch of the same owner takes answers, each of its pieces once; all
-    /// others are dropped and counted.
-    pub(super) fn take_answer(
+    /// Failure: an answer to another batch, or one that arrives after its batch was
+    /// given up, would add foreign or duplicate matches. Answers are therefore
+    /// accepted only for an open batch of the same owner and once for each of its
+    /// pieces; others are dropped and counted.
+    pub(super) fn handle_answer(
         &mut self,
         batch: BatchId,
         host: HostKey,
@@ -44,8 +45,8 @@
         context: &mut TrackContext<'_>,
     ) {
         let dropped = u32::try_from(answers.len()).unwrap_or(u32::MAX);
-        let known = self.batches.get_mut(batch.0 as usize).filter(|known| known.host == host);
-        let Some(record) = known else {
+        let matching = self.batches.get_mut(batch.0 as usize).filter(|record| record.host == host);
+        let Some(record) = matching else {
             self.counts.crossed += dropped;
             return;
         };
@@ -53,70 +54,70 @@
             self.counts.late += dropped;
             return;
         }
-        let listed = record.pieces.clone();
-        if self.replan_if_much_retired(&listed, host, &answers, context) {
+        let piece_ids = record.pieces.clone();
+        if self.replan_if_widely_retired(&piece_ids, host, &answers, context) {
             return;
         }
-        let mut answered = vec![false; listed.len()];
+        let mut answered = vec![false; piece_ids.len()];
         for answer in answers {
-            match listed.binary_search(&answer.piece) {
+            match piece_ids.binary_search(&answer.piece) {
                 Ok(index) if !mem::replace(&mut answered[index], true) => {
-                    self.take_piece(answer.piece, host, answer.outcome, context);
+                    self.handle_piece(answer.piece, host, answer.outcome, context);
                 }
                 _ => self.counts.crossed += 1,
             }
         }
-        for (id, _) in listed.iter().zip(&answered).filter(|(_, answered)| !**answered) {
+        for (id, _) in piece_ids.iter().zip(&answered).filter(|(_, answered)| !**answered) {
             self.counts.bad += 1;
             self.close_attempt(*id);
-            self.fail(*id, MissingReason::BadAnswer, context);
+            self.handle_failure(*id, MissingReason::BadAnswer, context);
         }
     }
 
-    /// Plans anew at once when an owner has dropped the version of much of the query.
+    /// Replans immediately when an owner has retired the version of a large share of
+    /// the query.
     ///
-    /// Load: a version is dropped everywhere within moments. To ask another
-    /// zone for the old version, piece by piece, would cost as much as planning
-    /// anew, and most likely find it dropped there as well. Where few pieces
-    /// are retired, or the newer version would cover less, the other zone is
-    /// asked first.
-    fn replan_if_much_retired(
+    /// A version is retired on all targets at about the same time. Asking another
+    /// zone for the old version piece by piece would cost as much as a replan, and
+    /// would most likely find it retired there, too. The other zone is asked first
+    /// when few pieces are affected or the newer version would cover less.
+    fn replan_if_widely_retired(
         &mut self,
-        listed: &[PieceId],
+        piece_ids: &[PieceId],
         host: HostKey,
         answers: &[PieceAnswer],
         context: &mut TrackContext<'_>,
     ) -> bool {
         let mut retired = 0;
         for answer in answers {
-            let is_listed = listed.binary_search(&answer.piece).is_ok();
+            let is_listed = piece_ids.binary_search(&answer.piece).is_ok();
             if let (true, PieceOutcome::VersionRetired { versions }) = (is_listed, &answer.outcome)
             {
                 retired += 1;
-                self.learn(answer.piece, host, versions);
+                self.record_versions(answer.piece, host, versions);
             }
         }
-        let much = retired * MUCH_DIVISOR >= self.waiting + self.kept;
-        much && self.replan(0, context)
+        let is_widely_retired = retired * RETIRED_SHARE_DIVISOR >= self.unsettled + self.kept;
+        is_widely_retired && self.replan(0, context)
     }
 
-    /// Closes the batches of an owner that cannot be reached.
-    pub(super) fn lose_owner(&mut self, host: HostKey, context: &mut TrackContext<'_>) {
+    /// Closes the batches of an unreachable owner and fails their pieces.
+    pub(super) fn handle_owner_lost(&mut self, host: HostKey, context: &mut TrackContext<'_>) {
         if !self.lost.contains(&host) {
             self.lost.push(host);
         }
-        let mut orphans = Vec::new();
+        let mut pieces = Vec::new();
         for batch in self.batches.iter_mut().filter(|batch| batch.open && batch.host == host) {
             batch.open = false;
-            orphans.extend_from_slice(&batch.pieces);
+            pieces.extend_from_slice(&batch.pieces);
         }
-        for id in orphans {
+        for id in pieces {
             self.close_attempt(id);
-            self.fail(id, MissingReason::OwnerUnreachable, context);
+            self.handle_failure(id, MissingReason::OwnerUnreachable, context);
         }
     }
 
-    fn take_piece(
+    fn handle_piece(
         &mut self,
         id: PieceId,
         host: HostKey,
@@ -131,11 +132,11 @@
         match outcome {
             PieceOutcome::Answered { version, searched, total, matches } => {
                 let part = SearchedPart { version, searched, total, matches };
-                self.take_part(id, host, part, context);
+                self.accept_part(id, host, part, context);
             }
-            PieceOutcome::Missing(reason) => self.fail(id, reason, context),
+            PieceOutcome::Missing(reason) => self.handle_failure(id, reason, context),
             PieceOutcome::VersionRetired { .. } => {
-                self.fail(id, MissingReason::VersionMissing, context);
+                self.handle_failure(id, MissingReason::VersionMissing, context);
             }
         }
     }
@@ -145,7 +146,7 @@
         piece.open = piece.open.saturating_sub(1);
     }
 
-    fn take_part(
+    fn accept_part(
         &mut self,
         id: PieceId,
         host: HostKey,
@@ -153,53 +154,53 @@
         context: &mut TrackContext<'_>,
     ) {
         let range = self.pieces[id.0 as usize].range;
-        if !self.is_sound(range, &part) {
+        if !self.is_valid(range, &part) {
             self.counts.bad += 1;
-            self.fail(id, MissingReason::BadAnswer, context);
+            self.handle_failure(id, MissingReason::BadAnswer, context);
             return;
         }
-        let rest = RangeSet::from(range).difference(&part.searched);
+        let remainder = RangeSet::from(range).difference(&part.searched);
         self.settle(id);
-        if rest.is_empty() || self.options.repartition == RepartitionPolicy::SearchRest {
+        if remainder.is_empty() || self.options.repartition == RepartitionPolicy::SearchRemainder {
             self.kept += 1;
             self.searched.extend(&part.searched);
-            self.merged.absorb(part.total, part.matches);
-            self.search_again(id, host, &rest, context);
+            self.merged.add_part(part.total, part.matches);
+            self.search_again(id, host, &remainder, context);
         } else {
             self.search_again(id, host, &RangeSet::from(range), context);
         }
     }
 
-    /// Whether the part is of this version and within the keys asked.
+    /// Whether the part has the query's version and lies within the requested keys.
     ///
-    /// Failure: a target that switched its index while it searched, or one
-    /// that searched more than it was asked. The first shows as two snapshots
-    /// in one answer, the second as documents counted twice.
-    fn is_sound(&self, range: KeyRange, part: &SearchedPart) -> bool {
-        let beyond = part.searched.difference(&RangeSet::from(range));
+    /// Failure: a target switches its index version during a search, or searches
+    /// more than requested. The first would mix two snapshots in one answer, the
+    /// second would count documents twice.
+    fn is_valid(&self, range: KeyRange, part: &SearchedPart) -> bool {
+        let outside = part.searched.difference(&RangeSet::from(range));
         Some(part.version) == self.version
-            && beyond.is_empty()
+            && outside.is_empty()
             && part.total >= part.matches.len() as u64
             && part.matches.iter().all(|document| part.searched.contains(document.key))
     }
 
-    fn learn(&mut self, id: PieceId, host: HostKey, versions: &[IndexVersion]) {
-        // What retired may still be listed by a target that lags behind itself.
+    fn record_versions(&mut self, id: PieceId, host: HostKey, versions: &[IndexVersion]) {
+        // A target's list may be stale and still contain the retired version.
         let held =
             versions.iter().copied().filter(|version| Some(*version) != self.version).collect();
-        let shard = self.asked_shard(id, host);
-        let learned = LearnedVersions { shard, host, versions: held };
-        let place = self.learned.binary_search_by_key(&(shard, host), |it| (it.shard, it.host));
-        match place {
-            Ok(index) => self.learned[index] = learned,
-            Err(index) => self.learned.insert(index, learned),
+        let shard = self.requested_shard(id, host);
+        let reported = ReportedVersions { shard, host, versions: held };
+        let position = self.reported.binary_search_by_key(&(shard, host), |it| (it.shard, it.host));
+        match position {
+            Ok(index) => self.reported[index] = reported,
+            Err(index) => self.reported.insert(index, reported),
         }
     }
 
-    /// The shard as which `host` was asked for the piece.
-    fn asked_shard(&self, id: PieceId, host: HostKey) -> hawthorn_types::ShardKey {
+    /// The shard for which `host` was asked to search the piece.
+    fn requested_shard(&self, id: PieceId, host: HostKey) -> hawthorn_types::ShardKey {
         let piece = &self.pieces[id.0 as usize];
-        let asked = piece.tried.iter().rev().find(|tried| tried.host == host);
-        asked.map_or(piece.shard, |tried| tried.shard)
+        let last_request = piece.tried.iter().rev().find(|tried| tried.host == host);
+        last_request.map_or(piece.shard, |tried| tried.shard)
     }
 }
--- a/crates/hawthorn-plan/src/track/mod.rs
+++ b/crates/hawthorn-plan/src/track/mod.rs
@@ -1,15 +1,15 @@
-//! The life of one query in the front: events in, actions out.
+//! State machine of one query in the front: events in, actions out.
 //!
-//! [`start`] gives the first [`Step`], and [`QueryTrack::step`] takes the track
-//! by value and gives the next. [`Step::Finished`] holds no track, so that a
-//! query finishes exactly once by its type. The table may be a newer one at
-//! each step: pieces are matched by their id, never by the shard's key.
+//! [`start`] returns the first [`Step`]; [`QueryTrack::step`] consumes the track
+//! and returns the next. [`Step::Finished`] contains no track, so the type system
+//! ensures that a query finishes exactly once. The table may be replaced between
+//! steps: pieces are matched by their id, never by the shard's key.
 
+mod action;
 mod answer;
 mod piece;
 mod recover;
 mod state;
-mod wire;
 
 use std::time::Duration;
 
@@ -17,50 +17,50 @@
 use hawthorn_types::KeyRange;
 use hawthorn_types::ZoneKey;
 
+pub use self::action::Action;
+pub use self::action::BatchId;
+pub use self::action::BatchSend;
+pub use self::action::FinishedQuery;
+pub use self::action::PieceAnswer;
+pub use self::action::PieceId;
+pub use self::action::PieceOutcome;
+pub use self::action::PieceSend;
+pub use self::action::TrackCounts;
 pub use self::state::QueryTrack;
-pub use self::wire::Action;
-pub use self::wire::BatchId;
-pub use self::wire::BatchSend;
-pub use self::wire::FinishedQuery;
-pub use self::wire::PieceAnswer;
-pub use self::wire::PieceId;
-pub use self::wire::PieceOutcome;
-pub use self::wire::PieceSend;
-pub use self::wire::TrackCounts;
 use crate::budget::RetryBudget;
 use crate::plan;
 use crate::table::ShardTable;
 
-/// What to do when a target searched less than it was asked.
+/// What to do when a target searched only part of the requested range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum RepartitionPolicy {
-    /// Keep what was searched, and search only what is left.
+    /// Keep the part searched, and search only the remainder.
     #[default]
-    SearchRest,
-    /// Drop what was searched, and plan the whole piece anew.
-    WholePiece,
+    SearchRemainder,
+    /// Discard the part searched, and plan the piece again.
+    RetryPiece,
 }
 
 /// Limits of one query.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// How zones are chosen.
+    /// Parameters of zone selection.
     pub plan: plan::Options,
-    /// Attempts for one key, the first included. Two zones besides the own one
-    /// and one second search after a repartition is the most that helps.
+    /// Maximum attempts for one key, including the first. Allows for two other
+    /// zones and one more search after a repartition; further ones do not help.
     pub max_attempts: u32,
-    /// Times the whole query may be planned anew at a newer version. A second
-    /// publication within one deadline is an index that is being churned.
+    /// How often a query may be replanned at a newer version. A second publication
+    /// within one deadline means that index versions are published too often.
     pub max_replans: u32,
-    /// Time that must be left for planning the whole query anew.
+    /// Minimum time left for replanning the query.
     pub min_replan_time: Duration,
-    /// How long before the deadline the answer leaves, so that it arrives in
-    /// time: merging and the way to the caller.
+    /// How long before the deadline the answer is sent; covers merging and the
+    /// transfer to the caller.
     pub answer_reserve: Duration,
-    /// Part of the time left, as a divisor, after which a silent owner's
-    /// pieces are asked of another zone as well.
-    pub silence_divisor: u32,
-    /// What is done after a repartition.
+    /// Fraction of the time left, as a divisor, after which the pieces of an owner
+    /// that has not answered are hedged in another zone.
+    pub hedge_divisor: u32,
+    /// How to recover from a repartition.
     pub repartition: RepartitionPolicy,
 }
 
@@ -72,70 +72,70 @@
             max_replans: 1,
             min_replan_time: Duration::from_millis(8),
             answer_reserve: Duration::from_millis(2),
-            silence_divisor: 2,
+            hedge_divisor: 2,
             repartition: RepartitionPolicy::default(),
         }
     }
 }
 
-/// The query that is tracked.
+/// A query to track.
 #[derive(Clone, Copy, Debug)]
 pub struct TrackedQuery {
-    /// The keys asked for.
+    /// The keys to search.
     pub range: KeyRange,
-    /// At most so many matches.
+    /// Maximum number of matches.
     pub limit: usize,
-    /// When the caller stops waiting.
+    /// When the caller stops waiting for the answer.
     pub deadline: Duration,
-    /// Any random number, fixed for the query.
+    /// A random number, fixed for the query; see [`plan::PlanInput::random`].
     pub random: u64,
 }
 
-/// What the front knows at the moment of a step.
+/// State of the front at a step.
 #[derive(Debug)]
 pub struct TrackContext<'a> {
-    /// Now.
+    /// The current time.
     pub now: Duration,
-    /// The shards of the service as known now.
+    /// The current shards of the service.
     pub table: &'a ShardTable,
     /// The zone of this front.
     pub local_zone: ZoneKey,
-    /// Extra pieces that may be sent, shared with the other queries.
+    /// Budget of extra pieces, shared by all queries of the front.
     pub budget: &'a mut RetryBudget,
 }
 
-/// What happened.
+/// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An owner answered a batch.
     BatchAnswered {
-        /// The batch, as echoed.
+        /// The batch id, as echoed by the owner.
         batch: BatchId,
-        /// Who answered.
+        /// The owner that answered.
         host: HostKey,
         /// The outcome of every piece.
         pieces: Vec<PieceAnswer>,
     },
     /// An owner cannot be reached: its connection broke or its heartbeats ended.
     OwnerLost(HostKey),
-    /// The moment of the last [`Action::Wake`] has come.
+    /// The time of the last [`Action::Wake`] was reached.
     Timer,
-    /// The caller went away or the host must stop now; answer with what there is.
+    /// The caller disconnected or the host shuts down: finish with what was searched so far.
     Stop,
 }
 
-/// What follows.
+/// Result of a step.
 #[derive(Debug)]
 pub enum Step {
-    /// The query goes on.
+    /// The query continues.
     Waiting(Box<QueryTrack>, Vec<Action>),
-    /// The query is over; the batches still open are to be cancelled.
+    /// The query is finished; the actions cancel batches that are still open.
     Finished(Box<FinishedQuery>, Vec<Action>),
 }
 
-/// Plans the query and gives the first step.
+/// Plans a query and returns its first step.
 ///
-/// When nothing can be searched the query is over at once, with its coverage.
+/// The query finishes immediately when nothing can be searched.
 pub fn start(query: TrackedQuery, context: &mut TrackContext<'_>, options: Options) -> Step {
     QueryTrack::new(query, options).begin(context)
 }
--- a/crates/hawthorn-plan/src/track/piece.rs
+++ b/crates/hawthorn-plan/src/track/piece.rs
@@ -1,4 +1,4 @@
-//! Records of the pieces and batches of one query.
+//! Pieces and batches of one query.
 
 use std::time::Duration;
 
@@ -7,22 +7,22 @@
 use hawthorn_types::ShardKey;
 use smallvec::SmallVec;
 
-use super::wire::PieceId;
+use super::action::PieceId;
 use crate::plan::TriedOwner;
 
-/// Owners that were tried with one piece.
+/// Owners that were asked for one piece.
 pub(super) type TriedOwners = SmallVec<[TriedOwner; 4]>;
 
-/// One piece, over all its attempts.
+/// One piece, across all its attempts.
 #[derive(Clone, Debug)]
 pub(super) struct PieceRecord {
     pub(super) shard: ShardKey,
     pub(super) range: KeyRange,
-    /// Owners that were asked, the present one included.
+    /// Owners that were asked, including the current one.
     pub(super) tried: TriedOwners,
-    /// Attempts made for these keys, those of the pieces it came from included.
+    /// Attempts for these keys, including those of the pieces it was split from.
     pub(super) attempts: u32,
-    /// Attempts not yet answered.
+    /// Attempts without an answer yet.
     pub(super) open: u32,
     /// Answered, given up, or replaced by other pieces.
     pub(super) settled: bool,
@@ -32,11 +32,11 @@
 #[derive(Clone, Debug)]
 pub(super) struct BatchRecord {
     pub(super) host: HostKey,
-    /// Ascending.
+    /// In ascending order.
     pub(super) pieces: Vec<PieceId>,
     pub(super) sent_at: Duration,
     /// Neither answered nor given up.
     pub(super) open: bool,
-    /// Its pieces were asked of another zone as well.
+    /// Its pieces were hedged in another zone.
     pub(super) hedged: bool,
 }
--- a/crates/hawthorn-plan/src/track/recover.rs
+++ b/crates/hawthorn-plan/src/track/recover.rs
@@ -1,4 +1,4 @@
-//! What is done for a piece that failed, and for a version that retired.
+//! Recovery from failed pieces and retired versions.
 
 use hawthorn_types::HostKey;
 use hawthorn_types::KeyRange;
@@ -8,9 +8,9 @@
 
 use super::RepartitionPolicy;
 use super::TrackContext;
+use super::action::PieceId;
 use super::piece::TriedOwners;
 use super::state::QueryTrack;
-use super::wire::PieceId;
 use crate::plan::OwnerBatch;
 use crate::plan::PlannedPiece;
 use crate::plan::QueryPlan;
@@ -18,8 +18,8 @@
 use crate::plan::VersionChoice;
 
 impl QueryTrack {
-    /// A piece failed at an owner: falls back to another one, or gives it up.
-    pub(super) fn fail(
+    /// Falls back to another owner after a piece failed, or marks it as missing.
+    pub(super) fn handle_failure(
         &mut self,
         id: PieceId,
         reason: MissingReason,
@@ -31,22 +31,22 @@
         }
         let range = piece.range;
         self.retired |= reason == MissingReason::VersionMissing;
-        let fallback = match retry_for(reason) {
+        let fallback = match retry_reason(reason) {
             Some(retry) => self.fall_back(id, retry, reason, context),
             None => Err(reason),
         };
         if let Err(reason) = fallback {
             self.settle(id);
-            self.give_up(range, reason);
+            self.mark_missing(range, reason);
         }
     }
 
     /// Sends the piece to owners in other zones, at the same version.
     ///
-    /// Load: one owner, zone or replica is lost and others hold the same keys.
-    /// Limits: attempts for a key, so that a failing key cannot circle; the
-    /// round trip between zones, below which an answer cannot come back in
-    /// time; and the budget that all queries of the front share.
+    /// Handles the loss of an owner, zone or replica while others hold the same keys.
+    /// Limited by the attempts per key, so that a failing key is not retried forever;
+    /// by the round trip between zones, as an answer could not return in time; and by
+    /// the retry budget shared by all queries of the front.
     fn fall_back(
         &mut self,
         id: PieceId,
@@ -67,34 +67,35 @@
         if plan.piece_count() == 0 {
             return Err(reason);
         }
-        if !context.budget.take(plan.piece_count()) {
+        if !context.budget.spend(plan.piece_count()) {
             return Err(MissingReason::BudgetSpent);
         }
-        if let Some((host, planned)) = whole(&plan, piece.range) {
-            self.counts.retry(retry);
+        if let Some((host, planned)) = single_piece(&plan, piece.range) {
+            self.counts.count_retry(retry);
             self.send_piece(host, id, planned);
             return Ok(());
         }
         self.settle(id);
         for missing in &plan.missing {
-            self.give_up(missing.range, reason);
+            self.mark_missing(missing.range, reason);
         }
         self.add_parts(plan.batches.into_iter(), &piece.tried, piece.attempts, retry);
         Ok(())
     }
 
-    /// Asks other zones for the pieces of owners that are silent.
+    /// Sends hedged requests for the pieces of owners that have not answered.
     ///
-    /// Load: a host hangs or a zone is cut off, and heartbeats need longer to
-    /// tell than the caller waits. The harm is a third of the answer missing.
-    /// The owner stays asked, the first answer wins. Limits: half of the time
-    /// left, so that the other zone has as long as the first one had; once for
-    /// each batch; and the shared budget, so that a slow fleet is not doubled.
+    /// Handles a hung host or a partitioned zone, which heartbeats detect only after
+    /// the caller's deadline; a third of the answer would be missing. The first
+    /// request stays open, and the first answer wins. Hedges are sent after half of
+    /// the time left, so that the other zone has as long as the first one had; once
+    /// for each batch; and within the shared budget, so that a slow fleet does not
+    /// receive twice the load.
     pub(super) fn hedge_silent(&mut self, context: &mut TrackContext<'_>) {
         let mut silent = Vec::new();
         for index in 0..self.batches.len() {
             let batch = &self.batches[index];
-            let is_silent = context.now >= self.silent_at(batch);
+            let is_silent = context.now >= self.hedge_time(batch);
             if batch.open && !batch.hedged && is_silent {
                 silent.extend_from_slice(&batch.pieces);
                 self.batches[index].hedged = true;
@@ -115,58 +116,59 @@
         }
         let range = piece.range;
         let plan = self.plan(range, VersionChoice::Exactly(version), &piece.tried, context);
-        // A second attempt at parts of a piece could not be told from the first.
-        let Some((host, planned)) = whole(&plan, range) else {
+        // Answers for parts of a piece could not be told apart from the first attempt.
+        let Some((host, planned)) = single_piece(&plan, range) else {
             return;
         };
-        if context.budget.take(1) {
-            self.counts.retry(RetryReason::Hedge);
+        if context.budget.spend(1) {
+            self.counts.count_retry(RetryReason::Hedge);
             self.send_piece(host, id, planned);
         }
     }
 
-    /// Searches keys that a target no longer held: those who took them over
-    /// first, then other owners of the same shard.
+    /// Searches keys that a target no longer held: first at their new holders, then
+    /// at other owners of the same shard.
     ///
-    /// The comparison of the range searched with the range asked, and a second
-    /// search for the difference, is from Li, Rao and Shekita, "Leveraging a
-    /// Scalable Row Store to Build a Distributed Text Index".
+    /// Comparing the searched with the requested range, and searching the difference
+    /// again, follows Li, Rao and Shekita, "Leveraging a Scalable Row Store to Build a
+    /// Distributed Text Index".
     pub(super) fn search_again(
         &mut self,
         id: PieceId,
         host: HostKey,
-        rest: &RangeSet,
+        remainder: &RangeSet,
         context: &mut TrackContext<'_>,
     ) {
         let piece = self.pieces[id.0 as usize].clone();
-        for &range in rest.ranges() {
+        for &range in remainder.ranges() {
             let Some(version) = self.version.filter(|_| piece.attempts < self.options.max_attempts)
             else {
-                self.give_up(range, MissingReason::Repartitioned);
+                self.mark_missing(range, MissingReason::Repartitioned);
                 continue;
             };
             let exactly = VersionChoice::Exactly(version);
-            let heirs = self.plan(range, exactly, &all_owners(&piece.tried, context), context);
-            let mut again = piece.tried.clone();
-            if self.options.repartition == RepartitionPolicy::WholePiece {
-                again.retain(|tried| tried.host != host);
+            let new_holders =
+                self.plan(range, exactly, &all_owners(&piece.tried, context), context);
+            let mut excluded = piece.tried.clone();
+            if self.options.repartition == RepartitionPolicy::RetryPiece {
+                excluded.retain(|tried| tried.host != host);
             }
             let mut plans = Vec::new();
-            for missing in &heirs.missing {
-                plans.push(self.plan(missing.range, exactly, &again, context));
+            for missing in &new_holders.missing {
+                plans.push(self.plan(missing.range, exactly, &excluded, context));
             }
             let parts =
-                heirs.piece_count() + plans.iter().map(QueryPlan::piece_count).sum::<usize>();
-            if !context.budget.take(parts) {
-                self.give_up(range, MissingReason::BudgetSpent);
+                new_holders.piece_count() + plans.iter().map(QueryPlan::piece_count).sum::<usize>();
+            if !context.budget.spend(parts) {
+                self.mark_missing(range, MissingReason::BudgetSpent);
                 continue;
             }
             for missing in plans.iter().flat_map(|plan| &plan.missing) {
-                self.give_up(missing.range, MissingReason::Repartitioned);
+                self.mark_missing(missing.range, MissingReason::Repartitioned);
             }
-            let batches = heirs.batches.into_iter();
+            let batches = new_holders.batches.into_iter();
             let batches = batches.chain(plans.into_iter().flat_map(|plan| plan.batches));
-            self.add_parts(batches, &again, piece.attempts, RetryReason::Repartitioned);
+            self.add_parts(batches, &excluded, piece.attempts, RetryReason::Repartitioned);
         }
     }
 
@@ -179,54 +181,54 @@
     ) {
         for batch in batches {
             for planned in batch.pieces {
-                self.counts.retry(retry);
+                self.counts.count_retry(retry);
                 self.add_piece(batch.host, planned, tried.clone(), attempts);
             }
         }
     }
 
-    /// Plans the whole query anew at a newer version, if that covers more;
-    /// `true` when it did.
+    /// Replans the query at a newer version if that covers more keys; returns whether
+    /// it did.
     ///
-    /// Load: a new index version is published and the old one dropped while
-    /// queries run. The harm would be parts of two snapshots in one answer, so
-    /// everything kept is thrown away. That repeats work for every query in
-    /// flight at once; limits are the number of times, the time left, the
-    /// budget for what was already answered, and that the newer version covers
-    /// `more` keys than are within reach at the old one. Otherwise the old
-    /// version is answered, with what is gone listed as missing.
-    pub(super) fn replan(&mut self, more: u64, context: &mut TrackContext<'_>) -> bool {
+    /// Handles the publication of a new index version and the retirement of the old
+    /// one while queries run. Parts kept so far are discarded, because one answer must
+    /// not mix two snapshots. As this repeats work for all queries in flight at the
+    /// same time, it is limited by the number of replans, the time left, the budget
+    /// for the pieces already answered, and the condition that the newer version
+    /// covers at least `min_gain` keys more than are reachable at the old one.
+    /// Otherwise the old version is kept and the retired ranges are marked as missing.
+    pub(super) fn replan(&mut self, min_gain: u64, context: &mut TrackContext<'_>) -> bool {
         self.retired = false;
         let Some(version) = self.version else {
             return false;
         };
-        let spent = self.counts.replans >= self.options.max_replans;
-        if spent || self.remaining(context.now) < self.options.min_replan_time {
+        let is_exhausted = self.counts.replans >= self.options.max_replans;
+        if is_exhausted || self.remaining(context.now) < self.options.min_replan_time {
             return false;
         }
         let plan = self.plan(self.query.range, VersionChoice::NewerThan(version), &[], context);
-        let asked = u64::from(self.query.range.len());
-        let within_reach = asked - self.missing_keys();
-        if plan.planned_keys() < within_reach + more || !context.budget.take(self.kept) {
+        let requested = u64::from(self.query.range.len());
+        let reachable = requested - self.missing_keys();
+        if plan.planned_keys() < reachable + min_gain || !context.budget.spend(self.kept) {
             return false;
         }
-        self.start_over(plan);
+        self.restart(plan);
         true
     }
 
-    fn start_over(&mut self, plan: QueryPlan) {
+    fn restart(&mut self, plan: QueryPlan) {
         self.cancel_open();
         self.drop_outgoing();
         for piece in &mut self.pieces {
             piece.settled = true;
         }
-        self.waiting = 0;
+        self.unsettled = 0;
         self.kept = 0;
         self.searched = RangeSet::default();
         self.merged.clear();
         self.counts.replans += 1;
         for _ in 0..plan.piece_count() {
-            self.counts.retry(RetryReason::VersionRetired);
+            self.counts.count_retry(RetryReason::VersionRetired);
         }
         self.adopt(plan);
     }
@@ -237,8 +239,8 @@
     }
 }
 
-/// The one piece that is the whole of `range`, if the plan has just that.
-fn whole(plan: &QueryPlan, range: KeyRange) -> Option<(HostKey, PlannedPiece)> {
+/// The only piece of the plan, if it covers all of `range`.
+fn single_piece(plan: &QueryPlan, range: KeyRange) -> Option<(HostKey, PlannedPiece)> {
     let [batch] = plan.batches.as_slice() else {
         return None;
     };
@@ -248,7 +250,7 @@
     (piece.range == range).then_some((batch.host, *piece))
 }
 
-/// Every owner of the shards that were tried.
+/// All owners of the shards in `tried`.
 fn all_owners(tried: &TriedOwners, context: &TrackContext<'_>) -> TriedOwners {
     let shards = context.table.shards().iter();
     let shards = shards.filter(|record| tried.iter().any(|tried| tried.shard == record.shard));
@@ -258,9 +260,9 @@
     owners.collect()
 }
 
-/// Why another attempt is made after `reason`; `None` when another owner
-/// would answer the same, or when the owner has already spent its own budget.
-fn retry_for(reason: MissingReason) -> Option<RetryReason> {
+/// The reason for another attempt after `reason`; `None` when another owner would
+/// give the same answer, or when the owner has already exhausted its own budget.
+fn retry_reason(reason: MissingReason) -> Option<RetryReason> {
     match reason {
         MissingReason::NoReplica | MissingReason::Unreachable => {
             Some(RetryReason::ConnectionFailed)
--- a/crates/hawthorn-plan/src/track/state.rs
+++ b/crates/hawthorn-plan/src/track/state.rs
@@ -1,4 +1,4 @@
-//! The track itself: begins, steps, flushes what is to be sent, finishes.
+//! The track of a query: start, steps, outgoing batches and finish.
 
 use std::mem;
 use std::time::Duration;
@@ -16,45 +16,45 @@
 use super::Step;
 use super::TrackContext;
 use super::TrackedQuery;
+use super::action::Action;
+use super::action::BatchId;
+use super::action::BatchSend;
+use super::action::FinishedQuery;
+use super::action::PieceId;
+use super::action::PieceSend;
+use super::action::TrackCounts;
 use super::piece::BatchRecord;
 use super::piece::PieceRecord;
 use super::piece::TriedOwners;
-use super::wire::Action;
-use super::wire::BatchId;
-use super::wire::BatchSend;
-use super::wire::FinishedQuery;
-use super::wire::PieceId;
-use super::wire::PieceSend;
-use super::wire::TrackCounts;
 use crate::cover;
 use crate::merge::MergedMatches;
 use crate::plan;
-use crate::plan::LearnedVersions;
 use crate::plan::PlanInput;
 use crate::plan::PlannedPiece;
 use crate::plan::QueryPlan;
+use crate::plan::ReportedVersions;
 use crate::plan::TriedOwner;
 use crate::plan::VersionChoice;
 
-/// A query that is not over.
+/// A query that is not finished.
 #[derive(Debug)]
 pub struct QueryTrack {
     pub(super) query: TrackedQuery,
     pub(super) options: Options,
-    /// The one version; every part kept was searched at it.
+    /// The index version of all parts kept.
     pub(super) version: Option<IndexVersion>,
     pub(super) pieces: Vec<PieceRecord>,
     pub(super) batches: Vec<BatchRecord>,
-    /// Pieces not settled.
-    pub(super) waiting: usize,
-    /// Pieces whose answer was kept; what planning anew would repeat.
+    /// Number of pieces that are not settled.
+    pub(super) unsettled: usize,
+    /// Number of pieces whose answer was kept; a replan would repeat them.
     pub(super) kept: usize,
     pub(super) searched: RangeSet,
     pub(super) merged: MergedMatches,
     pub(super) missing: Vec<MissingRange>,
     pub(super) lost: SmallVec<[HostKey; 2]>,
-    pub(super) learned: Vec<LearnedVersions>,
-    /// A piece failed because its version is retired.
+    pub(super) reported: Vec<ReportedVersions>,
+    /// Whether a piece failed because its version is retired.
     pub(super) retired: bool,
     pub(super) counts: TrackCounts,
     outgoing: Vec<(HostKey, PieceSend)>,
@@ -69,13 +69,13 @@
             version: None,
             pieces: Vec::new(),
             batches: Vec::new(),
-            waiting: 0,
+            unsettled: 0,
             kept: 0,
             searched: RangeSet::default(),
             merged: MergedMatches::default(),
             missing: Vec::new(),
             lost: SmallVec::new(),
-            learned: Vec::new(),
+            reported: Vec::new(),
             retired: false,
             counts: TrackCounts::default(),
             outgoing: Vec::new(),
@@ -87,7 +87,7 @@
         let plan = self.plan(self.query.range, VersionChoice::Any, &[], context);
         context.budget.earn(plan.piece_count());
         self.adopt(plan);
-        Box::new(self).go_on(context)
+        Box::new(self).advance(context)
     }
 
     /// The version being searched.
@@ -95,27 +95,27 @@
         self.version
     }
 
-    /// Takes in one event.
+    /// Handles one event.
     ///
-    /// A query with nothing left to wait for is over at once: its answer is
-    /// never held back until the deadline.
+    /// A query without unsettled pieces finishes immediately rather than at its
+    /// deadline.
     pub fn step(mut self: Box<Self>, event: Event, context: &mut TrackContext<'_>) -> Step {
         match event {
             Event::BatchAnswered { batch, host, pieces } => {
-                self.take_answer(batch, host, pieces, context);
+                self.handle_answer(batch, host, pieces, context);
             }
-            Event::OwnerLost(host) => self.lose_owner(host, context),
+            Event::OwnerLost(host) => self.handle_owner_lost(host, context),
             Event::Timer => self.hedge_silent(context),
             Event::Stop => return self.finish(),
         }
         if self.retired {
             self.replan(1, context);
         }
-        self.go_on(context)
+        self.advance(context)
     }
 
-    fn go_on(mut self: Box<Self>, context: &TrackContext<'_>) -> Step {
-        if self.waiting == 0 || context.now >= self.last_moment() {
+    fn advance(mut self: Box<Self>, context: &TrackContext<'_>) -> Step {
+        if self.unsettled == 0 || context.now >= self.answer_time() {
             return self.finish();
         }
         self.flush(context.now);
@@ -140,25 +140,25 @@
         Step::Finished(Box::new(finished), self.actions)
     }
 
-    /// When the answer has to leave to arrive in time.
-    pub(super) fn last_moment(&self) -> Duration {
+    /// When the answer must be sent to arrive before the deadline.
+    pub(super) fn answer_time(&self) -> Duration {
         self.query.deadline.saturating_sub(self.options.answer_reserve)
     }
 
     pub(super) fn remaining(&self, now: Duration) -> Duration {
-        self.last_moment().saturating_sub(now)
+        self.answer_time().saturating_sub(now)
     }
 
-    /// When the owner of `batch` counts as silent.
-    pub(super) fn silent_at(&self, batch: &BatchRecord) -> Duration {
-        let left = self.last_moment().saturating_sub(batch.sent_at);
-        batch.sent_at + left / self.options.silence_divisor.max(1)
+    /// When the pieces of `batch` are hedged if its owner has not answered.
+    pub(super) fn hedge_time(&self, batch: &BatchRecord) -> Duration {
+        let left = self.answer_time().saturating_sub(batch.sent_at);
+        batch.sent_at + left / self.options.hedge_divisor.max(1)
     }
 
     fn next_wake(&self) -> Duration {
         let open = self.batches.iter().filter(|batch| batch.open && !batch.hedged);
-        let first = open.map(|batch| self.silent_at(batch)).min();
-        first.map_or(self.last_moment(), |at| at.min(self.last_moment()))
+        let earliest = open.map(|batch| self.hedge_time(batch)).min();
+        earliest.map_or(self.answer_time(), |at| at.min(self.answer_time()))
     }
 
     pub(super) fn plan(
@@ -176,13 +176,13 @@
             version,
             lost: &self.lost,
             tried,
-            learned: &self.learned,
+            reported: &self.reported,
             random: self.query.random,
         };
         plan::plan(&input, &self.options.plan)
     }
 
-    /// Takes `plan` as the plan of the whole query.
+    /// Adopts `plan` as the plan of the entire query.
     pub(super) fn adopt(&mut self, plan: QueryPlan) {
         self.version = plan.version;
         self.missing = plan.missing;
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Adds a piece for keys that were attempted `attempts` times before.
+    /// Adds a piece whose keys have had `attempts` attempts.
     pub(super) fn add_piece(
         &mut self,
         host: HostKey,
@@ -204,7 +204,7 @@
         let id = PieceId(u32::try_from(self.pieces.len()).expect("attempts bound the pieces"));
         let PlannedPiece { shard, range, .. } = planned;
         self.pieces.push(PieceRecord { shard, range, tried, attempts, open: 0, settled: false });
-        self.waiting += 1;
+        self.unsettled += 1;
         self.send_piece(host, id, planned);
     }
 
@@ -219,7 +219,7 @@
         self.outgoing.push((host, PieceSend { piece: id, shard, zone, range }));
     }
 
-    /// Sends what was queued, one batch to each owner.
+    /// Sends queued attempts, one batch to each owner.
     fn flush(&mut self, now: Duration) {
         let Some(version) = self.version else {
             return;
@@ -241,8 +241,8 @@
         id
     }
 
-    /// Cancels batches whose pieces are all settled by other attempts: nobody
-    /// reads their answer, and the targets' time is wanted elsewhere.
+    /// Cancels batches whose pieces are all settled by other attempts, to free the
+    /// targets from work that is no longer needed.
     fn cancel_settled(&mut self) {
         let pieces = &self.pieces;
         let is_settled = |id: &PieceId| pieces[id.0 as usize].settled;
@@ -263,22 +263,22 @@
         }
     }
 
-    /// Forgets what was queued and not yet sent.
+    /// Discards attempts that were queued and not yet sent.
     pub(super) fn drop_outgoing(&mut self) {
         self.counts.pieces_sent -= u32::try_from(self.outgoing.len()).unwrap_or(0);
         self.outgoing.clear();
     }
 
-    /// Ends a piece, whatever came of it.
+    /// Marks a piece as settled.
     pub(super) fn settle(&mut self, id: PieceId) {
         let piece = &mut self.pieces[id.0 as usize];
         if !mem::replace(&mut piece.settled, true) {
-            self.waiting -= 1;
+            self.unsettled -= 1;
         }
     }
 
-    /// Lists `range` as missing.
-    pub(super) fn give_up(&mut self, range: KeyRange, reason: MissingReason) {
+    /// Adds `range` to the missing ranges.
+    pub(super) fn mark_missing(&mut self, range: KeyRange, reason: MissingReason) {
         self.missing.push(MissingRange { range, reason });
     }
 }
--- a/crates/hawthorn-plan/src/window.rs
+++ b/crates/hawthorn-plan/src/window.rs
@@ -1,32 +1,31 @@
-//! How many queries of one caller a front has in flight at once, learnt from
-//! how they end.
+//! Adaptive limit on each caller's queries in flight, driven by queue waits and
+//! rejections.
 //!
-//! The load it is for: callers that ask for more than the targets can do, one
-//! of them or all together. Owners queue fairly, so a flood's pieces wait and
-//! others' do not, but without a bound at the door the flood's queries each get
-//! some of their pieces and none of them all: the targets work, nobody gets a
-//! whole answer, and every answer takes the whole deadline. The harm is in the
-//! part of a query that is searched for nothing. A window closes the door
-//! before the queues are long, caller by caller, and what is admitted is whole.
+//! Handles callers that together, or one alone, send more than the targets can
+//! serve. Owners queue fairly between callers, but without admission control each
+//! query of a flood would get only some of its pieces: targets stay busy, answers
+//! are incomplete and take the full deadline, and the pieces searched are wasted.
+//! The window limits concurrency before queues grow, so that admitted queries
+//! complete.
 
 use std::time::Duration;
 
-/// Limits of a window.
+/// Parameters of a [`CallerWindow`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
-    /// Queries in flight at first. With 8 entry hosts, 3 callers and shards of
-    /// 4 slots it is a queue of 24 pieces a slot row, 120 ms at 5 ms each: a
-    /// burst at the start does not eat a deadline of half a second. Calm callers
-    /// have one or two in flight, and good answers widen it within a few.
+    /// Initial size, in queries in flight. With 8 entry hosts, 3 callers and shards
+    /// of 4 slots, an initial burst queues 24 pieces per slot, 120 ms at 5 ms each,
+    /// which fits into a deadline of 500 ms. Callers under normal load have one or
+    /// two queries in flight, and a few good answers widen the window.
     pub initial: f64,
-    /// Never fewer than this, so that a caller always learns when it is over.
+    /// Lower bound, so that there are always queries that detect the end of an overload.
     pub min: f64,
-    /// Never more than this.
+    /// Upper bound.
     pub max: f64,
-    /// Pieces waited longer than this for a slot: the queue stands. Half of
-    /// what 99 in 100 whole answers may take.
+    /// A longer wait of a piece for a slot indicates a standing queue. Half of the
+    /// 99th percentile target for complete answers.
     pub standing_wait: Duration,
-    /// What is left of the window after such a query.
+    /// Factor by which a standing queue or a rejection shrinks the window.
     pub decrease_factor: f64,
 }
 
@@ -42,51 +41,57 @@
     }
 }
 
-/// What a query that ended says of the load.
+/// The load that a query observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueryFeedback {
-    /// The longest time that one of its pieces waited for a slot.
+    /// The longest wait of one of its pieces for a slot.
     pub queue_wait: Duration,
-    /// Whether a piece of it was turned away for load, or waited in vain.
+    /// Whether one of its pieces was rejected because of load, or expired in a queue.
     pub rejected: bool,
-    /// How long it took.
+    /// The time from admission to answer.
     pub elapsed: Duration,
 }
 
-/// The window of one caller. Additive increase, multiplicative decrease.
+/// Concurrency window of one caller: additive increase, multiplicative decrease.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CallerWindow {
-    /// None before the first query ended.
+    /// `None` until the first change.
     size: Option<f64>,
     shrunk_at: Option<Duration>,
 }
 
 impl CallerWindow {
-    /// Whether one more query may be admitted beside `held` ones.
-    pub fn allows(&self, held: u32, options: &Options) -> bool {
-        f64::from(held) < self.size(options)
+    /// Whether one more query may be admitted in addition to `in_flight` ones.
+    pub fn allows(&self, in_flight: u32, options: &Options) -> bool {
+        f64::from(in_flight) < self.size(options)
     }
 
-    /// Queries that may be in flight at once.
+    /// Maximum number of queries in flight.
     pub fn size(&self, options: &Options) -> f64 {
         self.size.unwrap_or(options.initial).clamp(options.min, options.max)
     }
 
-    /// Takes in how a query ended, with `held` in flight until then.
+    /// Updates the window from a query that ended; `in_flight` includes that query.
     ///
-    /// Shrinks at most once in the time of a query: those in flight were
-    /// admitted by the window before, and say the same thing again. Grows only
-    /// while it is used: an idle caller's window says nothing.
-    pub fn update(&mut self, now: Duration, held: u32, end: &QueryFeedback, options: &Options) {
+    /// Shrinks at most once per query time, because queries admitted before the
+    /// last decrease report the same overload again. Grows only while at least half
+    /// of it is used, because an idle caller gives no evidence of spare capacity.
+    pub fn update(
+        &mut self,
+        now: Duration,
+        in_flight: u32,
+        feedback: &QueryFeedback,
+        options: &Options,
+    ) {
         let size = self.size(options);
-        let is_standing = end.queue_wait > options.standing_wait;
-        if is_standing || end.rejected {
+        let has_standing_queue = feedback.queue_wait > options.standing_wait;
+        if has_standing_queue || feedback.rejected {
             let since = self.shrunk_at.map_or(Duration::MAX, |at| now.saturating_sub(at));
-            if since >= end.elapsed {
+            if since >= feedback.elapsed {
                 self.size = Some((size * options.decrease_factor).max(options.min));
                 self.shrunk_at = Some(now);
             }
-        } else if f64::from(held) * 2.0 >= size {
+        } else if f64::from(in_flight) * 2.0 >= size {
             self.size = Some((size + 1.0 / size).min(options.max));
         }
     }
--- a/crates/hawthorn-plan/tests/admit.rs
+++ b/crates/hawthorn-plan/tests/admit.rs
@@ -1,4 +1,4 @@
-//! Admission of whole queries under bursts, floods and lagging reports.
+//! Admission control under bursts, floods and stale wait reports.
 
 use std::error::Error;
 use std::time::Duration;
@@ -23,7 +23,7 @@
     Duration::from_millis(milliseconds)
 }
 
-fn ask(caller: CallerKey) -> AdmissionRequest {
+fn request(caller: CallerKey) -> AdmissionRequest {
     AdmissionRequest {
         caller,
         now: ms(1000),
@@ -35,76 +35,76 @@
 }
 
 fn options(max_in_flight: u32) -> admit::Options {
-    // The windows stand open: what is tested here are the shares.
+    // The windows admit everything, so that only shares limit admission.
     let window =
         window::Options { initial: f64::from(max_in_flight), ..window::Options::default() };
     admit::Options { max_in_flight, window, ..admit::Options::default() }
 }
 
 fn admit_many(load: &mut FrontLoad, caller: CallerKey, count: u32, max_in_flight: u32) -> u32 {
-    let asked = (0..count).map(|_| admit::admit(load, &ask(caller), &options(max_in_flight)));
-    let admitted = asked.filter(|outcome| *outcome == Outcome::Admitted).count();
+    let outcomes =
+        (0..count).map(|_| admit::admit(load, &request(caller), &options(max_in_flight)));
+    let admitted = outcomes.filter(|outcome| *outcome == Outcome::Admitted).count();
     u32::try_from(admitted).unwrap_or(u32::MAX)
 }
 
-struct DoorCase {
+struct AdmissionCase {
     name: &'static str,
-    ask: AdmissionRequest,
+    request: AdmissionRequest,
     outcome: Outcome,
 }
 
 #[test]
-fn each_reason_has_its_refusal() -> TestResult {
+fn refusal_reason_matches_cause() -> TestResult {
     let refused =
         |reason, after: Option<u64>| Outcome::Refused { reason, retry_after: after.map(ms) };
-    let case = |name, ask, outcome| DoorCase { name, ask, outcome };
-    let at = |stage| AdmissionRequest { stage, ..ask(QUIET) };
-    let until = |deadline| AdmissionRequest { deadline: ms(deadline), ..ask(QUIET) };
-    let behind = |wait| AdmissionRequest { expected_wait: ms(wait), ..ask(QUIET) };
+    let case = |name, request, outcome| AdmissionCase { name, request, outcome };
+    let at = |stage| AdmissionRequest { stage, ..request(QUIET) };
+    let until = |deadline| AdmissionRequest { deadline: ms(deadline), ..request(QUIET) };
+    let behind = |wait| AdmissionRequest { expected_wait: ms(wait), ..request(QUIET) };
     let stopping = refused(RefusalReason::Stopping, Some(20));
     let unconfigured = refused(RefusalReason::NoConfiguration, Some(20));
     let past = refused(RefusalReason::DeadlinePast, None);
     let wait = |after| refused(RefusalReason::WaitBeyondDeadline, Some(after));
     let cases = [
-        case("room and time", ask(QUIET), Outcome::Admitted),
+        case("free slot and enough time", request(QUIET), Outcome::Admitted),
         case("no configuration yet", at(FrontStage::Unconfigured), unconfigured),
         case("stopping", at(FrontStage::Stopping), stopping),
         case(
-            "stopping goes before a past deadline",
+            "stopping takes precedence over a past deadline",
             AdmissionRequest { deadline: ms(0), ..at(FrontStage::Stopping) },
             stopping,
         ),
         case("deadline past", until(1000), past),
-        case("the wait leaves just the time to search", behind(45), Outcome::Admitted),
+        case("the wait leaves exactly the search time", behind(45), Outcome::Admitted),
         case("the wait is a millisecond too long", behind(46), wait(20)),
-        case("the wait is far too long: come back when it has shrunk", behind(345), wait(300)),
+        case("the wait is far too long: retry after the excess", behind(345), wait(300)),
     ];
     for case in cases {
-        let outcome = admit::admit(&mut FrontLoad::default(), &case.ask, &options(512));
+        let outcome = admit::admit(&mut FrontLoad::default(), &case.request, &options(512));
         assert_eq!(outcome, case.outcome, "{}", case.name);
     }
     Ok(())
 }
 
-/// A member firm's batch job floods one front; another member's conflict check
-/// comes a moment later and is refused, though it has sent nothing all day.
-/// The cause would be a bound that looks only at the sum.
+/// Guards against one caller's flood occupying every slot, so that another caller's
+/// first query is refused. A limit on the total alone would allow that.
 #[test]
-fn a_flood_leaves_others_their_share() -> TestResult {
+fn flood_leaves_other_callers_their_share() -> TestResult {
     struct FloodCase {
         name: &'static str,
-        quiet_before: bool,
-        /// Admitted of the flood, of the quiet caller and of a newcomer.
+        quiet_is_active: bool,
+        /// Queries admitted of the flood, the quiet caller and a newcomer.
         admitted: [u32; 3],
     }
-    let case = |name, quiet_before, admitted| FloodCase { name, quiet_before, admitted };
+    let case = |name, quiet_is_active, admitted| FloodCase { name, quiet_is_active, admitted };
     let cases = [
-        case("alone, all is used but what waits for a newcomer", false, [60, 4, 0]),
-        case("another is present, and keeps its half", true, [32, 31, 1]),
+        case("alone: all but the reserved slots are used", false, [60, 4, 0]),
+        case("another caller is active and keeps its half", true, [32, 31, 1]),
     ];
     for case in cases {
         let mut load = FrontLoad::default();
-        if case.quiet_before {
+        if case.quiet_is_active {
             load.record_request(QUIET, ms(999));
         }
         let [flood, quiet, newcomer] = case.admitted;
@@ -116,11 +116,11 @@
     Ok(())
 }
 
-/// A flood has filled the front before anyone else asked. Queries end one by
-/// one; each free place must go to the caller below its share until it has
-/// its share, however often the flood asks in between.
+/// A flood has filled the front before another caller sends queries. Each slot that
+/// becomes free must go to the caller below its share until shares are equal,
+/// however many queries the flood sends in between.
 #[test]
-fn freed_places_go_to_the_caller_below_its_share() -> TestResult {
+fn freed_slots_go_to_the_caller_below_its_share() -> TestResult {
     let mut load = FrontLoad::default();
     admit_many(&mut load, FLOOD, 500, 64);
     admit_many(&mut load, QUIET, 500, 64);
@@ -136,11 +136,11 @@
     Ok(())
 }
 
-/// A front is refusing everything, and its owners' queues are long since empty.
-/// The owners reported long queues, the front turned all queries away, and as
-/// reports ride on answers, no newer report ever came.
+/// Guards against a front that refuses every query while its owners' queues are
+/// empty: wait reports are piggybacked on answers, so a front that refuses
+/// everything receives no newer report.
 #[test]
-fn an_old_report_refuses_nobody() -> TestResult {
+fn expired_wait_reports_are_ignored() -> TestResult {
     struct ReportCase {
         name: &'static str,
         reports: &'static [(u64, u64)],
@@ -148,9 +148,13 @@
     }
     let cases = [
         ReportCase { name: "no report", reports: &[], wait: 0 },
-        ReportCase { name: "the slowest decides", reports: &[(5, 4900), (90, 4950)], wait: 90 },
-        ReportCase { name: "as old as is allowed", reports: &[(90, 4000)], wait: 90 },
-        ReportCase { name: "too old", reports: &[(5, 4900), (90, 3999)], wait: 5 },
+        ReportCase {
+            name: "the slowest owner is decisive",
+            reports: &[(5, 4900), (90, 4950)],
+            wait: 90,
+        },
+        ReportCase { name: "exactly at the TTL", reports: &[(90, 4000)], wait: 90 },
+        ReportCase { name: "expired", reports: &[(5, 4900), (90, 3999)], wait: 5 },
     ];
     for case in cases {
         let reports = case.reports.iter().map(|&(wait, reported_at)| WaitReport {
@@ -163,26 +167,26 @@
     Ok(())
 }
 
-/// A burst is refused in one moment and told to come back. All told the same
-/// moment, they would come back as the same burst.
+/// Guards against callers that were refused together retrying together, as the same
+/// burst.
 #[test]
-fn refused_callers_are_told_different_moments() -> TestResult {
+fn retry_after_is_jittered() -> TestResult {
     let mut load = FrontLoad::default();
     admit_many(&mut load, FLOOD, 500, 64);
     load.record_completion(FLOOD, ms(100));
     load.record_admission(FLOOD);
-    let mut moments = Vec::new();
-    for draw in 0..8_u64 {
-        let ask = AdmissionRequest { random: draw << 61, ..ask(FLOOD) };
+    let mut delays = Vec::new();
+    for bits in 0..8_u64 {
+        let request = AdmissionRequest { random: bits << 61, ..request(FLOOD) };
         let Outcome::Refused { retry_after: Some(after), .. } =
-            admit::admit(&mut load, &ask, &options(64))
+            admit::admit(&mut load, &request, &options(64))
         else {
-            return Err("admitted over its share, or without advice".into());
+            return Err("admitted over its share, or refused without retry_after".into());
         };
         assert!((ms(100)..=ms(200)).contains(&after), "{after:?}");
-        moments.push(after);
+        delays.push(after);
     }
-    moments.dedup();
-    assert_eq!(moments.len(), 8);
+    delays.dedup();
+    assert_eq!(delays.len(), 8);
     Ok(())
 }
--- a/crates/hawthorn-plan/tests/cover.rs
+++ b/crates/hawthorn-plan/tests/cover.rs
@@ -1,4 +1,4 @@
-//! Coverage is stated by exact ranges, and never overstated.
+//! Coverage is reported in exact ranges and never overstated.
 
 use std::error::Error;
 
@@ -19,21 +19,21 @@
 
 struct CoverCase {
     name: &'static str,
-    asked: (u32, u32),
+    requested: (u32, u32),
     searched: Ranges,
-    given: Reasons,
+    given_up: Reasons,
     covered: Ranges,
     missing: Reasons,
     fraction: f64,
 }
 
 #[test]
-fn what_is_not_searched_is_missing_with_its_reason() -> TestResult {
-    let case = |name, searched, given, covered, missing, fraction| CoverCase {
+fn unsearched_ranges_are_missing_with_reason() -> TestResult {
+    let case = |name, searched, given_up, covered, missing, fraction| CoverCase {
         name,
-        asked: (0, 100),
+        requested: (0, 100),
         searched,
-        given,
+        given_up,
         covered,
         missing,
         fraction,
@@ -42,7 +42,7 @@
         case("all", &[(0, 60), (60, 100)], &[], &[(0, 100)], &[], 1.0),
         case("given up, then searched", &[(0, 100)], &[(0, 50, SHED)], &[(0, 100)], &[], 1.0),
         case(
-            "unexplained is late, not covered",
+            "missing without a reason counts as late",
             &[(0, 25)],
             &[(25, 50, SHED)],
             &[(0, 25)],
@@ -50,7 +50,7 @@
             0.25,
         ),
         case(
-            "neighbours with one reason are one range",
+            "adjacent ranges with the same reason are merged",
             &[],
             &[(50, 100, SHED), (0, 50, SHED)],
             &[],
@@ -58,9 +58,9 @@
             0.0,
         ),
         CoverCase {
-            asked: (10, 20),
+            requested: (10, 20),
             ..case(
-                "searched beyond what was asked adds nothing",
+                "keys searched outside the request do not count",
                 &[(0, 15)],
                 &[(15, 40, SHED)],
                 &[(10, 15)],
@@ -68,7 +68,7 @@
                 0.5,
             )
         },
-        CoverCase { asked: (5, 5), ..case("nothing asked", &[], &[], &[], &[], 1.0) },
+        CoverCase { requested: (5, 5), ..case("empty request", &[], &[], &[], &[], 1.0) },
     ];
     for case in cases {
         let searched: RangeSet =
@@ -77,9 +77,9 @@
             range: KeyRange::new(start, end),
             reason,
         };
-        let given: Vec<_> = case.given.iter().map(part).collect();
-        let asked = KeyRange::new(case.asked.0, case.asked.1);
-        let coverage = cover::cover(asked, &searched, &given);
+        let given_up: Vec<_> = case.given_up.iter().map(part).collect();
+        let requested = KeyRange::new(case.requested.0, case.requested.1);
+        let coverage = cover::cover(requested, &searched, &given_up);
         let covered: Vec<_> = coverage.covered.iter().map(|it| (it.start, it.end)).collect();
         assert_eq!(covered, case.covered, "{}", case.name);
         let missing: Vec<_> = case.missing.iter().map(part).collect();
@@ -89,11 +89,10 @@
     Ok(())
 }
 
-/// A geologist reads "coverage 100%" and lodges a claim; the one filing that
-/// overlaps lay in the one key that was not searched. A fraction rounded for
-/// display, or kept as a float of four bytes, would have said so.
+/// Guards against reporting full coverage when a single key is missing, as a rounded
+/// fraction or an `f32` would.
 #[test]
-fn one_missing_key_is_less_than_all() -> TestResult {
+fn one_missing_key_is_incomplete() -> TestResult {
     let searched = RangeSet::from(KeyRange::new(0, KEY_SPACE - 1));
     let coverage = cover::cover(KeyRange::FULL, &searched, &[]);
     assert!(coverage.fraction < 1.0);
--- a/crates/hawthorn-plan/tests/invariants.rs
+++ b/crates/hawthorn-plan/tests/invariants.rs
@@ -1,5 +1,5 @@
-//! Whatever happens to a query: one version, no coverage that was not
-//! searched, an end in time. The same cases on every run.
+//! Invariants under arbitrary replies and delays: one index version, no overstated
+//! coverage, an answer before the deadline. The seed is fixed.
 
 mod support;
 
@@ -41,9 +41,9 @@
 const SHARDS: u32 = 8;
 const DEADLINE: u64 = 50;
 
-/// What an owner does with a piece.
+/// How an owner replies to a piece.
 #[derive(Clone, Copy, Debug)]
-enum Whim {
+enum Reply {
     Search,
     SearchHalf,
     SearchNothing,
@@ -52,57 +52,57 @@
     Miss(MissingReason),
     /// Answered under the id of another piece.
     Cross,
-    /// Left out of the answer.
+    /// Omitted from the answer.
     Omit,
 }
 
-fn any_whim() -> impl Strategy<Value = Whim> {
+fn any_reply() -> impl Strategy<Value = Reply> {
     prop_oneof![
-        24 => Just(Whim::Search),
-        2 => Just(Whim::SearchHalf),
-        1 => Just(Whim::SearchNothing),
-        1 => Just(Whim::WrongVersion),
-        2 => Just(Whim::Retire),
-        1 => Just(Whim::Miss(MissingReason::Shedding)),
-        1 => Just(Whim::Miss(MissingReason::Unreachable)),
-        1 => Just(Whim::Miss(MissingReason::DeadlinePast)),
-        1 => Just(Whim::Cross),
-        1 => Just(Whim::Omit),
+        24 => Just(Reply::Search),
+        2 => Just(Reply::SearchHalf),
+        1 => Just(Reply::SearchNothing),
+        1 => Just(Reply::WrongVersion),
+        2 => Just(Reply::Retire),
+        1 => Just(Reply::Miss(MissingReason::Shedding)),
+        1 => Just(Reply::Miss(MissingReason::Unreachable)),
+        1 => Just(Reply::Miss(MissingReason::DeadlinePast)),
+        1 => Just(Reply::Cross),
+        1 => Just(Reply::Omit),
     ]
 }
 
 #[derive(Clone, Debug)]
-struct Fate {
-    whims: Vec<Whim>,
-    /// Milliseconds until each batch in turn is answered; 60 and more is never.
+struct Scenario {
+    replies: Vec<Reply>,
+    /// Milliseconds until each batch in turn is answered; never for 60 and more.
     delays: Vec<u64>,
     publish_at: u64,
-    /// Targets drop the old version when the new one is published.
+    /// Targets retire the old version when the new one is published.
     retires: bool,
     budget: u32,
     moved: Vec<u32>,
-    whole_piece: bool,
+    retry_piece: bool,
 }
 
-fn any_fate() -> impl Strategy<Value = Fate> {
-    let whims = proptest::collection::vec(any_whim(), 1..40);
+fn any_scenario() -> impl Strategy<Value = Scenario> {
+    let replies = proptest::collection::vec(any_reply(), 1..40);
     let delays = proptest::collection::vec(0_u64..70, 1..10);
     let moved = proptest::collection::vec(0..SHARDS - 1, 0..4);
     let choices = (any::<bool>(), any::<bool>());
-    (whims, delays, 0_u64..30, 0_u32..40, moved, choices).prop_map(
-        |(whims, delays, publish_at, budget, moved, (retires, whole_piece))| Fate {
-            whims,
+    (replies, delays, 0_u64..30, 0_u32..40, moved, choices).prop_map(
+        |(replies, delays, publish_at, budget, moved, (retires, retry_piece))| Scenario {
+            replies,
             delays,
             publish_at,
             retires,
             budget,
             moved,
-            whole_piece,
+            retry_piece,
         },
     )
 }
 
-fn tables(fate: &Fate) -> (ShardTable, ShardTable) {
+fn tables(scenario: &Scenario) -> (ShardTable, ShardTable) {
     let mut shards = even_shards(SHARDS, 3, &[OLD]);
     for (number, shard) in (0..).zip(&mut shards) {
         for option in &mut shard.options {
@@ -110,7 +110,7 @@
         }
     }
     let before = ShardTable::new(shards.clone());
-    for &number in &fate.moved {
+    for &number in &scenario.moved {
         let range = shards[number as usize].range;
         let half = KeyRange::new(range.start + range.len() / 2, range.end);
         shards[number as usize].held.remove(half);
@@ -118,21 +118,21 @@
     }
     for shard in &mut shards {
         for option in &mut shard.options {
-            option.versions.retain(|_| !fate.retires);
+            option.versions.retain(|_| !scenario.retires);
             option.versions.push(NEW);
         }
     }
     (before, ShardTable::new(shards))
 }
 
-/// What was truly searched, by version: the ranges in honest answers.
+/// The ranges that were actually searched, by version.
 #[derive(Debug, Default)]
-struct Truth {
+struct SearchLog {
     searched: Vec<(IndexVersion, RangeSet)>,
     next: usize,
 }
 
-impl Truth {
+impl SearchLog {
     fn search(&mut self, version: IndexVersion, range: KeyRange) -> PieceOutcome {
         self.searched.push((version, range.into()));
         found(version, range.into())
@@ -145,32 +145,33 @@
         union
     }
 
-    fn answer(&mut self, fate: &Fate, send: &BatchSend, at: Duration) -> Vec<PieceAnswer> {
+    fn answer(&mut self, scenario: &Scenario, send: &BatchSend, at: Duration) -> Vec<PieceAnswer> {
         let mut omitted = Vec::new();
         let mut crossed = Vec::new();
         let mut answers = answer_each(send, |piece| {
-            let is_gone = fate.retires && send.version == OLD && at >= ms(fate.publish_at);
-            let whim = match fate.whims[self.next % fate.whims.len()] {
-                Whim::Search | Whim::SearchHalf if is_gone => Whim::Retire,
-                whim => whim,
+            let is_retired =
+                scenario.retires && send.version == OLD && at >= ms(scenario.publish_at);
+            let reply = match scenario.replies[self.next % scenario.replies.len()] {
+                Reply::Search | Reply::SearchHalf if is_retired => Reply::Retire,
+                reply => reply,
             };
             self.next += 1;
             let range = piece.range;
-            match whim {
-                Whim::Search => self.search(send.version, range),
-                Whim::SearchHalf => {
+            match reply {
+                Reply::Search => self.search(send.version, range),
+                Reply::SearchHalf => {
                     let half = KeyRange::new(range.start, range.start + range.len() / 2);
                     self.search(send.version, half)
                 }
-                Whim::SearchNothing => found(send.version, RangeSet::default()),
-                Whim::WrongVersion => found(IndexVersion(send.version.0 + 1), range.into()),
-                Whim::Retire => PieceOutcome::VersionRetired { versions: vec![OLD, NEW] },
-                Whim::Miss(reason) => PieceOutcome::Missing(reason),
-                Whim::Cross => {
+                Reply::SearchNothing => found(send.version, RangeSet::default()),
+                Reply::WrongVersion => found(IndexVersion(send.version.0 + 1), range.into()),
+                Reply::Retire => PieceOutcome::VersionRetired { versions: vec![OLD, NEW] },
+                Reply::Miss(reason) => PieceOutcome::Missing(reason),
+                Reply::Cross => {
                     crossed.push(piece.piece);
                     PieceOutcome::Missing(MissingReason::BadAnswer)
                 }
-                Whim::Omit => {
+                Reply::Omit => {
                     omitted.push(piece.piece);
                     PieceOutcome::Missing(MissingReason::BadAnswer)
                 }
@@ -186,39 +187,39 @@
 }
 
 #[test]
-fn no_fate_mixes_versions_or_overstates_coverage() -> TestResult {
+fn answers_never_mix_versions_or_overstate_coverage() -> TestResult {
     let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[42; 32]);
     let tally = RefCell::new((0_u32, 0_u32, 0_u32));
-    TestRunner::new_with_rng(config, rng).run(&any_fate(), |fate| {
-        let (before, after) = tables(&fate);
-        let repartition = match fate.whole_piece {
-            true => RepartitionPolicy::WholePiece,
-            false => RepartitionPolicy::SearchRest,
+    TestRunner::new_with_rng(config, rng).run(&any_scenario(), |scenario| {
+        let (before, after) = tables(&scenario);
+        let repartition = match scenario.retry_piece {
+            true => RepartitionPolicy::RetryPiece,
+            false => RepartitionPolicy::SearchRemainder,
         };
         let options = Options { repartition, ..Options::default() };
-        let mut budget = budget_of(fate.budget);
-        let mut truth = Truth::default();
+        let mut budget = budget_of(scenario.budget);
+        let mut log = SearchLog::default();
         let run = virtual_front::run(
             query(ms(DEADLINE)),
             options,
             &mut budget,
-            |now| if now < ms(fate.publish_at) { before.clone() } else { after.clone() },
+            |now| if now < ms(scenario.publish_at) { before.clone() } else { after.clone() },
             &mut |send, now| {
-                let delay = fate.delays[send.batch.0 as usize % fate.delays.len()];
-                let pieces = truth.answer(&fate, send, now + ms(delay));
+                let delay = scenario.delays[send.batch.0 as usize % scenario.delays.len()];
+                let pieces = log.answer(&scenario, send, now + ms(delay));
                 (delay < 60).then_some((Duration::from_millis(delay), pieces))
             },
         );
         let answer = run.query;
         prop_assert!(run.at <= ms(DEADLINE), "late: {:?}", run.at);
-        prop_assert!(run.sent <= SHARDS as usize * 2 + fate.budget as usize + SHARDS as usize);
+        prop_assert!(run.sent <= SHARDS as usize * 2 + scenario.budget as usize + SHARDS as usize);
         let version = answer.version.ok_or_else(|| TestCaseError::fail("no version"))?;
         let name = format!("{version:?}-");
         prop_assert!(answer.matches.iter().all(|it| it.id.starts_with(&name)), "mixed versions");
 
         let covered: RangeSet = answer.coverage.covered.iter().copied().collect();
-        let overstated = covered.difference(&truth.at(version));
+        let overstated = covered.difference(&log.at(version));
         prop_assert!(overstated.is_empty(), "not searched: {:?}", overstated);
         prop_assert!(answer.matches.iter().all(|it| covered.contains(it.key)));
         let missing: RangeSet = answer.coverage.missing.iter().map(|it| it.range).collect();
@@ -233,8 +234,8 @@
         tally.2 += u32::from(answer.counts.crossed > 0);
         Ok(())
     })?;
-    let (whole, replanned, crossed) = *tally.borrow();
-    // The fates must reach what they are meant to test.
-    assert!(whole > 50 && replanned > 50 && crossed > 50, "{whole} {replanned} {crossed}");
+    let (complete, replanned, crossed) = *tally.borrow();
+    // The generated scenarios must reach the cases under test.
+    assert!(complete > 50 && replanned > 50 && crossed > 50, "{complete} {replanned} {crossed}");
     Ok(())
 }
--- a/crates/hawthorn-plan/tests/merge.rs
+++ b/crates/hawthorn-plan/tests/merge.rs
@@ -1,4 +1,4 @@
-//! Merging: the best matches of all parts, each document once.
+//! Merging the matches of all parts, without duplicates.
 
 use std::error::Error;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_best_of_all_parts_remain() -> TestResult {
+fn keeps_the_best_matches_of_all_parts() -> TestResult {
     let case = |name, parts, total, best| MergeCase { name, parts, total, best };
     let cases = [
         case("nothing", &[], 0, &[]),
@@ -54,7 +54,7 @@
         let mut merged = MergedMatches::default();
         for (total, matches) in case.parts {
             let matches = matches.iter().map(|(id, score)| document(id, *score)).collect();
-            merged.absorb(*total, matches);
+            merged.add_part(*total, matches);
         }
         let (total, best) = merged.finish(LIMIT);
         let ids: Vec<_> = best.iter().map(|document| document.id.as_str()).collect();
--- a/crates/hawthorn-plan/tests/plan.rs
+++ b/crates/hawthorn-plan/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: one version, disjoint pieces, a reason for each key that is missing.
+//! Plans: one version, disjoint pieces, a reason for each missing key.
 
 mod support;
 
@@ -38,10 +38,9 @@
     plan::plan(&input, &plan::Options::default())
 }
 
-/// Every shard's versions, as (shard, zone) to versions.
 struct VersionCase {
     name: &'static str,
-    /// For each of four shards the versions in the own zone and in the other.
+    /// For each of four shards, the versions in the local and in the other zone.
     held: [(&'static [IndexVersion], &'static [IndexVersion]); 4],
     choice: VersionChoice,
     version: Option<IndexVersion>,
@@ -55,7 +54,7 @@
 const NONE: &[IndexVersion] = &[];
 
 #[test]
-fn the_newest_of_those_that_cover_most_is_chosen() -> TestResult {
+fn chooses_newest_version_with_highest_coverage() -> TestResult {
     let case = |name, held, version, pieces, missing| VersionCase {
         name,
         held,
@@ -64,8 +63,8 @@
         pieces,
         missing,
     };
-    let lacking = &[MissingReason::VersionMissing];
-    let off = &[MissingReason::NoReplica];
+    let missing_version = &[MissingReason::VersionMissing];
+    let no_replica = &[MissingReason::NoReplica];
     let arriving = [(BOTH, ONLY_OLD), (ONLY_OLD, ONLY_OLD), (BOTH, BOTH), (ONLY_OLD, BOTH)];
     let even = [(ONLY_OLD, BOTH), (ONLY_OLD, ONLY_OLD), (ONLY_NEW, ONLY_NEW), (BOTH, NONE)];
     let ahead = [(ONLY_OLD, ONLY_OLD), (ONLY_OLD, ONLY_OLD), (ONLY_NEW, ONLY_NEW), (BOTH, NONE)];
@@ -73,15 +72,15 @@
     let one_off = [(ONLY_OLD, NONE), (NONE, NONE), (ONLY_OLD, NONE), (ONLY_OLD, NONE)];
     let cases = [
         case("both everywhere", [(BOTH, BOTH); 4], Some(NEW), 4, &[]),
-        case("the new one has begun to arrive", arriving, Some(OLD), 4, &[]),
-        case("equal coverage goes to the newest", even, Some(NEW), 3, lacking),
-        case("one shard is ahead in both zones", ahead, Some(OLD), 3, lacking),
-        case("the other zone completes the new one", split, Some(NEW), 4, &[]),
-        case("a shard with no replica switched on", one_off, Some(OLD), 3, off),
-        case("nothing at all", [(NONE, NONE); 4], None, 0, off),
+        case("the new version is partially published", arriving, Some(OLD), 4, &[]),
+        case("equal coverage: the newest version wins", even, Some(NEW), 3, missing_version),
+        case("one shard is ahead in both zones", ahead, Some(OLD), 3, missing_version),
+        case("the other zone completes the new version", split, Some(NEW), 4, &[]),
+        case("a shard with no replica switched on", one_off, Some(OLD), 3, no_replica),
+        case("no replica holds any version", [(NONE, NONE); 4], None, 0, no_replica),
         VersionCase {
             choice: VersionChoice::NewerThan(OLD),
-            ..case("only newer ones are wanted", ahead, Some(NEW), 2, lacking)
+            ..case("only newer versions are allowed", ahead, Some(NEW), 2, missing_version)
         },
     ];
     for case in cases {
@@ -106,24 +105,23 @@
     name: &'static str,
     own_wait: u64,
     other_wait: u64,
-    /// How many of 1000 shards go to the other zone, least and most.
+    /// Bounds on how many of 1000 shards go to the other zone.
     shifted: (usize, usize),
 }
 
-/// Zone hall-kato is slow this second. All its fronts read the same report, all
-/// send everything to hall-krak, whose queue grows until the next report sends
-/// everything back: callers see latency swing between two zones that could
-/// together serve all of it.
+/// Guards against oscillation between zones: all fronts read the same lagging
+/// report, and if each shifted all its pieces, the zones would be overloaded in turn
+/// although together they can serve the load.
 #[test]
-fn work_shifts_between_zones_in_part() -> TestResult {
+fn load_shifts_partially_between_zones() -> TestResult {
     let case =
         |name, own_wait, other_wait, shifted| ZoneCase { name, own_wait, other_wait, shifted };
     let cases = [
         case("equal", 5, 5, (0, 0)),
         case("within the margin", 9, 5, (0, 0)),
         case("twice as long", 26, 10, (450, 550)),
-        case("cannot make the deadline here", 60, 10, (1000, 1000)),
-        case("cannot make it anywhere", 60, 58, (0, 0)),
+        case("the local zone misses the deadline", 60, 10, (1000, 1000)),
+        case("both zones miss the deadline", 60, 58, (0, 0)),
     ];
     for case in cases {
         let shards = (0..1000).map(|number| {
@@ -138,17 +136,17 @@
         let plan = plan::plan(&PlanInput { random: 11, ..first }, &plan::Options::default());
         let other = plan.batches.iter().find(|batch| batch.host == HostKey(1));
         let shifted = other.map_or(0, |batch| batch.pieces.len());
-        let (least, most) = case.shifted;
-        assert!((least..=most).contains(&shifted), "{}: {shifted}", case.name);
+        let (min, max) = case.shifted;
+        assert!((min..=max).contains(&shifted), "{}: {shifted}", case.name);
     }
     Ok(())
 }
 
-/// Half of a shard's keys have moved to its neighbour's targets and the
-/// inventory does not say so yet. Asked of the old shard they would come back
-/// unsearched, and each query would pay for a second round.
+/// Half of a shard's keys have moved to its neighbour's targets, and the inventory is
+/// not updated yet. If they were assigned to the old shard, every query would need a
+/// second round trip for them.
 #[test]
-fn moved_keys_are_asked_of_those_who_hold_them() -> TestResult {
+fn moved_keys_are_assigned_to_their_holders() -> TestResult {
     let mut shards = even_shards(2, 1, ONLY_OLD);
     let quarter = shards[0].range.len() / 2;
     let moved = KeyRange::new(quarter, shards[0].range.end);
@@ -163,7 +161,7 @@
 }
 
 #[test]
-fn one_message_goes_to_each_owner() -> TestResult {
+fn each_owner_gets_one_batch() -> TestResult {
     let plan = plan_of(&even_table(270, 3, BOTH));
     assert_eq!(plan.batches.len(), 1);
     assert_eq!(plan.piece_count(), 270);
@@ -171,22 +169,22 @@
 }
 
 #[test]
-fn a_plan_kept_is_as_a_fresh_one() -> TestResult {
-    let mut kept = QueryPlan::default();
+fn reused_plan_equals_new_plan() -> TestResult {
+    let mut reused = QueryPlan::default();
     for count in [7, 270, 1, 30] {
         let table = even_table(count, 3, BOTH);
         let input = PlanInput::first(&table, KeyRange::FULL, OWN, ms(50));
-        plan::plan_into(&input, &mut kept, &plan::Options::default());
-        let fresh = plan_of(&table);
+        plan::plan_into(&input, &mut reused, &plan::Options::default());
+        let new = plan_of(&table);
         assert_eq!(
-            (kept.version, &kept.batches, &kept.missing),
-            (fresh.version, &fresh.batches, &fresh.missing)
+            (reused.version, &reused.batches, &reused.missing),
+            (new.version, &new.batches, &new.missing)
         );
     }
     Ok(())
 }
 
-/// The same cases on every run.
+/// A test runner with a fixed seed.
 fn runner(cases: u32) -> TestRunner {
     let config = Config { cases, failure_persistence: None, ..Config::default() };
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]))
@@ -215,20 +213,20 @@
 type AnyShard = ((u32, u32), (u32, u32), Vec<(u32, Vec<u64>)>);
 
 #[test]
-fn pieces_and_gaps_make_up_exactly_the_range_asked() -> TestResult {
-    let asked = (0_u32..1200, 0_u32..1200).prop_map(|(a, b)| KeyRange::new(a.min(b), a.max(b)));
-    runner(2000).run(&(any_shards(), asked), |(shards, asked)| {
+fn pieces_and_missing_ranges_partition_the_request() -> TestResult {
+    let requested = (0_u32..1200, 0_u32..1200).prop_map(|(a, b)| KeyRange::new(a.min(b), a.max(b)));
+    runner(2000).run(&(any_shards(), requested), |(shards, requested)| {
         let table = ShardTable::new(shards);
-        let input = PlanInput::first(&table, asked, OWN, ms(50));
+        let input = PlanInput::first(&table, requested, OWN, ms(50));
         let plan = plan::plan(&input, &plan::Options::default());
         let mut union = RangeSet::default();
         let mut keys = 0_u64;
         let pieces = plan.batches.iter().flat_map(|batch| &batch.pieces);
         for piece in pieces.clone() {
             let record = table.shards().iter().find(|shard| shard.shard == piece.shard);
-            let record = record.ok_or_else(|| TestCaseError::fail("a piece of no shard"))?;
+            let record = record.ok_or_else(|| TestCaseError::fail("a piece without a shard"))?;
             let rest = RangeSet::from(piece.range).difference(&record.held);
-            prop_assert!(rest.is_empty(), "asked for keys it does not hold");
+            prop_assert!(rest.is_empty(), "planned for keys that the shard does not hold");
             let version = plan.version.ok_or_else(|| TestCaseError::fail("no version"))?;
             prop_assert!(
                 record
@@ -243,8 +241,8 @@
             keys += u64::from(range.len());
             union.insert(range);
         }
-        prop_assert_eq!(keys, u64::from(union.len()), "pieces or gaps overlap");
-        prop_assert_eq!(union, RangeSet::from(asked));
+        prop_assert_eq!(keys, u64::from(union.len()), "pieces or missing ranges overlap");
+        prop_assert_eq!(union, RangeSet::from(requested));
         Ok(())
     })?;
     Ok(())
--- a/crates/hawthorn-plan/tests/repartition.rs
+++ b/crates/hawthorn-plan/tests/repartition.rs
@@ -1,4 +1,4 @@
-//! Repartition while a query runs: what a second search costs, both ways.
+//! Cost of both repartition policies when a shard is split during a query.
 
 mod support;
 
@@ -30,12 +30,12 @@
 type TestResult = Result<(), Box<dyn Error>>;
 
 const SHARDS: u32 = 270;
-/// A target searches a whole shard in so long, a part of it in its part.
+/// Time a target needs to search a shard; proportional for a part of it.
 const SEARCH: Duration = Duration::from_millis(8);
-/// The way to an owner, its target, and back.
+/// Round trip to an owner and its target.
 const ROUND_TRIP: Duration = Duration::from_millis(3);
 
-/// Each shard has its own owner, so that each batch takes what its piece takes.
+/// Each shard has its own owner, so that a batch takes as long as its only piece.
 fn tables(moving: u32, divisor: u32) -> (ShardTable, ShardTable) {
     let mut shards = even_shards(SHARDS, 1, &[OLD]);
     for (number, shard) in (0..).zip(&mut shards) {
@@ -52,7 +52,7 @@
     (before, ShardTable::new(shards))
 }
 
-/// What the targets hold after the repartition.
+/// Answers as the targets do after the repartition.
 fn search(table: &ShardTable, send: &BatchSend) -> (Duration, Vec<PieceAnswer>) {
     let held = |host: HostKey| {
         let record = table.shards().iter().find(|shard| shard.options[0].owner == host);
@@ -64,8 +64,8 @@
         keys += searched.len();
         found(IndexVersion(send.version.0), searched)
     });
-    let whole = KeyRange::part(0, SHARDS).len();
-    (ROUND_TRIP + SEARCH.mul_f64(f64::from(keys) / f64::from(whole)), pieces)
+    let shard = KeyRange::part(0, SHARDS).len();
+    (ROUND_TRIP + SEARCH.mul_f64(f64::from(keys) / f64::from(shard)), pieces)
 }
 
 fn run(policy: RepartitionPolicy, moving: u32, divisor: u32) -> (Run, u32) {
@@ -92,46 +92,47 @@
     name: &'static str,
     moving: u32,
     divisor: u32,
-    /// Extra shard requests: the rest searched, and the whole piece.
-    rest: usize,
-    whole: usize,
+    /// Extra shard requests when the remainder or the piece is searched again.
+    remainder: usize,
+    piece: usize,
 }
 
-/// A shard is split while a query runs: its target answers for the half it
-/// kept. The caller would see half of a shard's filings missing from an answer
-/// that says it is complete, if ranges were not compared. Both remedies cover
-/// everything; searching the rest asks half as often and repeats nothing.
+/// A shard is split during a query, and its target answers only for the keys that it
+/// kept. Without comparing ranges, an answer with missing keys would count as
+/// complete. Both policies cover everything; searching only the remainder needs half
+/// the requests and repeats nothing.
 #[test]
-fn searching_the_rest_costs_less_than_the_whole_piece() -> TestResult {
+fn searching_the_remainder_costs_less_than_the_piece() -> TestResult {
     let cases = [
-        MoveCase { name: "half of one shard", moving: 1, divisor: 2, rest: 1, whole: 2 },
-        MoveCase { name: "a tenth of one shard", moving: 1, divisor: 10, rest: 1, whole: 2 },
-        MoveCase { name: "half of 20 shards", moving: 20, divisor: 2, rest: 20, whole: 40 },
+        MoveCase { name: "half of one shard", moving: 1, divisor: 2, remainder: 1, piece: 2 },
+        MoveCase { name: "a tenth of one shard", moving: 1, divisor: 10, remainder: 1, piece: 2 },
+        MoveCase { name: "half of 20 shards", moving: 20, divisor: 2, remainder: 20, piece: 40 },
     ];
     let mut figures = String::new();
     for case in cases {
-        let (rest, rest_keys) = run(RepartitionPolicy::SearchRest, case.moving, case.divisor);
-        let (whole, whole_keys) = run(RepartitionPolicy::WholePiece, case.moving, case.divisor);
-        for answer in [&rest.query, &whole.query] {
+        let (remainder, remainder_keys) =
+            run(RepartitionPolicy::SearchRemainder, case.moving, case.divisor);
+        let (piece, piece_keys) = run(RepartitionPolicy::RetryPiece, case.moving, case.divisor);
+        for answer in [&remainder.query, &piece.query] {
             assert_eq!(answer.coverage.fraction, 1.0, "{}: {:?}", case.name, answer.coverage);
             assert_eq!(answer.version, Some(OLD), "{}", case.name);
         }
-        assert_eq!(rest.sent - SHARDS as usize, case.rest, "{}", case.name);
-        assert_eq!(whole.sent - SHARDS as usize, case.whole, "{}", case.name);
-        assert!(rest.at <= whole.at, "{}: {:?} {:?}", case.name, rest.at, whole.at);
-        assert!(rest_keys < whole_keys, "{}", case.name);
-        let retried = rest.query.counts.retried(RetryReason::Repartitioned);
-        assert_eq!(retried as usize, case.rest, "{}", case.name);
+        assert_eq!(remainder.sent - SHARDS as usize, case.remainder, "{}", case.name);
+        assert_eq!(piece.sent - SHARDS as usize, case.piece, "{}", case.name);
+        assert!(remainder.at <= piece.at, "{}: {:?} {:?}", case.name, remainder.at, piece.at);
+        assert!(remainder_keys < piece_keys, "{}", case.name);
+        let retried = remainder.query.counts.retried(RetryReason::Repartitioned);
+        assert_eq!(retried as usize, case.remainder, "{}", case.name);
         let shard = f64::from(KeyRange::part(0, SHARDS).len());
         figures += &format!(
             "{}: rest {} requests, {:.2} shards searched again, done at {:.1} ms; whole {}, {:.2}, {:.1} ms\n",
             case.name,
-            case.rest,
-            f64::from(rest_keys) / shard,
-            rest.at.as_secs_f64() * 1e3,
-            case.whole,
-            f64::from(whole_keys) / shard,
-            whole.at.as_secs_f64() * 1e3,
+            case.remainder,
+            f64::from(remainder_keys) / shard,
+            remainder.at.as_secs_f64() * 1e3,
+            case.piece,
+            f64::from(piece_keys) / shard,
+            piece.at.as_secs_f64() * 1e3,
         );
     }
     insta::assert_snapshot!(figures, @r"
@@ -142,10 +143,10 @@
     Ok(())
 }
 
-/// The keys that moved are at no target that the front knows of. The answer
-/// says so instead of circling.
+/// No known target holds the moved keys: they are reported as missing instead of
+/// being retried until the deadline.
 #[test]
-fn keys_that_nobody_holds_are_missing_as_repartitioned() -> TestResult {
+fn keys_without_holder_are_missing_as_repartitioned() -> TestResult {
     let table = ShardTable::new(even_shards(4, 1, &[OLD]));
     let kept = RangeSet::from(KeyRange::new(0, 1000));
     let mut budget = budget_of(100);
@@ -166,6 +167,6 @@
     assert_eq!(missing.len(), 1);
     assert_eq!(missing[0].range, KeyRange::new(1000, KeyRange::part(0, 4).end));
     assert_eq!(missing[0].reason, MissingReason::Repartitioned);
-    assert_eq!(run.at, ms(5), "told at once");
+    assert_eq!(run.at, ms(5), "answered immediately");
     Ok(())
 }
--- a/crates/hawthorn-plan/tests/support/mod.rs
+++ b/crates/hawthorn-plan/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Tables of shards, answers of owners, and a front in virtual time.
+//! Shard tables, owners' answers, and a front in virtual time.
 #![allow(dead_code)]
 
 pub mod virtual_front;
@@ -77,7 +77,7 @@
     TrackContext { now, table, local_zone: OWN, budget }
 }
 
-/// One document at the first key searched.
+/// A document without text.
 pub fn document(key: u32, id: &str, score: f32) -> DocumentMatch {
     DocumentMatch { key, id: id.to_owned(), score, text: String::new() }
 }
@@ -100,7 +100,7 @@
     send.pieces.iter().map(answer).collect()
 }
 
-/// One query in one front, driven event by event.
+/// A front with one query, driven event by event.
 pub struct Front {
     pub table: ShardTable,
     pub budget: RetryBudget,
@@ -113,7 +113,7 @@
 }
 
 impl Front {
-    /// Starts a query with 50 ms to go.
+    /// Starts a query over all keys with a deadline of 50 ms.
     pub fn start(table: ShardTable, budget: u32) -> Self {
         Self::start_for(KeyRange::FULL, table, budget)
     }
@@ -131,19 +131,19 @@
         let query = TrackedQuery { range, ..query(ms(50)) };
         let mut context = context(ms(0), &front.table, &mut front.budget);
         let step = track::start(query, &mut context, track::Options::default());
-        front.take(step);
+        front.apply(step);
         front
     }
 
-    /// Gives one event at a moment in milliseconds; `Err` when the query is over.
+    /// Handles an event at `at` milliseconds; `Err` when the query is finished.
     pub fn event(&mut self, at: u64, event: Event) -> Result<(), String> {
-        let track = self.track.take().ok_or("the query is over")?;
+        let track = self.track.take().ok_or("the query is finished")?;
         let step = track.step(event, &mut context(ms(at), &self.table, &mut self.budget));
-        self.take(step);
+        self.apply(step);
         Ok(())
     }
 
-    /// Answers the batch sent as number `batch`.
+    /// Answers the batch with index `batch` in the order of sending.
     pub fn answer(
         &mut self,
         at: u64,
@@ -156,18 +156,18 @@
         self.event(at, Event::BatchAnswered { batch, host, pieces })
     }
 
-    /// Answers a batch with everything that was asked of it.
+    /// Answers a batch with all requested keys searched.
     pub fn answer_all(&mut self, at: u64, batch: usize) -> Result<(), String> {
         let version = self.sent[batch].version;
         self.answer(at, batch, |piece| found(version, piece.range.into()))
     }
 
-    /// The answer to the query; `Err` while it is not over.
+    /// The answer to the query; `Err` while it is not finished.
     pub fn finished(&self) -> Result<&FinishedQuery, String> {
         self.answer.as_ref().ok_or_else(|| format!("still waiting: {:?}", self.track))
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         let actions = match step {
             Step::Waiting(track, actions) => {
                 self.track = Some(track);
--- a/crates/hawthorn-plan/tests/support/virtual_front.rs
+++ b/crates/hawthorn-plan/tests/support/virtual_front.rs
@@ -16,20 +16,20 @@
 
 use super::context;
 
-/// What an owner does with a batch: after how long it answers, and what.
-/// `None` when it never does.
+/// Maps a batch and its send time to the delay and the answers of its owner; `None`
+/// when the owner never answers.
 pub type Owner<'a> = dyn FnMut(&BatchSend, Duration) -> Option<(Duration, Vec<PieceAnswer>)> + 'a;
 
-/// How a query went.
+/// The result of a simulated query.
 pub struct Run {
     pub query: FinishedQuery,
-    /// When the answer left.
+    /// When the answer was sent.
     pub at: Duration,
-    /// Every piece sent, all attempts.
+    /// Pieces sent, including retries.
     pub sent: usize,
 }
 
-/// Runs one query to its end. `table` gives the table known at a moment.
+/// Runs one query until it finishes. `table` returns the table known at a time.
 pub fn run(
     query: TrackedQuery,
     options: track::Options,
@@ -41,8 +41,8 @@
     let mut sent = 0;
     let mut due: BTreeMap<(Duration, u32), Event> = BTreeMap::new();
     let mut wake = Duration::MAX;
-    let known = table(now);
-    let mut step = track::start(query, &mut context(now, &known, budget), options);
+    let shards = table(now);
+    let mut step = track::start(query, &mut context(now, &shards, budget), options);
     loop {
         let (track, actions) = match step {
             Step::Waiting(track, actions) => (track, actions),
@@ -64,7 +64,7 @@
         }
         let event = match due.first_key_value() {
             Some((&(at, _), _)) if at <= wake => {
-                let ((at, _), event) = due.pop_first().expect("the first was just seen");
+                let ((at, _), event) = due.pop_first().expect("the first entry was just read");
                 now = at;
                 event
             }
@@ -73,7 +73,7 @@
                 Event::Timer
             }
         };
-        let known = table(now);
-        step = track.step(event, &mut context(now, &known, budget));
+        let shards = table(now);
+        step = track.step(event, &mut context(now, &shards, budget));
     }
 }
--- a/crates/hawthorn-plan/tests/track.rs
+++ b/crates/hawthorn-plan/tests/track.rs
@@ -1,4 +1,4 @@
-//! The life of one query, told as stories of what goes wrong on its way.
+//! Tracking of one query through failures of owners, targets and answers.
 
 mod support;
 
@@ -33,7 +33,7 @@
     PieceOutcome::VersionRetired { versions: vec![NEW] }
 }
 
-/// The version is gone, and no other has come yet.
+/// The version is retired, and the target holds no other version yet.
 fn dropped() -> PieceOutcome {
     PieceOutcome::VersionRetired { versions: Vec::new() }
 }
@@ -43,8 +43,8 @@
     move |piece| if piece.piece.0 == id { retired() } else { found(OLD, piece.range.into()) }
 }
 
-/// Six shards, of which the first `count` hold `versions` and the others the old one.
-fn renewed(count: usize, zones: u32, versions: &[IndexVersion]) -> ShardTable {
+/// Six shards: the first `count` hold `versions`, the others the old one.
+fn upgraded(count: usize, zones: u32, versions: &[IndexVersion]) -> ShardTable {
     let mut shards = even_shards(6, zones, &[OLD]);
     for option in shards[..count].iter_mut().flat_map(|shard| &mut shard.options) {
         option.versions = versions.iter().copied().collect();
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_query_is_whole_when_every_owner_answers() -> TestResult {
+fn query_completes_when_every_owner_answers() -> TestResult {
     let mut front = Front::start(even_table(6, 1, &[OLD]), 0);
     assert_eq!(front.sent.len(), 1);
     front.answer_all(4, 0)?;
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn nothing_to_search_is_answered_at_once() -> TestResult {
+fn empty_plan_is_answered_immediately() -> TestResult {
     let front = Front::start(even_table(6, 1, &[]), 6);
     let answer = front.finished()?;
     assert_eq!((answer.version, answer.coverage.fraction), (None, 0.0));
@@ -76,35 +76,35 @@
     reason: MissingReason,
     budget: u32,
     now: u64,
-    /// Why another zone is asked, or what is told of the range if none is.
-    then: Result<RetryReason, MissingReason>,
+    /// The reason of the retry in another zone, or of the missing range without a retry.
+    expected: Result<RetryReason, MissingReason>,
 }
 
-/// Everything fails in the own zone. Where another zone can help and is allowed
-/// to, it is asked at the same version. Where it cannot, the caller gets its
-/// answer at once and not at the deadline.
+/// All pieces fail in the local zone. They fall back to another zone at the same
+/// version where that can help and the limits allow it; otherwise the caller gets its
+/// answer immediately instead of at the deadline.
 #[test]
-fn a_failed_piece_falls_back_or_is_told_at_once() -> TestResult {
+fn failed_piece_falls_back_or_is_reported_immediately() -> TestResult {
     use MissingReason::*;
-    let case = |reason, then| FailureCase { reason, budget: 6, now: 10, then };
+    let case = |reason, expected| FailureCase { reason, budget: 6, now: 10, expected };
     let cases = [
         case(Shedding, Ok(RetryReason::Shedding)),
         case(QueuedPastDeadline, Ok(RetryReason::Shedding)),
         case(NoReplica, Ok(RetryReason::ConnectionFailed)),
         case(Unreachable, Ok(RetryReason::ConnectionFailed)),
         case(BadAnswer, Ok(RetryReason::CrossedAnswer)),
-        // The same everywhere, too late already, and retried enough at the owner.
+        // Not retried: same result everywhere, deadline past, budget spent at the owner.
         case(AnswerTooLarge, Err(AnswerTooLarge)),
         case(DeadlinePast, Err(DeadlinePast)),
         case(BudgetSpent, Err(BudgetSpent)),
-        // Retried enough at this front, and no time for the way there.
+        // Not retried: budget of this front spent, no time for the round trip.
         FailureCase { budget: 0, ..case(Shedding, Err(BudgetSpent)) },
         FailureCase { now: 46, ..case(Shedding, Err(Shedding)) },
     ];
-    for FailureCase { reason, budget, now, then } in cases {
+    for FailureCase { reason, budget, now, expected } in cases {
         let mut front = Front::start(even_table(6, 2, &[OLD]), budget);
         front.answer(now, 0, |_| PieceOutcome::Missing(reason))?;
-        match then {
+        match expected {
             Ok(retry) => {
                 let second = &front.sent[1];
                 assert_eq!((second.host, second.version), (HostKey(1), OLD), "{reason}");
@@ -113,22 +113,21 @@
                 assert_eq!(answer.coverage.fraction, 1.0, "{reason}");
                 assert_eq!(answer.counts.retried(retry), 6, "{reason}");
             }
-            Err(told) => {
+            Err(reported) => {
                 let answer = front.finished().map_err(|error| format!("{reason}: {error}"))?;
                 assert_eq!(answer.coverage.fraction, 0.0, "{reason}");
                 let missing = &answer.coverage.missing;
-                assert!(missing.iter().all(|it| it.reason == told), "{reason}: {missing:?}");
+                assert!(missing.iter().all(|it| it.reason == reported), "{reason}: {missing:?}");
             }
         }
     }
     Ok(())
 }
 
-/// A clerk's conflict check runs while version 8 is published. The targets drop
-/// version 7 with half of the answer in hand. Kept, that half would be merged
-/// with the newer half, and a filing moved between them counted twice or never.
+/// The targets retire version 7 when half of the answer has arrived. Merging that half
+/// with a half of version 8 would count documents that moved in between twice or never.
 #[test]
-fn a_version_retired_mid_query_starts_the_whole_query_over() -> TestResult {
+fn version_retired_mid_query_restarts_the_query() -> TestResult {
     let two_owners = |versions| {
         let mut shards = even_shards(6, 1, versions);
         for shard in &mut shards[3..] {
@@ -143,7 +142,7 @@
     let new = &front.sent[2..];
     assert!(new.iter().all(|send| send.version == NEW));
     assert_eq!(new.iter().map(|send| send.pieces.len()).sum::<usize>(), 6);
-    // An answer of the old version that comes now is dropped.
+    // A late answer of the old version is dropped.
     front.answer_all(6, 1)?;
     front.answer_all(9, 2)?;
     front.answer_all(9, 3)?;
@@ -158,69 +157,76 @@
 struct RetiredCase {
     name: &'static str,
     zones: u32,
-    /// Shards that hold the new version by then.
-    renewed: usize,
+    /// Shards that hold the new version when the event arrives.
+    upgraded: usize,
     budget: u32,
     now: u64,
     /// Whether all six pieces are retired, or only the first.
     all: bool,
-    then: Then,
+    expected: Recovery,
 }
 
 #[derive(Debug, PartialEq)]
-enum Then {
-    /// So many pieces go to another zone at the old version.
+enum Recovery {
+    /// This many pieces go to another zone at the old version.
     FallBack(usize),
-    PlanAnew,
-    /// The old version is answered without the retired range.
+    Replan,
+    /// The query finishes at the old version without the retired range.
     Missing,
 }
 
-/// Targets drop version 7 while queries run: one ahead of its peers, or all.
-/// Going on to version 8 may answer from a sixth of the index; staying may ask
-/// for what is gone everywhere. What covers more is done, what costs less first.
+/// Targets retire version 7 during queries, one ahead of its peers or all together.
+/// Switching to version 8 may cover only a part of the index, and staying may request
+/// what no target holds any more. Recovery prefers the higher coverage, then the lower
+/// cost.
 #[test]
-fn a_retired_version_is_met_by_what_covers_most() -> TestResult {
-    let case = |name, then| RetiredCase {
+fn retired_version_recovery_maximizes_coverage() -> TestResult {
+    let case = |name, expected| RetiredCase {
         name,
         zones: 1,
-        renewed: 6,
+        upgraded: 6,
         budget: 9,
         now: 5,
         all: false,
-        then,
+        expected,
     };
     let cases = [
-        case("all have the new one", Then::PlanAnew),
-        RetiredCase { renewed: 1, ..case("only one has it", Then::Missing) },
-        RetiredCase { renewed: 5, ..case("as many as the old one", Then::Missing) },
-        RetiredCase { now: 41, ..case("no time is left", Then::Missing) },
-        RetiredCase { budget: 4, ..case("no budget for what is thrown away", Then::Missing) },
-        RetiredCase { zones: 2, ..case("another zone holds the old one", Then::FallBack(1)) },
-        RetiredCase { zones: 2, all: true, ..case("dropped for all pieces", Then::PlanAnew) },
+        case("all have the new version", Recovery::Replan),
+        RetiredCase { upgraded: 1, ..case("only one has the new version", Recovery::Missing) },
+        RetiredCase {
+            upgraded: 5,
+            ..case("no more coverage than the old version", Recovery::Missing)
+        },
+        RetiredCase { now: 41, ..case("no time is left", Recovery::Missing) },
+        RetiredCase { budget: 4, ..case("no budget for the parts discarded", Recovery::Missing) },
+        RetiredCase {
+            zones: 2,
+            ..case("another zone holds the old version", Recovery::FallBack(1))
+        },
+        RetiredCase { zones: 2, all: true, ..case("dropped for all pieces", Recovery::Replan) },
         RetiredCase {
             zones: 2,
             all: true,
-            renewed: 3,
-            ..case("dropped for all, half renewed", Then::FallBack(6))
+            upgraded: 3,
+            ..case("dropped for all, half upgraded", Recovery::FallBack(6))
         },
     ];
     for case in cases {
         let mut front = Front::start(even_table(6, case.zones, &[OLD]), case.budget);
-        front.table = renewed(case.renewed, case.zones, &[OLD, NEW]);
+        front.table = upgraded(case.upgraded, case.zones, &[OLD, NEW]);
         match case.all {
-            // With half renewed, the targets asked are among the others.
-            true if case.renewed < 6 => front.answer(case.now, 0, |_| dropped())?,
+            // With half upgraded, the targets asked hold no version at all.
+            true if case.upgraded < 6 => front.answer(case.now, 0, |_| dropped())?,
             true => front.answer(case.now, 0, |_| retired())?,
             false => front.answer(case.now, 0, retired_at(0))?,
         }
-        let then = match front.sent.get(1) {
-            Some(send) if send.version == NEW => Then::PlanAnew,
-            Some(send) => Then::FallBack(send.pieces.len()),
-            None => Then::Missing,
+        let actual = match front.sent.get(1) {
+            Some(send) if send.version == NEW => Recovery::Replan,
+            Some(send) => Recovery::FallBack(send.pieces.len()),
+            None => Recovery::Missing,
         };
-        assert_eq!(then, case.then, "{}", case.name);
-        if then == Then::Missing {
+        assert_eq!(actual, case.expected, "{}", case.name);
+        if actual == Recovery::Missing {
             let answer = front.finished().map_err(|error| format!("{}: {error}", case.name))?;
             assert_eq!((answer.version, answer.total), (Some(OLD), 5), "{}", case.name);
             let missing = &answer.coverage.missing;
@@ -232,14 +238,14 @@
     Ok(())
 }
 
-/// The host that owns the zone's targets loses power with everything unanswered.
-/// Its connection breaks; the caller would see an empty answer although every
+/// The host that owns the zone's targets fails before it has answered, and its
+/// connection breaks. Without a fallback the answer would be empty although every
 /// shard has a replica in the other zone.
 #[test]
-fn a_lost_owner_is_replaced_by_another_zones() -> TestResult {
+fn lost_owner_is_replaced_by_another_zone() -> TestResult {
     let mut front = Front::start(even_table(6, 2, &[OLD]), 6);
     front.event(3, Event::OwnerLost(HostKey(0)))?;
-    // It was not dead after all: its answer comes late and is not used twice.
+    // The owner was alive: its late answer must not be counted twice.
     front.answer_all(4, 0)?;
     front.answer_all(8, 1)?;
     let answer = front.finished()?;
@@ -248,10 +254,10 @@
     Ok(())
 }
 
-/// A partition swallows every message to one zone. Nothing breaks, nothing
-/// answers, and heartbeats take longer to tell than the caller waits.
+/// A partition drops every message to one zone: no connection breaks, no answer
+/// arrives, and heartbeats detect it only after the deadline.
 #[test]
-fn a_silent_owner_is_hedged_by_another_zone() -> TestResult {
+fn silent_owner_is_hedged_by_another_zone() -> TestResult {
     let mut front = Front::start(even_table(6, 2, &[OLD]), 6);
     assert_eq!(front.wake, ms(24));
     front.event(24, Event::Timer)?;
@@ -263,10 +269,10 @@
     Ok(())
 }
 
-/// Nothing answers, in any zone. The caller still gets an answer in time, one
-/// that claims nothing.
+/// No owner answers in any zone. The caller still gets an answer before its deadline,
+/// with no coverage.
 #[test]
-fn everything_late_is_told_in_time() -> TestResult {
+fn answers_in_time_when_no_owner_responds() -> TestResult {
     let mut front = Front::start(even_table(6, 2, &[OLD]), 6);
     for now in [24, 36, 48] {
         front.event(now, Event::Timer)?;
@@ -279,10 +285,10 @@
     Ok(())
 }
 
-/// Two answers change places on their way. Merged, a ship agent would read
-/// another agent's orders as its own.
+/// Answers are delivered to the wrong request. Merging them would return one caller's
+/// documents to another.
 #[test]
-fn an_answer_to_something_else_is_dropped_and_counted() -> TestResult {
+fn unmatched_answers_are_dropped_and_counted() -> TestResult {
     for (name, batch, host, piece) in
         [("unknown batch", 9, 0, 0), ("another owner", 0, 1, 0), ("unknown piece", 0, 0, 9)]
     {
@@ -301,25 +307,25 @@
     Ok(())
 }
 
-/// A target answers its own request with something that cannot be true of it.
+/// A target answers with a version, range or total that contradicts the request.
 #[test]
-fn an_answer_that_cannot_be_true_covers_nothing() -> TestResult {
-    let asked = KeyRange::part(0, 2);
-    let beyond = RangeSet::from(KeyRange::new(0, asked.end + 1));
+fn invalid_answers_cover_nothing() -> TestResult {
+    let requested = KeyRange::part(0, 2);
+    let outside = RangeSet::from(KeyRange::new(0, requested.end + 1));
     let one_match = |key, total| PieceOutcome::Answered {
         version: OLD,
-        searched: asked.into(),
+        searched: requested.into(),
         total,
         matches: vec![document(key, "a", 1.0)],
     };
     let cases = [
-        ("another version", found(NEW, asked.into())),
-        ("more than was asked", found(OLD, beyond)),
-        ("a match outside", one_match(asked.end, 1)),
+        ("another version", found(NEW, requested.into())),
+        ("more than requested", found(OLD, outside)),
+        ("a match outside the range", one_match(requested.end, 1)),
         ("more matches than total", one_match(0, 0)),
     ];
     for (name, outcome) in cases {
-        let mut front = Front::start_for(asked, even_table(1, 1, &[OLD]), 6);
+        let mut front = Front::start_for(requested, even_table(1, 1, &[OLD]), 6);
         front.answer(5, 0, |_| outcome.clone())?;
         let answer = front.finished()?;
         assert_eq!((answer.total, answer.coverage.fraction), (0, 0.0), "{name}");
--- a/crates/hawthorn-plan/tests/window.rs
+++ b/crates/hawthorn-plan/tests/window.rs
@@ -1,4 +1,4 @@
-//! Windows of callers under floods and saturation, in virtual time.
+//! Callers' concurrency windows under floods and saturation, in virtual time.
 
 use std::error::Error;
 use std::time::Duration;
@@ -9,67 +9,67 @@
 
 type TestResult = Result<(), Box<dyn Error>>;
 
-/// Queries that the targets of this test can do at once without a queue.
+/// Queries that the simulated targets serve concurrently without a queue.
 const SLOTS: f64 = 6.0;
-/// One query without a wait.
+/// Service time of a query without queueing.
 const SERVICE: Duration = Duration::from_millis(10);
 
-fn end(queue_wait: Duration, rejected: bool) -> QueryFeedback {
+fn feedback(queue_wait: Duration, rejected: bool) -> QueryFeedback {
     QueryFeedback { queue_wait, rejected, elapsed: SERVICE + queue_wait }
 }
 
-/// The wait that a closed loop of `held` queries sees at the targets.
-fn wait_of(held: f64) -> Duration {
-    SERVICE.mul_f64((held / SLOTS - 1.0).max(0.0))
+/// The queue wait of a closed loop of `in_flight` queries.
+fn wait_of(in_flight: f64) -> Duration {
+    SERVICE.mul_f64((in_flight / SLOTS - 1.0).max(0.0))
 }
 
-/// A member floods: as fast as one query ends it sends the next. Without a
-/// window its queries wait in front of the targets until their deadlines pass.
-/// The window settles where the wait is about what may stand, and stays there.
+/// A caller floods in a closed loop. Without a window its queries would queue until
+/// their deadlines pass. The window must converge to about the standing wait and stay
+/// there.
 #[test]
-fn a_flood_settles_at_a_short_wait() -> TestResult {
+fn flood_converges_to_a_short_wait() -> TestResult {
     let options = Options::default();
     let mut window = CallerWindow::default();
     let mut now = Duration::ZERO;
     let mut waits = Vec::new();
     for _ in 0..4_000 {
-        let held = window.size(&options).floor();
-        let wait = wait_of(held);
-        now += (SERVICE + wait).div_f64(held);
-        window.update(now, held as u32, &end(wait, false), &options);
+        let in_flight = window.size(&options).floor();
+        let wait = wait_of(in_flight);
+        now += (SERVICE + wait).div_f64(in_flight);
+        window.update(now, in_flight as u32, &feedback(wait, false), &options);
         waits.push(wait);
     }
     let settled = &waits[1_000..];
-    let worst = settled.iter().max().ok_or("waits were noted")?;
-    let least = settled.iter().min().ok_or("waits were noted")?;
+    let worst = settled.iter().max().ok_or("waits were recorded")?;
+    let shortest = settled.iter().min().ok_or("waits were recorded")?;
     assert!(*worst <= options.standing_wait * 2, "worst wait {worst:?}");
-    assert!(*least > Duration::ZERO, "targets idle while the flood is turned away");
+    assert!(*shortest > Duration::ZERO, "targets idle while the flood is rejected");
     Ok(())
 }
 
-struct LearnCase {
+struct UpdateCase {
     name: &'static str,
-    held: u32,
-    end: QueryFeedback,
+    in_flight: u32,
+    feedback: QueryFeedback,
     grows: Option<bool>,
 }
 
 #[test]
-fn a_window_moves_only_for_a_reason() -> TestResult {
+fn window_changes_only_on_evidence() -> TestResult {
     let short = Duration::from_millis(2);
     let long = Duration::from_millis(80);
-    let case = |name, held, end, grows| LearnCase { name, held, end, grows };
+    let case = |name, in_flight, feedback, grows| UpdateCase { name, in_flight, feedback, grows };
     let cases = [
-        case("used and no wait", 16, end(short, false), Some(true)),
-        case("not used", 1, end(short, false), None),
-        case("a wait that stands", 2, end(long, false), Some(false)),
-        case("turned away", 2, end(short, true), Some(false)),
+        case("used, without a wait", 16, feedback(short, false), Some(true)),
+        case("not used", 1, feedback(short, false), None),
+        case("a standing queue", 2, feedback(long, false), Some(false)),
+        case("rejected", 2, feedback(short, true), Some(false)),
     ];
     let options = Options::default();
     for case in cases {
         let mut window = CallerWindow::default();
         let before = window.size(&options);
-        window.update(Duration::from_secs(1), case.held, &case.end, &options);
+        window.update(Duration::from_secs(1), case.in_flight, &case.feedback, &options);
         let after = window.size(&options);
         let grows = (after != before).then_some(after > before);
         assert_eq!(grows, case.grows, "{}", case.name);
@@ -77,26 +77,26 @@
     Ok(())
 }
 
-/// A burst is turned away: forty queries in flight all say so within one
-/// moment. Forty cuts would close the door for seconds over one burst.
+/// Forty queries in flight report the same burst at the same time. Shrinking for each
+/// would close the window for seconds.
 #[test]
-fn one_burst_cuts_once() -> TestResult {
+fn one_burst_shrinks_the_window_once() -> TestResult {
     let options = Options::default();
     let mut window = CallerWindow::default();
     let at = Duration::from_secs(1);
-    for held in (1..=40).rev() {
-        window.update(at, held, &end(Duration::from_millis(80), true), &options);
+    for in_flight in (1..=40).rev() {
+        window.update(at, in_flight, &feedback(Duration::from_millis(80), true), &options);
     }
     assert_eq!(window.size(&options), options.initial * options.decrease_factor);
     Ok(())
 }
 
 #[test]
-fn the_door_never_closes_for_good() -> TestResult {
+fn window_never_closes_completely() -> TestResult {
     let options = Options::default();
     let mut window = CallerWindow::default();
     for second in 0..200 {
-        window.update(Duration::from_secs(second), 1, &end(SERVICE, true), &options);
+        window.update(Duration::from_secs(second), 1, &feedback(SERVICE, true), &options);
     }
     assert!(window.allows(0, &options));
     assert!(!window.allows(1, &options));
