--- a/crates/hawthorn-types/src/caller.rs
+++ b/crates/hawthorn-types/src/caller.rs
@@ -1,4 +1,4 @@
-//! The contract between callers and the tier, JSON over HTTP/1.1.
+//! The API between callers and the tier, JSON over HTTP/1.1.
 //!
 //! `POST /v1/query` takes a [`SearchQuery`], `POST /v1/request` takes a
 //! [`OnceRequest`]; both answer a [`CallerAnswer`].
@@ -20,7 +20,7 @@
 use crate::UnknownReason;
 use crate::target::DocumentMatch;
 
-/// How much a late answer hurts.
+/// Urgency of a query.
 #[derive(
     Clone,
     Copy,
@@ -42,10 +42,10 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum UrgencyClass {
-    /// A late answer does harm: stem checks, barge slots, conflict checks.
+    /// Latency-sensitive: stem checks, barge slots, conflict checks.
     #[default]
     Urgent,
-    /// May wait a little, but must not be lost: invoice look-ups.
+    /// Tolerates delay but must not be lost: invoice look-ups.
     Normal,
 }
 
@@ -63,12 +63,12 @@
     /// The keys to search; the whole key space when absent.
     #[serde(default)]
     pub range: Option<KeyRange>,
-    /// At most so many matches, best first.
+    /// Maximum number of matches, best first.
     #[serde(default = "default_limit")]
     pub limit: u32,
-    /// Milliseconds the caller waits.
+    /// Milliseconds that the caller waits for the answer.
     pub deadline_ms: u64,
-    /// How much a late answer hurts.
+    /// Urgency of the query.
     #[serde(default)]
     pub urgency: UrgencyClass,
     /// The caller's own id for this request, echoed.
@@ -76,7 +76,7 @@
     pub request_id: Option<String>,
 }
 
-/// The number of matches returned when a query does not say.
+/// Default of [`SearchQuery::limit`].
 pub const DEFAULT_LIMIT: u32 = 100;
 
 fn default_limit() -> u32 {
@@ -94,9 +94,9 @@
     pub service: String,
     /// The key that chooses the shard.
     pub key: u32,
-    /// What to do, opaque to the tier.
+    /// The request body, opaque to the tier.
     pub body: String,
-    /// Milliseconds the caller waits.
+    /// Milliseconds that the caller waits for the answer.
     pub deadline_ms: u64,
     /// The caller's own id, `SECONDS-REST`: the Unix time at which the caller
     /// made the request, a hyphen, and anything unique. Sent unchanged when
@@ -104,20 +104,20 @@
     pub request_id: String,
 }
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema, Display, IntoStaticStr,
 )]
 #[serde(rename_all = "kebab-case", tag = "outcome", content = "reason")]
 #[strum(serialize_all = "kebab-case")]
 pub enum CallerOutcome {
-    /// It ran; for a query, see the coverage.
+    /// The request ran; for a query, see the coverage.
     Answer,
-    /// It did not run and will not.
+    /// The request did not run and will not run.
     NotRun(RefusalReason),
-    /// It may have run.
+    /// The request may have run.
     Unknown(UnknownReason),
-    /// It ran and failed.
+    /// The request ran and failed.
     Failed(FailureReason),
 }
 
@@ -126,14 +126,14 @@
 pub struct MissingRange {
     /// The keys that were not searched.
     pub range: KeyRange,
-    /// Why.
+    /// The reason.
     pub reason: MissingReason,
 }
 
-/// What part of the keys asked for the answer covers, at its one version.
+/// The part of the requested keys that the answer covers, at its index version.
 #[derive(Clone, Debug, PartialEq, Default, Serialize, Deserialize, JsonSchema)]
 pub struct AnswerCoverage {
-    /// Keys covered over keys asked for, 0 to 1. Exactly 1 only when none is missing.
+    /// Ratio of covered to requested keys, 0 to 1. Exactly 1 only when none is missing.
     pub fraction: f64,
     /// The keys covered, ascending.
     pub covered: Vec<KeyRange>,
@@ -141,13 +141,13 @@
     pub missing: Vec<MissingRange>,
 }
 
-/// The configuration an answer was made under.
+/// The configuration under which an answer was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Serialize, Deserialize, JsonSchema)]
 pub struct ConfigStamp {
     /// The revision in force at the host that answered.
     pub revision: ConfigRevision,
-    /// Milliseconds since that host last heard, from the store or a peer that
-    /// had, that this revision is the newest.
+    /// Milliseconds since that host last received confirmation, from the store or
+    /// through a peer, that this revision is the newest.
     pub age_ms: u64,
 }
 
@@ -159,29 +159,29 @@
     /// The caller's own request id, echoed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request_id: Option<String>,
-    /// What became of it.
+    /// The outcome.
     #[serde(flatten)]
     pub outcome: CallerOutcome,
-    /// When a refused request is worth sending again, in milliseconds.
+    /// Milliseconds to wait before retrying a refused request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// The one index version that the whole answer was read at.
+    /// The index version of all matches.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub index_version: Option<IndexVersion>,
     /// What the answer covers; absent for a non-idempotent request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub coverage: Option<AnswerCoverage>,
-    /// The configuration it was made under.
+    /// The configuration under which the answer was made.
     pub configuration: ConfigStamp,
-    /// How many documents matched in the ranges covered.
+    /// Number of documents that matched in the ranges covered.
     #[serde(default)]
     pub total: u64,
-    /// The matches, best first; fewer than `total` when the limit cut them.
+    /// The matches, best first; fewer than `total` when limited.
     #[serde(default)]
     pub matches: Vec<DocumentMatch>,
-    /// What the target said, for a non-idempotent request that ran.
+    /// The target's result, for a non-idempotent request that ran.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub result: Option<String>,
-    /// Milliseconds the tier spent.
+    /// Milliseconds spent in the tier.
     pub elapsed_ms: u64,
 }
--- a/crates/hawthorn-types/src/key.rs
+++ b/crates/hawthorn-types/src/key.rs
@@ -1,8 +1,7 @@
 //! Small `Copy` keys into arenas, and the identifiers that cross processes.
 //!
-//! A `*Key` is an index into an arena that one process built from one
-//! configuration revision: it never travels between processes. A `*Id` or
-//! `*Name` does travel.
+//! A `*Key` is an index into an arena that a process built from one configuration
+//! revision, and is never sent to another process. A `*Id` or `*Name` may be sent.
 
 use std::fmt;
 
@@ -60,8 +59,8 @@
     ZoneKey
 );
 
-/// Names one caller request inside the tier: random, 128 bits, so that two
-/// hosts never hand out the same one.
+/// Identifies a caller's request inside the tier: 128 random bits, so that ids
+/// assigned by different hosts do not collide.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestId(pub u128);
@@ -78,8 +77,8 @@
     }
 }
 
-/// Names one attempt of a request at one target. Unique within the host that
-/// made it, which together with the [`RequestId`] makes it unique everywhere.
+/// Identifies one attempt of a request at one target. Unique within the host that
+/// made the attempt, and globally together with the [`RequestId`].
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
--- a/crates/hawthorn-types/src/lib.rs
+++ b/crates/hawthorn-types/src/lib.rs
@@ -1,9 +1,8 @@
-//! Typed identifiers, outcomes and messages that every other crate speaks.
+//! Identifiers, outcomes and messages shared by all crates.
 //!
-//! The crate holds no behaviour beyond arithmetic on key ranges: it is the
-//! vocabulary shared by the decisions, the daemon and the stand-ins. Shapes
-//! that travel between processes are serde types; each module names who sends
-//! what to whom.
+//! The crate contains data types only, apart from arithmetic on key ranges. Types
+//! that are sent between processes implement serde; each module documents their
+//! sender and receiver.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms)]
 
--- a/crates/hawthorn-types/src/platform.rs
+++ b/crates/hawthorn-types/src/platform.rs
@@ -1,4 +1,4 @@
-//! The contract between the tier and the platform, JSON over HTTP/1.1.
+//! The API between the tier and the platform, JSON over HTTP/1.1.
 //!
 //! | call | answer |
 //! |---|---|
@@ -8,11 +8,11 @@
 //! | `GET /list/PREFIX` | 200 `[StoreEntry]` (values empty) |
 //! | `GET /watch/KEY?after=REVISION&wait_ms=N` | 200 [`StoreEntry`] once newer, 204 after the wait; counts as one call |
 //! | `POST /leases` with [`LeaseGrant`] | 200 [`LeaseAnswer`] |
-//! | `POST /leases/ID/renew` | 200 [`LeaseAnswer`], 404 lapsed |
-//! | `GET /hosts` | 200 `[HostEntry]`, lagging |
+//! | `POST /leases/ID/renew` | 200 [`LeaseAnswer`], 404 expired |
+//! | `GET /hosts` | 200 `[HostEntry]`, may be stale |
 //!
-//! Every call may be answered 429 (over the rate; not run) or 503 (outage; may
-//! have run). A key with a lease disappears when the lease lapses.
+//! Every call may be answered 429 (rate limit exceeded; not run) or 503 (outage; may
+//! have run). A key with a lease is deleted when the lease expires.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -25,7 +25,7 @@
 pub struct StoreEntry {
     /// The key.
     pub key: String,
-    /// The store's revision of the key; grows with each write.
+    /// The store's revision of the key; increases with each write.
     pub revision: u64,
     /// The value.
     #[serde(default)]
@@ -35,16 +35,16 @@
 /// Body of a write.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StorePut {
-    /// The revision the key must have; 0 when it must be absent.
+    /// The revision that the key must have; 0 when it must be absent.
     pub expect: u64,
     /// The new value, up to a megabyte.
     pub value: String,
-    /// The lease that the key depends on.
+    /// The lease to which the key is bound.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
 }
 
-/// Answer to a write whose expectation did not hold.
+/// Answer to a write that expected another revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreConflict {
     /// The revision found; 0 when the key is absent.
@@ -54,7 +54,7 @@
 /// Body of a lease request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// How long it lasts without renewal, in milliseconds.
+    /// Time to live without renewal, in milliseconds.
     pub ttl_ms: u64,
 }
 
@@ -63,11 +63,11 @@
 pub struct LeaseAnswer {
     /// The lease.
     pub lease: u64,
-    /// How long it lasts from now, in milliseconds.
+    /// Remaining time to live, in milliseconds.
     pub ttl_ms: u64,
 }
 
-/// What the platform's list says of a host.
+/// The phase of a host in the platform's list.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Display, EnumString, IntoStaticStr,
 )]
@@ -80,7 +80,7 @@
     Leaving,
 }
 
-/// One host of the platform's list. The list lags.
+/// One host of the platform's list, which may be stale.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostEntry {
     /// The host's name.
--- a/crates/hawthorn-types/src/range.rs
+++ b/crates/hawthorn-types/src/range.rs
@@ -1,7 +1,7 @@
-//! Ranges of the key space, the unit in which coverage is stated.
+//! Ranges of the key space, the unit in which coverage is reported.
 //!
-//! A service's documents are spread over keys `0..KEY_SPACE`. A target states
-//! which ranges it searched; the tier states which ranges its answer covers.
+//! A service's documents are spread over keys `0..KEY_SPACE`. A target reports
+//! which ranges it searched; the tier reports which ranges its answer covers.
 
 use std::fmt;
 
@@ -36,7 +36,7 @@
 }
 
 impl KeyRange {
-    /// The whole key space.
+    /// The entire key space.
     pub const FULL: Self = Self { start: 0, end: KEY_SPACE };
 
     /// The range from `start` up to `end`; empty when `end <= start`.
@@ -50,22 +50,22 @@
         Self { start: edge(number), end: edge(number + 1) }
     }
 
-    /// How many keys are inside.
+    /// Number of keys.
     pub fn len(self) -> u32 {
         self.end.saturating_sub(self.start)
     }
 
-    /// Whether no key is inside.
+    /// Whether the range contains no key.
     pub fn is_empty(self) -> bool {
         self.end <= self.start
     }
 
-    /// Whether `key` is inside.
+    /// Whether the range contains `key`.
     pub fn contains(self, key: u32) -> bool {
         self.start <= key && key < self.end
     }
 
-    /// The keys inside both; empty when they do not meet.
+    /// The intersection; empty when the ranges do not overlap.
     pub fn intersect(self, other: Self) -> Self {
         Self { start: self.start.max(other.start), end: self.end.min(other.end) }
     }
@@ -77,7 +77,7 @@
     }
 }
 
-/// Disjoint ranges in ascending order, never empty nor adjacent.
+/// Disjoint, non-empty and non-adjacent ranges in ascending order.
 #[derive(Clone, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(from = "SmallVec<[KeyRange; 2]>", into = "SmallVec<[KeyRange; 2]>")]
 pub struct RangeSet {
@@ -90,17 +90,17 @@
         &self.ranges
     }
 
-    /// Whether no key is inside.
+    /// Whether the set contains no key.
     pub fn is_empty(&self) -> bool {
         self.ranges.is_empty()
     }
 
-    /// How many keys are inside.
+    /// Number of keys.
     pub fn len(&self) -> u32 {
         self.ranges.iter().map(|range| range.len()).sum()
     }
 
-    /// Whether `key` is inside.
+    /// Whether the set contains `key`.
     pub fn contains(&self, key: u32) -> bool {
         self.ranges.iter().any(|range| range.contains(key))
     }
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Takes the keys of `range` out.
+    /// Removes the keys of `range`.
     pub fn remove(&mut self, range: KeyRange) {
         if range.is_empty() {
             return;
--- a/crates/hawthorn-types/src/reason.rs
+++ b/crates/hawthorn-types/src/reason.rs
@@ -1,4 +1,4 @@
-//! Reasons, one value for each cause that is counted and told to a caller.
+//! Reasons, one value for each cause that is counted and reported to callers.
 
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -24,11 +24,11 @@
 
 reason_enum! {
     /// Why a request was not run. Used only when no attempt can have reached a
-    /// target, so a caller may send the request again without risk.
+    /// target, so that the request can be retried safely.
     RefusalReason {
         /// The request's body is larger than the limit.
         BodyTooLarge,
-        /// The request could not be understood.
+        /// The request is malformed.
         BadRequest,
         /// The caller is not named in the rules.
         UnknownCaller,
@@ -40,25 +40,25 @@
         BadRequestId,
         /// The client sent its request too slowly.
         SlowClient,
-        /// The expected wait is longer than the time that is left.
+        /// The expected wait is longer than the time left until the deadline.
         WaitBeyondDeadline,
         /// A bounded queue is full.
         QueueFull,
-        /// The caller holds its full share and others are waiting.
+        /// The caller uses its full share, and other callers need theirs.
         CallerOverShare,
         /// No target that holds the key is reachable.
         NoTarget,
         /// The deadline passed while the request still waited in a queue.
         ExpiredInQueue,
-        /// The host is stopping and takes no new requests.
+        /// The host is stopping and accepts no new requests.
         Stopping,
         /// The host has no configuration yet.
         NoConfiguration,
-        /// The claim that keeps a request to one run could not be recorded.
+        /// The claim that prevents a second run of the request could not be recorded.
         ClaimUnavailable,
         /// The caller's request id is older than the window in which claims are kept.
         RequestIdTooOld,
-        /// The caller's request id is stamped later than the host's clock.
+        /// The caller's request id has a timestamp ahead of the host's clock.
         RequestIdInFuture,
         /// The target refused before it ran the request.
         TargetRefused,
@@ -68,13 +68,13 @@
 }
 
 reason_enum! {
-    /// Why it is not known whether a non-idempotent request ran.
+    /// Why it is unknown whether a non-idempotent request ran.
     UnknownReason {
         /// The connection broke after the request was sent.
         ConnectionLost,
         /// The deadline passed after the request was sent.
         DeadlinePast,
-        /// An earlier send of the same request id holds the claim and its outcome is not known.
+        /// An earlier send of the same request id holds the claim, and its outcome is unknown.
         ClaimedEarlier,
         /// The claim may or may not have been recorded.
         ClaimUncertain,
@@ -88,7 +88,7 @@
     FailureReason {
         /// The target ran the request and reported an error.
         TargetError,
-        /// The target's answer did not echo the request, or could not be read.
+        /// The target's answer did not echo the request, or could not be parsed.
         BadAnswer,
     }
 }
@@ -108,13 +108,13 @@
         QueuedPastDeadline,
         /// The target did not answer before the deadline.
         DeadlinePast,
-        /// The target answered something that was not the answer to this request.
+        /// The target's answer does not belong to this request or is invalid.
         BadAnswer,
         /// The target's answer was larger than the limit.
         AnswerTooLarge,
         /// The owner of the targets could not be reached.
         OwnerUnreachable,
-        /// The shard was repartitioned and the rest was not found in time.
+        /// The shard was repartitioned, and the moved keys were not found in time.
         Repartitioned,
         /// The retry budget was spent.
         BudgetSpent,
@@ -136,7 +136,7 @@
         Cold,
         /// The target no longer holds the version.
         VersionRetired,
-        /// The target searched less than was asked.
+        /// The target searched only part of the requested range.
         Repartitioned,
         /// The target's answer did not belong to the request.
         CrossedAnswer,
--- a/crates/hawthorn-types/src/target.rs
+++ b/crates/hawthorn-types/src/target.rs
@@ -1,4 +1,4 @@
-//! The contract between the tier and a target, JSON over HTTP/1.1.
+//! The API between the tier and a target, JSON over HTTP/1.1.
 //!
 //! Sent by an owner to a target: `GET /state`, `POST /search`, `POST /run`,
 //! `POST /cancel`, `POST /intent`. A target answers a refusal with status 409
@@ -18,8 +18,7 @@
 use crate::version::ConfigRevision;
 use crate::version::IndexVersion;
 
-/// The state operators want a target to be in, worked out from the inventory
-/// and the rules.
+/// The desired state of a target, derived from the inventory and the rules.
 #[derive(
     Clone,
     Copy,
@@ -40,17 +39,17 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum DesiredState {
-    /// Takes work.
+    /// Accepts requests.
     Serve,
-    /// Switched on and warm, takes no work until it is needed.
+    /// Running and warm, but receives no requests until it is needed.
     Standby,
-    /// Finishes what it has and takes nothing new.
+    /// Finishes its requests and accepts no new ones.
     Drain,
-    /// Switched off. Not a failure.
+    /// Switched off on purpose; not a failure.
     Off,
 }
 
-/// The phase a target reports of itself. It may lag or mislead.
+/// The phase that a target reports. It may be stale or wrong.
 #[derive(
     Clone,
     Copy,
@@ -71,17 +70,17 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum TargetPhase {
-    /// Loading: answers slowly or refuses.
+    /// Loading: answers slowly or refuses requests.
     Cold,
-    /// Takes work.
+    /// Accepts requests.
     Ready,
-    /// Finishes what it has and refuses new work.
+    /// Finishes its requests and refuses new ones.
     Draining,
-    /// Holds its index but was told to take no work.
+    /// Holds its index but was instructed to accept no requests.
     Standby,
 }
 
-/// What a target holds of one service at one version.
+/// The ranges that a target holds of one service at one version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldRanges {
     /// The service.
@@ -95,15 +94,15 @@
 /// Answer to `GET /state`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetState {
-    /// The target's own name; a mismatch means the address was reused.
+    /// The target's name; a mismatch means that the address was reused.
     pub target: String,
-    /// The phase it reports.
+    /// The current phase.
     pub phase: TargetPhase,
-    /// Requests it is working on now, as it reports them.
+    /// Number of requests in progress.
     pub busy: u32,
-    /// Slots it has.
+    /// Number of slots.
     pub slots: u32,
-    /// Everything it holds.
+    /// The ranges held, for each service and version.
     pub held: Vec<HeldRanges>,
 }
 
@@ -122,9 +121,9 @@
     pub range: KeyRange,
     /// Words that a document must all contain; empty matches every document.
     pub text: String,
-    /// At most so many matches, best first.
+    /// Maximum number of matches, best first.
     pub limit: u32,
-    /// Milliseconds the caller still waits; later answers are of no use.
+    /// Milliseconds until the deadline; later answers are discarded.
     pub deadline_ms: u64,
 }
 
@@ -135,9 +134,9 @@
     pub key: u32,
     /// The document's id, unique within its service.
     pub id: String,
-    /// Higher is better.
+    /// The score; higher is better.
     pub score: f32,
-    /// The document's text, or the part worth showing.
+    /// The document's text, or an excerpt.
     pub text: String,
 }
 
@@ -152,10 +151,10 @@
     pub shard: ShardName,
     /// The version searched.
     pub version: IndexVersion,
-    /// The keys really searched: within the range asked, smaller when the
-    /// shard was repartitioned meanwhile.
+    /// The keys actually searched: a subset of the requested range, smaller when the
+    /// shard was repartitioned in the meantime.
     pub searched: RangeSet,
-    /// How many documents matched before the limit was applied.
+    /// Number of documents that matched, before the limit was applied.
     pub total: u64,
     /// The matches, best first.
     pub matches: Vec<DocumentMatch>,
@@ -174,25 +173,26 @@
     pub caller_request: String,
     /// The key that chooses the shard.
     pub key: u32,
-    /// What to do, opaque to the tier.
+    /// The request body, opaque to the tier.
     pub body: String,
-    /// Milliseconds the caller still waits.
+    /// Milliseconds until the deadline.
     pub deadline_ms: u64,
 }
 
-/// Answer to `POST /run`, status 200 when it ran well, 500 when it ran and failed.
+/// Answer to `POST /run`: status 200 when the request succeeded, 500 when it ran and
+/// failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunAnswer {
     /// Echo of [`TargetRun::request`].
     pub request: String,
     /// Echo of [`TargetRun::attempt`].
     pub attempt: u64,
-    /// What the target says of it.
+    /// The result.
     pub result: String,
 }
 
-/// Body of `POST /cancel`: the attempt's answer is no longer wanted. The
-/// target ends it soon and answers it with status 409, `cancelled`.
+/// Body of `POST /cancel`: cancels an attempt. The target stops it soon and answers
+/// it with status 409, `cancelled`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelAttempt {
     /// The request.
@@ -201,17 +201,16 @@
     pub attempt: u64,
 }
 
-/// Body of `POST /intent`: the state operators want.
+/// Body of `POST /intent`: the desired state.
 ///
-/// A target ignores an order of an older revision than one it has obeyed, and
-/// still answers 200. Without that, a host that was paused, or cut off from the
-/// newest configuration, could put a target back into a state that operators
-/// no longer want.
+/// A target ignores an intent of an older revision than one already applied, and
+/// still answers 200. Otherwise a host that was paused, or partitioned from the
+/// newest configuration, could revert a target to an outdated state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetIntent {
-    /// The wanted state.
+    /// The desired state.
     pub wanted: DesiredState,
-    /// The configuration revision that wants it; 0 when it is not given.
+    /// The configuration revision of the desired state; 0 when absent.
     #[serde(default)]
     pub revision: ConfigRevision,
 }
@@ -223,11 +222,11 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum TargetRefusal {
-    /// Overloaded.
+    /// The target is overloaded.
     Shedding,
-    /// Leaving.
+    /// The target is draining.
     Draining,
-    /// Not loaded yet.
+    /// The target has not loaded its index yet.
     Cold,
     /// The version is not held (409).
     VersionRetired,
@@ -235,7 +234,7 @@
     RangeMoved,
     /// The attempt was cancelled (409).
     Cancelled,
-    /// Malformed.
+    /// The request is malformed.
     BadRequest,
 }
 
@@ -246,9 +245,9 @@
     pub request: String,
     /// Echo of the attempt.
     pub attempt: u64,
-    /// Why.
+    /// The reason.
     pub refusal: TargetRefusal,
-    /// Versions of the service that the target holds now.
+    /// Versions of the service that the target currently holds.
     #[serde(default)]
     pub versions: Vec<IndexVersion>,
 }
--- a/crates/hawthorn-types/src/version.rs
+++ b/crates/hawthorn-types/src/version.rs
@@ -22,8 +22,8 @@
 #[serde(transparent)]
 pub struct IndexVersion(pub u64);
 
-/// A revision of the operators' configuration. A newer one is greater; no
-/// daemon ever goes back to a smaller one.
+/// A revision of the operators' configuration. A newer one is greater; daemons
+/// never revert to a smaller one.
 #[derive(
     Clone,
     Copy,
--- a/crates/hawthorn-types/tests/caller.rs
+++ b/crates/hawthorn-types/tests/caller.rs
@@ -1,4 +1,4 @@
-//! The wire shape of an answer is part of the contract with callers.
+//! The JSON format of an answer is part of the API for callers.
 
 use std::error::Error;
 
@@ -9,7 +9,7 @@
 use hawthorn_types::RefusalReason;
 
 #[test]
-fn a_refusal_reads_as_outcome_and_reason() -> Result<(), Box<dyn Error>> {
+fn refusal_serializes_as_outcome_and_reason() -> Result<(), Box<dyn Error>> {
     let answer = CallerAnswer {
         request: "0".repeat(32),
         request_id: Some("r-1".into()),
--- a/crates/hawthorn-types/tests/range.rs
+++ b/crates/hawthorn-types/tests/range.rs
@@ -1,4 +1,4 @@
-//! Range arithmetic: the base of every statement about coverage.
+//! Range arithmetic, on which coverage is based.
 
 use std::error::Error;
 
@@ -15,37 +15,52 @@
 
 struct DifferenceCase {
     name: &'static str,
-    whole: &'static [(u32, u32)],
-    taken: &'static [(u32, u32)],
-    left: &'static [(u32, u32)],
+    set: &'static [(u32, u32)],
+    removed: &'static [(u32, u32)],
+    expected: &'static [(u32, u32)],
 }
 
 #[test]
-fn difference_is_what_is_left() -> TestResult {
+fn difference_removes_the_other_keys() -> TestResult {
     let cases = [
-        DifferenceCase { name: "nothing taken", whole: &[(0, 9)], taken: &[], left: &[(0, 9)] },
-        DifferenceCase { name: "all taken", whole: &[(0, 9)], taken: &[(0, 9)], left: &[] },
+        DifferenceCase {
+            name: "nothing removed",
+            set: &[(0, 9)],
+            removed: &[],
+            expected: &[(0, 9)],
+        },
+        DifferenceCase {
+            name: "everything removed",
+            set: &[(0, 9)],
+            removed: &[(0, 9)],
+            expected: &[],
+        },
         DifferenceCase {
             name: "middle",
-            whole: &[(0, 9)],
-            taken: &[(3, 5)],
-            left: &[(0, 3), (5, 9)],
+            set: &[(0, 9)],
+            removed: &[(3, 5)],
+            expected: &[(0, 3), (5, 9)],
         },
         DifferenceCase {
             name: "across two",
-            whole: &[(0, 4), (6, 9)],
-            taken: &[(3, 7)],
-            left: &[(0, 3), (7, 9)],
+            set: &[(0, 4), (6, 9)],
+            removed: &[(3, 7)],
+            expected: &[(0, 3), (7, 9)],
         },
         DifferenceCase {
             name: "beyond the ends",
-            whole: &[(2, 4)],
-            taken: &[(0, 3), (3, 9)],
-            left: &[],
+            set: &[(2, 4)],
+            removed: &[(0, 3), (3, 9)],
+            expected: &[],
         },
     ];
     for case in cases {
-        assert_eq!(set(case.whole).difference(&set(case.taken)), set(case.left), "{}", case.name);
+        assert_eq!(
+            set(case.set).difference(&set(case.removed)),
+            set(case.expected),
+            "{}",
+            case.name
+        );
     }
     Ok(())
 }
