--- a/crates/hawthorn-edge/src/connection/head.rs
+++ b/crates/hawthorn-edge/src/connection/head.rs
@@ -9,10 +9,10 @@
 use std::task::Poll;
 use std::time::Duration;
 
-use hawthorn_route::depart::CallerClock;
-use hawthorn_route::depart::CallerPath;
-use hawthorn_route::depart::LagMeter;
-use hawthorn_route::depart::PathMeter;
+use hawthorn_route::send_deadline::CallerRtt;
+use hawthorn_route::send_deadline::LagMeter;
+use hawthorn_route::send_deadline::RequestArrival;
+use hawthorn_route::send_deadline::RttMeter;
 use hyper::rt::Read;
 use hyper::rt::ReadBufCursor;
 use hyper::rt::Write;
@@ -41,7 +41,7 @@
     heads: Cell<u32>,
     /// When the head that came last did, read or not.
     came: Cell<Duration>,
-    path: Cell<PathMeter>,
+    path: Cell<RttMeter>,
     /// When the answer that comes next was due, if it waited for that.
     due: Cell<Option<Duration>>,
     /// Lag of this host, which answers that were due tell of.
@@ -55,9 +55,9 @@
     }
 
     /// What is known of the caller's clock with the head that came last.
-    pub(crate) fn clock(&self) -> CallerClock {
+    pub(crate) fn clock(&self) -> RequestArrival {
         let (came, fresh) = (self.came.get(), self.heads.get() <= 1);
-        CallerClock { came, fresh, path: self.path.get().path() }
+        RequestArrival { arrived: came, new_connection: fresh, rtt: self.path.get().rtt() }
     }
 
     /// The answer that comes next was due at that time, or is sent as it is whole.
@@ -108,7 +108,7 @@
         let told = report.and_then(|report| Some((report.round_trip?, report.deviation)));
         if let Some((round_trip, deviation)) = told {
             let mut path = self.path.get();
-            path.learn(CallerPath { round_trip, deviation });
+            path.learn(CallerRtt { round_trip, deviation });
             self.path.set(path);
         }
     }
--- a/crates/hawthorn-edge/src/connection/peer.rs
+++ b/crates/hawthorn-edge/src/connection/peer.rs
@@ -8,8 +8,8 @@
 use std::time::Instant;
 
 use futures::StreamExt;
-use hawthorn_route::offset::Exchange;
-use hawthorn_route::offset::PeerClock;
+use hawthorn_route::clock_offset::Exchange;
+use hawthorn_route::clock_offset::PeerClock;
 use log::Level;
 use tarpc::client;
 use tarpc::context;
@@ -188,7 +188,7 @@
             sent,
             received: Duration::from_micros(timed.received_us),
             replied: Duration::from_micros(timed.replied_us),
-            heard: host_now(),
+            reply_received: host_now(),
         };
         let learnt = self.clocks.borrow_mut().entry(address).or_default().learn(&exchange);
         if !learnt {
@@ -217,7 +217,7 @@
 
     /// What a peer's clock shows at `at` of this host's, if it is known.
     pub(crate) fn theirs(&self, address: SocketAddr, at: Duration) -> Option<Duration> {
-        self.clocks.borrow().get(&address)?.theirs(at)
+        self.clocks.borrow().get(&address)?.to_peer_time(at)
     }
 
     /// Whether a peer says that it is there.
--- a/crates/hawthorn-edge/src/process/catalog.rs
+++ b/crates/hawthorn-edge/src/process/catalog.rs
@@ -6,7 +6,7 @@
 use hawthorn_platform::catalog::CatalogKey;
 use hawthorn_route::evacuation::EvacuationChange;
 use hawthorn_route::mirror::MirrorItem;
-use hawthorn_route::mirror::MirrorNews;
+use hawthorn_route::mirror::MirrorUpdate;
 use hawthorn_route::registry::TargetChange;
 use hawthorn_route::table::RouteTable;
 use log::Level;
@@ -20,8 +20,8 @@
 use crate::process::quarantine;
 
 /// Takes in news, from the store or from a peer; true when something changed.
-pub fn take(host: &RouteHost, news: MirrorNews) -> bool {
-    let changed = host.mirror.borrow_mut().take(news);
+pub fn take(host: &RouteHost, news: MirrorUpdate) -> bool {
+    let changed = host.mirror.borrow_mut().apply(news);
     for item in &changed {
         match catalog::key(&item.key) {
             CatalogKey::Document => take_document(host, item),
--- a/crates/hawthorn-edge/src/process/feed.rs
+++ b/crates/hawthorn-edge/src/process/feed.rs
@@ -12,7 +12,7 @@
 use hawthorn_platform::store::StoreItems;
 use hawthorn_route::mirror;
 use hawthorn_route::mirror::MirrorItem;
-use hawthorn_route::mirror::MirrorNews;
+use hawthorn_route::mirror::MirrorUpdate;
 use hawthorn_store::ReadError;
 use hawthorn_store::StoreClient;
 use hawthorn_store::UncertainCause;
@@ -115,8 +115,8 @@
     let zones = members.zones().count();
     let source = answering.iter().copied().find(|id| *id != me.0).and_then(address);
     match source {
-        Some(peer) if !mirror::watches(&answering, me.0, zones) => NewsSource::Peer(peer),
-        _ => NewsSource::Store { feeds: mirror::watches(&ranked, me.0, zones) },
+        Some(peer) if !mirror::is_watcher(&answering, me.0, zones) => NewsSource::Peer(peer),
+        _ => NewsSource::Store { feeds: mirror::is_watcher(&ranked, me.0, zones) },
     }
 }
 
@@ -142,7 +142,7 @@
             note_store(reachable, None);
             host.confirm(host_now());
             let count = read.items.len();
-            let news = MirrorNews { items: read.items, as_of: read.as_of, whole };
+            let news = MirrorUpdate { items: read.items, as_of: read.as_of, complete: whole };
             edge_event!(
                 Level::Debug,
                 EdgeEvent::StoreNews,
@@ -187,10 +187,10 @@
     }
     let items = news.items.into_iter();
     let items = items.map(|(key, revision, value)| MirrorItem { key, revision, value }).collect();
-    take(host, MirrorNews { items, as_of: news.as_of, whole: news.whole });
+    take(host, MirrorUpdate { items, as_of: news.as_of, complete: news.whole });
 }
 
-fn take(host: &RouteHost, news: MirrorNews) -> bool {
+fn take(host: &RouteHost, news: MirrorUpdate) -> bool {
     let before = host.mirror.borrow().as_of();
     let changed = catalog::take(host, news);
     if host.mirror.borrow().as_of() > before {
@@ -254,7 +254,7 @@
             }
             // The reader asks again when its wait is over.
             None if now + BULK_PAUSE > until => {
-                break MirrorNews { as_of: after, ..MirrorNews::default() };
+                break MirrorUpdate { as_of: after, ..MirrorUpdate::default() };
             }
             None => sleep(BULK_PAUSE).await,
         }
@@ -262,7 +262,7 @@
     let age_ms = host.confirmed_age().map_or(u64::MAX, |age| age.as_millis() as u64);
     let items = news.items.into_iter();
     let items = items.map(|item| (item.key, item.revision, item.value)).collect();
-    let told = CatalogNews { items, as_of: news.as_of, whole: news.whole, age_ms };
+    let told = CatalogNews { items, as_of: news.as_of, whole: news.complete, age_ms };
     // The peer may have gone in this moment.
     let _gone = reply.send(told);
 }
--- a/crates/hawthorn-edge/src/process/host.rs
+++ b/crates/hawthorn-edge/src/process/host.rs
@@ -10,10 +10,10 @@
 
 use hawthorn_fleet::MemberTable;
 use hawthorn_route::cold::claim::SlotClaim;
-use hawthorn_route::depart::LagMeter;
 use hawthorn_route::mirror::StoreMirror;
 use hawthorn_route::pace;
 use hawthorn_route::pace::BulkPacer;
+use hawthorn_route::send_deadline::LagMeter;
 use hawthorn_store::StoreClient;
 use hawthorn_store::client;
 use log::Level;
@@ -203,7 +203,7 @@
     /// `None` while the link has no room for them.
     pub(crate) fn reserve_bulk(&self, now: Duration, bytes: usize) -> Option<Duration> {
         let Some(mbps) = self.beliefs.settings.host.link_mbps else { return Some(Duration::ZERO) };
-        let options = pace::Options::of_link(mbps * BYTES_PER_MEGABIT);
+        let options = pace::Options::for_link(mbps * BYTES_PER_MEGABIT);
         self.bulk_pacer.borrow_mut().reserve(now, bytes, &options)
     }
 
--- a/crates/hawthorn-edge/src/request/attempt.rs
+++ b/crates/hawthorn-edge/src/request/attempt.rs
@@ -12,10 +12,10 @@
 use hawthorn_pool::PoolAnswer;
 use hawthorn_pool::PoolConnection;
 use hawthorn_pool::TargetPool;
-use hawthorn_route::document::RouteWay;
+use hawthorn_route::document::RouteDestination;
 use hawthorn_route::outcome::AttemptEnd;
 use hawthorn_route::registry::TargetKey;
-use hawthorn_route::target::ToldLoad;
+use hawthorn_route::target::ReportedLoad;
 use hyper::HeaderMap;
 use hyper::StatusCode;
 use hyper::header::HeaderValue;
@@ -150,7 +150,7 @@
                 if reply.crashed {
                     state.crash(now);
                 }
-                (state.load(now), state.speed())
+                (state.load(now), state.slowdown())
             })
             .unwrap_or_default();
         if reply.end == AttemptEnd::Answered {
@@ -192,9 +192,9 @@
         self.host.traffic.count(TrafficPurpose::Targets, zone, bytes);
         let answer = async {
             let answer = connection.send(request).await?;
-            match self.order.route.way {
-                RouteWay::Gather(_) => answer.whole(PART_BYTES).await,
-                RouteWay::Single(_) | RouteWay::Weighted(_) => Ok(answer),
+            match self.order.route.destination {
+                RouteDestination::Gather(_) => answer.whole(PART_BYTES).await,
+                RouteDestination::Single(_) | RouteDestination::Weighted(_) => Ok(answer),
             }
         };
         let answer = timeout_at(end, answer).await.unwrap_or(Err(Error::TimedOut))?;
@@ -247,8 +247,8 @@
         };
         let head = target::read(answer.status, &answer.headers);
         if let Some((running, waiting, slots)) = head.load {
-            let load = ToldLoad { running, waiting, slots, at: now };
-            self.with_state(|state| state.tell(load));
+            let load = ReportedLoad { running, waiting, slots, at: now };
+            self.with_state(|state| state.report_load(load));
         }
         match head.cold {
             Some(Ok(cold)) if !cold.is_zero() => {
--- a/crates/hawthorn-edge/src/request/delegate.rs
+++ b/crates/hawthorn-edge/src/request/delegate.rs
@@ -14,15 +14,15 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use hawthorn_route::clock_offset;
+use hawthorn_route::clock_offset::LocalDeadlines;
+use hawthorn_route::clock_offset::SentDeadlines;
+use hawthorn_route::document::RouteDestination;
 use hawthorn_route::document::RouteRule;
-use hawthorn_route::document::RouteWay;
-use hawthorn_route::offset;
-use hawthorn_route::offset::OrderSpan;
-use hawthorn_route::offset::SentSpan;
 use hawthorn_route::quarantine::Exposure;
 use hawthorn_route::quarantine::RequestIdentity;
-use hawthorn_route::spread;
-use hawthorn_route::spread::ZoneShards;
+use hawthorn_route::scatter;
+use hawthorn_route::scatter::ZoneShards;
 use hyper::HeaderMap;
 use hyper::header::HeaderName;
 use hyper::header::HeaderValue;
@@ -143,7 +143,7 @@
 /// Which of a query's shards peers gather; the others are gathered here.
 pub(crate) fn hand_over(
     host: &RouteHost,
-    spread: &spread::Outcome,
+    spread: &scatter::ScatterPlan,
     route: &RouteRule,
 ) -> Vec<DelegatedShards> {
     let options = host.beliefs.policy.get().gatherers;
@@ -154,9 +154,9 @@
         peer.is_some()
     };
     let parts = if host.beliefs.gathers.get() {
-        spread.hand_over(has_host, &options)
+        spread.delegate(has_host, &options)
     } else {
-        spread.hand_over_all(&zones(host), has_host, &options)
+        spread.delegate_all(&zones(host), has_host, &options)
     };
     let delegated = |part: ZoneShards| {
         let peer = *peers.get(&part.zone)?;
@@ -387,14 +387,14 @@
 
 /// The times of an order that is taken up at `now`; `None` where it is of another
 /// format, or they cannot be.
-fn span(host: &RouteHost, message: &GatherOrder, now: Duration) -> Option<OrderSpan> {
+fn span(host: &RouteHost, message: &GatherOrder, now: Duration) -> Option<LocalDeadlines> {
     let micros = Duration::from_micros;
     let ends = message.times.map(|times| (micros(times.ends_us), micros(times.aim_us)));
     let (left, aim_left) = (micros(message.left_us), micros(message.aim_left_us));
-    let sent = SentSpan { left, aim_left, ends };
+    let sent = SentDeadlines { time_left: left, soft_time_left: aim_left, reader_deadlines: ends };
     let known = message.format == FORMAT;
     let lag = host.lag.borrow().lag();
-    known.then(|| offset::read(&sent, now, turns::busy_for(now), lag)).flatten()
+    known.then(|| clock_offset::to_local(&sent, now, turns::busy_for(now), lag)).flatten()
 }
 
 /// Gathers and replies; a reason why nothing was sent is given back with the sender.
@@ -415,14 +415,14 @@
         );
         return Err((GatherReply::Unreadable, reply));
     };
-    let OrderSpan { ends, aim_at } = span;
+    let LocalDeadlines { deadline: ends, soft_deadline: aim_at } = span;
     let Some(table) = host.beliefs.table_of(message.version) else {
         return Err((GatherReply::OtherVersion, reply));
     };
     let Some(route) = table.named(&message.route) else {
         return Err((GatherReply::OtherVersion, reply));
     };
-    let RouteWay::Gather(rule) = &route.way else {
+    let RouteDestination::Gather(rule) = &route.destination else {
         return Err((GatherReply::OtherVersion, reply));
     };
     if message.shards.iter().any(|place| usize::from(*place) >= rule.shards.len()) {
--- a/crates/hawthorn-edge/src/request/gather.rs
+++ b/crates/hawthorn-edge/src/request/gather.rs
@@ -62,7 +62,7 @@
     admission: Admission,
 ) -> CallerAnswer {
     let aim_at = order.leaves;
-    let (shards, least_share) = (rule.shards.len(), rule.least_share);
+    let (shards, least_share) = (rule.shards.len(), rule.min_share);
     let plan = GatherPlan { version, aim_at, shards, least_share };
     let mut run = GatherRun::new(host, order, rule, plan);
     let spread = host.beliefs.spread(rule, &order.route, host_now());
@@ -111,7 +111,7 @@
         }
     }
     run.note_end();
-    if !run.state.enough() {
+    if !run.state.is_sufficient() {
         return out_of_time(order);
     }
     let mut answer = answer(host, run.records, &run.receipts, run.state);
--- a/crates/hawthorn-edge/src/request/order.rs
+++ b/crates/hawthorn-edge/src/request/order.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use hawthorn_route::admission::QueryLoad;
 use hawthorn_route::document::RouteRule;
-use hawthorn_route::door::QueryLoad;
 use hawthorn_route::fingerprint::RequestFingerprint;
 use hawthorn_route::quarantine::Exposure;
 use hawthorn_route::quarantine::RequestIdentity;
--- a/crates/hawthorn-edge/src/request/parts.rs
+++ b/crates/hawthorn-edge/src/request/parts.rs
@@ -12,9 +12,9 @@
 use hawthorn_route::merge::TopRecords;
 use hawthorn_route::outcome::RefusalReason;
 use hawthorn_route::registry::TargetKey;
+use hawthorn_route::scatter;
+use hawthorn_route::scatter::ShardSource;
 use hawthorn_route::skip;
-use hawthorn_route::spread;
-use hawthorn_route::spread::ShardWay;
 use hyper::header::HeaderValue;
 use log::Level;
 use rand::seq::SliceRandom;
@@ -100,7 +100,7 @@
             rule,
             version,
             aim_at,
-            state: GatherState { shards, parts: 0, lost: 0, least_share },
+            state: GatherState { shards, parts: 0, lost: 0, min_share: least_share },
             records: TopRecords::new(rule.top),
             receipts: Vec::with_capacity(shards),
             raced: Vec::with_capacity(shards),
@@ -118,24 +118,24 @@
     /// may do without.
     ///
     /// The shard in `tried` has already answered and is skipped.
-    pub(super) fn begin(&mut self, spread: &spread::Outcome, tried: Option<u16>) {
+    pub(super) fn begin(&mut self, spread: &scatter::ScatterPlan, tried: Option<u16>) {
         let mut delegated = delegate::hand_over(self.host, spread, &self.order.route);
         for part in &mut delegated {
             part.shards.retain(|place| Some(*place) != tried);
         }
         delegated.retain(|part| !part.shards.is_empty());
         let handed_over = |place: &u16| delegated.iter().any(|part| part.shards.contains(place));
-        let all = 0..spread.ways.len() as u16;
+        let all = 0..spread.sources.len() as u16;
         let here: Vec<u16> =
             all.filter(|place| Some(*place) != tried && !handed_over(place)).collect();
-        let spare = spread.spare_left(self.state.spare());
+        let spare = spread.max_missing_left(self.state.max_missing());
         let there = delegated.iter().map(|part| part.shards.len());
         let sizes: Vec<usize> = std::iter::once(here.len()).chain(there).collect();
         let mut shares = skip::apportion(spare, &sizes).into_iter();
         self.race_most(&here, shares.next().unwrap_or(0), |place| spread.target(place));
         let mut load = self.order.load.borrow_mut();
         load.shards = self.state.shards;
-        load.spare = spare - self.skipped.len();
+        load.max_missing = spare - self.skipped.len();
         drop(load);
         for (part, skip) in delegated.into_iter().zip(shares) {
             self.delegate(DelegatedShards { skip, ..part });
@@ -146,9 +146,9 @@
     ///
     /// Load: a request that is suspected of crashing targets. A trial reaches one
     /// target at a time, where a fan-out would crash one of each shard.
-    pub(super) async fn trial(&mut self, spread: &spread::Outcome) -> Option<u16> {
-        let placed = spread.ways.iter().enumerate();
-        let placed = placed.filter(|(_, way)| !matches!(way, ShardWay::Nowhere));
+    pub(super) async fn trial(&mut self, spread: &scatter::ScatterPlan) -> Option<u16> {
+        let placed = spread.sources.iter().enumerate();
+        let placed = placed.filter(|(_, way)| !matches!(way, ShardSource::Unavailable));
         let mut places: Vec<u16> = placed.map(|(place, _)| place as u16).collect();
         places.shuffle(&mut rand::rng());
         for place in places.into_iter().take(MAX_TRIAL_SHARDS) {
@@ -227,7 +227,7 @@
     pub(super) fn ask_remainders(&mut self) -> bool {
         let held = std::mem::take(&mut self.held);
         let asked = !held.is_empty();
-        let needed = self.state.shards - self.state.spare() - self.state.parts;
+        let needed = self.state.shards - self.state.max_missing() - self.state.parts;
         let (host, order) = (self.host, self.order);
         for part in held {
             let most = usize::from(part.remainder.parts);
@@ -253,7 +253,7 @@
         let records = std::mem::replace(&mut self.records, TopRecords::new(self.rule.top));
         let met = self.order.load.borrow();
         let waits_us = met.waits.iter().map(|wait| wait.as_micros() as u64).collect();
-        let turned_away = u16::try_from(met.turned_away).unwrap_or(u16::MAX);
+        let turned_away = u16::try_from(met.rejected).unwrap_or(u16::MAX);
         let skipped = u16::try_from(self.skipped.len()).unwrap_or(u16::MAX);
         let load = PeerLoad { waits_us, turned_away, skipped };
         let missing = u16::try_from(missing).unwrap_or(u16::MAX);
@@ -262,7 +262,7 @@
 
     /// Asks for shards that no peer gathers, if this host can bear it.
     fn race_all(&mut self, shards: &[u16], spent: usize) {
-        if delegate::affords(self.host, shards.len(), self.order.route.aim) {
+        if delegate::affords(self.host, shards.len(), self.order.route.target_latency) {
             shards.iter().for_each(|shard| self.race(*shard, spent));
         } else {
             self.refusal = Some(RefusalReason::Unreachable);
@@ -275,7 +275,7 @@
         let aim_left = self.aim_at.saturating_sub(host_now());
         // The peer may send before its answer comes.
         order.sent.set(order.sent.get() + delegated.shards.len());
-        let spare = self.state.spare();
+        let spare = self.state.max_missing();
         let asked = async move {
             let reply = delegate::ask(host, order, version, &delegated, spare, aim_left).await;
             GatherEvent::Delegated(delegated, reply)
@@ -343,8 +343,8 @@
         };
         let mut met = self.order.load.borrow_mut();
         met.waits.extend(load.waits_us.iter().map(|us| Duration::from_micros(*us)));
-        met.turned_away += usize::from(load.turned_away);
-        met.spare = met.spare.saturating_sub(usize::from(load.skipped));
+        met.rejected += usize::from(load.turned_away);
+        met.max_missing = met.max_missing.saturating_sub(usize::from(load.skipped));
         drop(met);
         if !receipts.is_empty() {
             self.order.exposure.borrow_mut().answer();
--- a/crates/hawthorn-edge/src/request/race.rs
+++ b/crates/hawthorn-edge/src/request/race.rs
@@ -173,19 +173,19 @@
 
     fn late_after(&self) -> Duration {
         if self.crowded {
-            return hedge::ROOM_PAUSE;
+            return hedge::CAPACITY_POLL_INTERVAL;
         }
         let beliefs = &self.host.beliefs;
         let fullness = beliefs.fullness(self.service);
         let route = &self.order.route;
         let options = beliefs.policy.get().second_attempts;
-        beliefs.times(route, |times| hedge::delay(times, route.aim, fullness, &options))
+        beliefs.times(route, |times| hedge::delay(times, route.target_latency, fullness, &options))
     }
 
     fn hedge(&mut self, started: Duration) {
         let now = host_now();
         let room = self.has_room(now);
-        if !room && self.order.leaves > now + hedge::ROOM_PAUSE {
+        if !room && self.order.leaves > now + hedge::CAPACITY_POLL_INTERVAL {
             // Looked at again: a pause of a target, or a queue, ends soon.
             self.crowded = true;
             return;
@@ -199,7 +199,7 @@
         self.order.story.borrow_mut().late(self.service, waited, decision.into());
     }
 
-    /// The target that a second attempt would go to has room for it; see [`hedge::has_room`].
+    /// The target that a second attempt would go to has room for it; see [`hedge::has_capacity`].
     fn has_room(&self, now: Duration) -> bool {
         let beliefs = &self.host.beliefs;
         if !beliefs.policy.get().second_attempts.needs_room {
@@ -208,7 +208,7 @@
         let Some(key) = beliefs.place(self.service, &self.tried, &self.order.route, now) else {
             return true;
         };
-        beliefs.registry.borrow().get(key).is_none_or(|state| hedge::has_room(state, now))
+        beliefs.registry.borrow().get(key).is_none_or(|state| hedge::has_capacity(state, now))
     }
 
     /// Makes the waiting attempt, unless the maximum number has been made.
@@ -301,7 +301,7 @@
             }
             AttemptEnd::NotRun | AttemptEnd::Misdirected => {
                 if reply.end == AttemptEnd::NotRun {
-                    self.order.load.borrow_mut().turned_away += 1;
+                    self.order.load.borrow_mut().rejected += 1;
                 }
                 self.refusal = RefusalReason::TargetsFull;
                 AttemptReason::Retry
--- a/crates/hawthorn-edge/src/request/serve.rs
+++ b/crates/hawthorn-edge/src/request/serve.rs
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 use hawthorn_platform::caller;
-use hawthorn_route::depart;
-use hawthorn_route::depart::CallerClock;
+use hawthorn_route::document::RouteDestination;
 use hawthorn_route::document::RouteRule;
-use hawthorn_route::document::RouteWay;
 use hawthorn_route::outcome::RefusalReason;
 use hawthorn_route::quarantine::RequestIdentity;
 use hawthorn_route::retry_after::retry_after;
+use hawthorn_route::send_deadline;
+use hawthorn_route::send_deadline::RequestArrival;
 use http_body_util::BodyExt;
 use http_body_util::LengthLimitError;
 use http_body_util::Limited;
@@ -80,7 +80,7 @@
     caller: Option<IpAddr>,
 ) -> Response<AnswerBody> {
     let clock = watch.clock();
-    let started = clock.came;
+    let started = clock.arrived;
     let mut answer = admit(&host, request, &clock, caller).await;
     watch.due(answer.due);
     // A caller of a host that steps aside is better served by another.
@@ -101,7 +101,7 @@
 async fn admit(
     host: &Rc<RouteHost>,
     request: Request<Incoming>,
-    clock: &CallerClock,
+    clock: &RequestArrival,
     caller: Option<IpAddr>,
 ) -> CallerAnswer {
     let Some(table) = host.beliefs.table() else {
@@ -132,10 +132,10 @@
     order::strip_connection(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
     head.headers.remove(header::EXPECT);
-    let started = clock.came;
+    let started = clock.arrived;
     let departure = host.beliefs.policy.get().departure;
     let lag = host.lag.borrow().lag_within(departure.late_share);
-    let leaves = depart::leaves(clock, route.aim, lag, &departure);
+    let leaves = send_deadline::send_deadline(clock, route.target_latency, lag, &departure);
     let fingerprint = order::fingerprint(&head.method, &head.headers, &head.uri, &body);
     let order = Rc::new(RequestOrder {
         identity: RequestIdentity::new(fingerprint, caller, &route.name),
@@ -182,13 +182,13 @@
         Admission::TooLate => return CallerAnswer::refused(RefusalReason::TooLate),
         Admission::Refused(left) => return CallerAnswer::quarantined(left),
     }
-    match &route.way {
-        RouteWay::Single(service) => single(host, order, service).await,
-        RouteWay::Weighted(parts) => match host.beliefs.deal(&route, parts) {
+    match &route.destination {
+        RouteDestination::Single(service) => single(host, order, service).await,
+        RouteDestination::Weighted(parts) => match host.beliefs.deal(&route, parts) {
             Some(chosen) => single(host, order, &parts[chosen].service).await,
             None => CallerAnswer::refused(RefusalReason::NoTarget),
         },
-        RouteWay::Gather(rule) => {
+        RouteDestination::Gather(rule) => {
             let Some(pass) = DoorPass::ask(host, order) else {
                 return CallerAnswer::refused(RefusalReason::HostFull);
             };
@@ -229,7 +229,7 @@
         let took = now.saturating_sub(self.order.started);
         let load = self.order.load.borrow();
         let told = self.told.then_some(&*load);
-        let aim = self.order.route.aim;
+        let aim = self.order.route.target_latency;
         let mut door = self.host.beliefs.door.borrow_mut();
         door.finish(now, took, aim, told, &self.host.beliefs.policy.get().admission);
     }
@@ -253,7 +253,7 @@
     order: &RequestOrder,
     version: u64,
     answer: &CallerAnswer,
-    clock: &CallerClock,
+    clock: &RequestArrival,
 ) {
     let now = host_now();
     let rule: &RouteRule = &order.route;
@@ -270,7 +270,7 @@
         took,
         left: order.time_left(now),
         early: signed_millis(order.leaves, now),
-        round_trip: clock.path.map(|path| path.round_trip),
+        round_trip: clock.rtt.map(|path| path.round_trip),
         parts: answer.parts,
         skipped: order.skipped.get(),
     };
--- a/crates/hawthorn-edge/src/settings.rs
+++ b/crates/hawthorn-edge/src/settings.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use hawthorn_route::cold;
-use hawthorn_route::depart;
 use hawthorn_route::home::RegionMap;
 use hawthorn_route::policy;
 use hawthorn_route::policy::RoutePolicy;
+use hawthorn_route::send_deadline;
 use quick_error::quick_error;
 use serde::Deserialize;
 use serde_with::DurationMilliSeconds;
@@ -119,7 +119,7 @@
 
 impl Default for CallerSettings {
     fn default() -> Self {
-        Self { round_trip: depart::Options::default().round_trip }
+        Self { round_trip: send_deadline::Options::default().round_trip }
     }
 }
 
--- a/crates/hawthorn-edge/src/version/beliefs.rs
+++ b/crates/hawthorn-edge/src/version/beliefs.rs
@@ -11,29 +11,29 @@
 
 use hawthorn_decide::latency::ServiceTimes;
 use hawthorn_pool::TargetPool;
+use hawthorn_route::admission::QueryAdmission;
 use hawthorn_route::budget;
 use hawthorn_route::budget::FleetBudget;
 use hawthorn_route::budget::FleetView;
 use hawthorn_route::budget::RetryBudget;
 use hawthorn_route::budget::ServiceUse;
 use hawthorn_route::document::GatherRule;
+use hawthorn_route::document::RouteDestination;
 use hawthorn_route::document::RouteRule;
-use hawthorn_route::document::RouteWay;
 use hawthorn_route::document::WeightedService;
-use hawthorn_route::door::QueryDoor;
 use hawthorn_route::home::HomeZones;
-use hawthorn_route::place;
-use hawthorn_route::place::PlaceView;
+use hawthorn_route::placement;
+use hawthorn_route::placement::PlacementView;
 use hawthorn_route::policy::RoutePolicy;
-use hawthorn_route::reach::ZoneReach;
+use hawthorn_route::reachability::ZoneReachability;
 use hawthorn_route::registry::TargetKey;
 use hawthorn_route::registry::TargetRegistry;
 use hawthorn_route::rollout;
-use hawthorn_route::rollout::HeldVersions;
+use hawthorn_route::rollout::PendingVersions;
+use hawthorn_route::scatter;
 use hawthorn_route::skip;
-use hawthorn_route::spread;
 use hawthorn_route::table::RouteTable;
-use hawthorn_route::weight::WeightDealer;
+use hawthorn_route::weight::WeightedRoundRobin;
 use log::Level;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -75,7 +75,7 @@
     pub policy: Cell<RoutePolicy>,
     /// The newest first.
     tables: RefCell<VecDeque<Rc<RouteTable>>>,
-    held_tables: RefCell<HeldVersions<RouteTable>>,
+    held_tables: RefCell<PendingVersions<RouteTable>>,
     /// Notified when a version is held.
     pub table_held: Notify,
     /// Targets as they register.
@@ -87,9 +87,9 @@
     times: RefCell<HashMap<String, ServiceTimes>>,
     /// Times of attempts that had a free slot: the work alone.
     works: RefCell<HashMap<String, ServiceTimes>>,
-    dealers: RefCell<HashMap<String, WeightDealer>>,
+    dealers: RefCell<HashMap<String, WeightedRoundRobin>>,
     pub(super) lots: RefCell<StdRng>,
-    pub(super) zones: RefCell<HashMap<String, ZoneReach>>,
+    pub(super) zones: RefCell<HashMap<String, ZoneReachability>>,
     /// Requests of each route lately, earlier ones counting less.
     pub(super) demand: RefCell<HashMap<String, f64>>,
     /// Callers are better served by hosts of other zones.
@@ -97,7 +97,7 @@
     /// Callers may be; a balancer is told already.
     pub doubtful: Cell<bool>,
     /// Whether queries over shards are admitted here.
-    pub door: RefCell<QueryDoor>,
+    pub door: RefCell<QueryAdmission>,
     /// Hosts of the fleet that are known to live, this one too.
     pub hosts: Cell<usize>,
     /// Hosts of this zone that gather, and whether this one does.
@@ -215,10 +215,10 @@
         let gatherers = self.gatherers.get() * self.fleet_zones.get();
         let hosts = self.hosts.get();
         let meeting = hosts <= 1 && !self.settings.fleet.seeds.is_empty();
-        let view = FleetView { hosts, running, gatherers, gathering, meeting };
+        let view = FleetView { hosts, running, gatherers, gathering, awaiting_peers: meeting };
         let sharded = self.table().is_some_and(|table| table.is_shard(service));
         let service = if sharded { ServiceUse::Shard } else { ServiceUse::Single };
-        budget::part(&FleetBudget { window, share, allowance }, &view, service)
+        budget::host_share(&FleetBudget { window, share, allowance }, &view, service)
     }
 
     /// Counts a caller's request for a service.
@@ -267,9 +267,9 @@
     /// How long a target works on one request of the route.
     pub fn work(&self, route: &RouteRule) -> Duration {
         let works = self.works.borrow();
-        works
-            .get(&route.name)
-            .map_or(route.aim / FIRST_GUESS, |times| Duration::from_micros(times.median()))
+        works.get(&route.name).map_or(route.target_latency / FIRST_GUESS, |times| {
+            Duration::from_micros(times.median())
+        })
     }
 
     /// How long a target works on one request of those that wait there: the mean of
@@ -281,7 +281,7 @@
         // and this is worked out with each placing.
         for (name, asked) in self.demand.borrow().iter() {
             let Some(route) = table.named(name) else { continue };
-            if matches!(route.way, RouteWay::Gather(_)) {
+            if matches!(route.destination, RouteDestination::Gather(_)) {
                 count += asked;
                 sum += asked * self.work(route).as_secs_f64();
             }
@@ -291,7 +291,7 @@
 
     /// The part of a weighted route that the next request goes to.
     pub fn deal(&self, route: &RouteRule, parts: &[WeightedService]) -> Option<usize> {
-        self.dealers.borrow_mut().entry(route.name.clone()).or_default().deal(parts)
+        self.dealers.borrow_mut().entry(route.name.clone()).or_default().select(parts)
     }
 
     /// The target of a service that is expected to answer first, apart from
@@ -304,7 +304,7 @@
         now: Duration,
     ) -> Option<TargetKey> {
         self.with_view(route, &self.cut_zones(now), now, |view, lots| {
-            place::place(view, service, tried, lots, &self.policy.get().placing)
+            placement::select_target(view, service, tried, lots, &self.policy.get().placing)
         })
     }
 
@@ -318,14 +318,19 @@
         now: Duration,
     ) -> bool {
         let sharded = self.table().is_some_and(|table| table.is_shard(service));
-        let is_last = |view: PlaceView<'_>| view.is_last(service, key, tried);
+        let is_last = |view: PlacementView<'_>| view.is_last_target(service, key, tried);
         sharded && self.with_view(route, &self.cut_zones(now), now, |view, _| is_last(view))
     }
 
     /// Where each shard of a query is best had.
-    pub fn spread(&self, rule: &GatherRule, route: &RouteRule, now: Duration) -> spread::Outcome {
+    pub fn spread(
+        &self,
+        rule: &GatherRule,
+        route: &RouteRule,
+        now: Duration,
+    ) -> scatter::ScatterPlan {
         self.with_view(route, &self.cut_zones(now), now, |view, lots| {
-            spread::spread(view, rule, lots, &self.policy.get().placing)
+            scatter::plan(view, rule, lots, &self.policy.get().placing)
         })
     }
 
@@ -341,7 +346,7 @@
     ) -> Vec<u16> {
         let name = |place: &u16| Some((*place, rule.shards.get(usize::from(*place))?.as_str()));
         let now = host_now();
-        if !self.door.borrow().is_crowded(now) {
+        if !self.door.borrow().is_overloaded(now) {
             return Vec::new();
         }
         self.with_view(route, &self.cut_zones(now), now, |view, _| {
@@ -360,13 +365,22 @@
         route: &RouteRule,
         cut: &[String],
         now: Duration,
-        with: impl FnOnce(PlaceView<'_>, &mut StdRng) -> T,
+        with: impl FnOnce(PlacementView<'_>, &mut StdRng) -> T,
     ) -> T {
         let registry = self.registry.borrow();
         let zone = &self.settings.host.zone;
-        let (usual, queued, aim) = (self.usual(route), self.mixed_work(), route.aim);
+        let (usual, queued, aim) = (self.usual(route), self.mixed_work(), route.target_latency);
         let homes = self.homes(route);
-        let view = PlaceView { registry: &registry, zone, cut, homes, usual, queued, aim, now };
+        let view = PlacementView {
+            registry: &registry,
+            zone,
+            unreachable_zones: cut,
+            homes,
+            service_time: usual,
+            queued_service_time: queued,
+            target_latency: aim,
+            now,
+        };
         let outcome = with(view, &mut self.lots.borrow_mut());
         if registry.cold().is_wanted(now) {
             self.cold_wanted.notify_one();
@@ -377,7 +391,7 @@
     /// How long work waits at each of some services that have a target that takes it.
     pub fn waits(&self, services: &[&str], route: &RouteRule, now: Duration) -> Vec<Duration> {
         self.with_view(route, &self.cut_zones(now), now, |view, _| {
-            services.iter().filter_map(|service| view.wait(service)).collect()
+            services.iter().filter_map(|service| view.queue_wait(service)).collect()
         })
     }
 
@@ -398,7 +412,7 @@
         }
         let pool = pools.get(key)?;
         // Peers may know this host as one that gathers while it does not.
-        pool.keep(share >= 1.0 || matches!(route.way, RouteWay::Gather(_)));
+        pool.keep(share >= 1.0 || matches!(route.destination, RouteDestination::Gather(_)));
         Some(Arc::clone(pool))
     }
 
@@ -410,7 +424,7 @@
         let most = rule.map_or(1, |rule| rule.max_connections);
         let sharded = table.as_ref().is_some_and(|table| table.is_shard(service));
         let sharers = match (sharded, self.gathers.get()) {
-            (false, _) => budget::reckoned(self.hosts.get()),
+            (false, _) => budget::effective_hosts(self.hosts.get()),
             (true, true) => (self.gatherers.get() * self.fleet_zones.get()).max(LEAST_GATHERERS),
             (true, false) => most,
         };
@@ -444,6 +458,6 @@
     if let Some(times) = all.get_mut(&route.name) {
         return with(times);
     }
-    let guess = (route.aim / FIRST_GUESS).as_micros() as u64;
+    let guess = (route.target_latency / FIRST_GUESS).as_micros() as u64;
     with(all.entry(route.name.clone()).or_insert_with(|| ServiceTimes::new(guess)))
 }
--- a/crates/hawthorn-edge/src/version/reach.rs
+++ b/crates/hawthorn-edge/src/version/reach.rs
@@ -4,11 +4,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use hawthorn_route::document::RouteDestination;
 use hawthorn_route::document::RouteRule;
-use hawthorn_route::document::RouteWay;
-use hawthorn_route::place;
-use hawthorn_route::reach;
-use hawthorn_route::spread;
+use hawthorn_route::placement;
+use hawthorn_route::reachability;
+use hawthorn_route::scatter;
 use rand::RngExt;
 
 use crate::version::beliefs::Beliefs;
@@ -37,13 +37,17 @@
     /// The zones that are believed cut off.
     pub fn cut_zones(&self, now: Duration) -> Vec<String> {
         let zones = self.zones.borrow();
-        zones.iter().filter(|(_, reach)| reach.is_cut(now)).map(|(zone, _)| zone.clone()).collect()
+        zones
+            .iter()
+            .filter(|(_, reach)| reach.is_unreachable(now))
+            .map(|(zone, _)| zone.clone())
+            .collect()
     }
 
     /// The zones that may be cut off.
     pub fn doubtful_zones(&self, now: Duration) -> Vec<String> {
         let zones = self.zones.borrow();
-        let doubtful = zones.iter().filter(|(_, reach)| reach.is_doubtful(now));
+        let doubtful = zones.iter().filter(|(_, reach)| reach.is_suspected(now));
         doubtful.map(|(zone, _)| zone.clone()).collect()
     }
 
@@ -96,7 +100,8 @@
         let Some(table) = self.table() else { return 0.0 };
         let demand = self.demand.borrow();
         let queries = table.document().routes.iter();
-        let queries = queries.filter(|route| matches!(route.way, RouteWay::Gather(_)));
+        let queries =
+            queries.filter(|route| matches!(route.destination, RouteDestination::Gather(_)));
         let counted: f64 = queries.filter_map(|route| demand.get(&route.name)).sum();
         counted / DEMAND_SPAN
     }
@@ -109,7 +114,7 @@
     }
 
     /// Whether this host should leave callers to others if these zones are cut
-    /// off; see [`reach::steps_aside`].
+    /// off; see [`reachability::should_fail_readiness`].
     pub fn find_stranded(&self, cut: &[String], now: Duration) -> bool {
         let Some(table) = self.table().filter(|_| !cut.is_empty()) else {
             return false;
@@ -130,7 +135,11 @@
         let all: f64 = routes.iter().map(asked).sum();
         let lost: f64 =
             routes.iter().filter(|route| !self.can_answer(route, cut, now)).map(asked).sum();
-        reach::steps_aside(zones, cut.len(), if all > 0.0 { lost / all } else { 0.0 })
+        reachability::should_fail_readiness(
+            zones,
+            cut.len(),
+            if all > 0.0 { lost / all } else { 0.0 },
+        )
     }
 
     /// Whether enough of a route's services have a target that takes work outside
@@ -138,15 +147,16 @@
     fn can_answer(&self, route: &RouteRule, cut: &[String], now: Duration) -> bool {
         let takes = |service: &str| {
             self.with_view(route, cut, now, |view, lots| {
-                place::place(view, service, &[], lots, &self.policy.get().placing).is_some()
+                placement::select_target(view, service, &[], lots, &self.policy.get().placing)
+                    .is_some()
             })
         };
-        match &route.way {
-            RouteWay::Single(service) => takes(service),
-            RouteWay::Weighted(parts) => parts.iter().any(|part| takes(&part.service)),
-            RouteWay::Gather(rule) => {
+        match &route.destination {
+            RouteDestination::Single(service) => takes(service),
+            RouteDestination::Weighted(parts) => parts.iter().any(|part| takes(&part.service)),
+            RouteDestination::Gather(rule) => {
                 let spread = self.with_view(route, cut, now, |view, lots| {
-                    spread::spread(view, rule, lots, &self.policy.get().placing)
+                    scatter::plan(view, rule, lots, &self.policy.get().placing)
                 });
                 spread.can_answer(rule)
             }
--- a/crates/hawthorn-edge/tests/catalog.rs
+++ b/crates/hawthorn-edge/tests/catalog.rs
@@ -6,7 +6,7 @@
 use hawthorn_edge::process::host::RouteHost;
 use hawthorn_edge::settings::RouteSettings;
 use hawthorn_route::mirror::MirrorItem;
-use hawthorn_route::mirror::MirrorNews;
+use hawthorn_route::mirror::MirrorUpdate;
 use hawthorn_route::target::TargetPhase;
 use hawthorn_standin::route::operator;
 
@@ -47,8 +47,8 @@
     entry(id, revision, &operator::entry("s", address, "east", "ready"))
 }
 
-fn reading(items: Vec<MirrorItem>, as_of: u64) -> MirrorNews {
-    MirrorNews { items, as_of, whole: true }
+fn reading(items: Vec<MirrorItem>, as_of: u64) -> MirrorUpdate {
+    MirrorUpdate { items, as_of, complete: true }
 }
 
 fn ready_ids(host: &RouteHost) -> Vec<String> {
--- a/crates/hawthorn-route/benches/query.rs
+++ b/crates/hawthorn-route/benches/query.rs
@@ -9,17 +9,17 @@
 use criterion::Criterion;
 use criterion::criterion_group;
 use criterion::criterion_main;
+use hawthorn_route::admission;
+use hawthorn_route::admission::QueryAdmission;
+use hawthorn_route::admission::QueryLoad;
 use hawthorn_route::document::GatherRule;
-use hawthorn_route::door;
-use hawthorn_route::door::QueryDoor;
-use hawthorn_route::door::QueryLoad;
 use hawthorn_route::gatherers;
 use hawthorn_route::gatherers::ZoneHost;
 use hawthorn_route::merge::TopRecords;
-use hawthorn_route::place;
+use hawthorn_route::placement;
 use hawthorn_route::registry;
 use hawthorn_route::registry::TargetRegistry;
-use hawthorn_route::spread;
+use hawthorn_route::scatter;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -36,7 +36,7 @@
         }
     }
     let shards = (0..count).map(|shard| format!("s{shard}")).collect();
-    (registry, GatherRule { shards, top: 10, least_share: 0.9 })
+    (registry, GatherRule { shards, top: 10, min_share: 0.9 })
 }
 
 fn queries(criterion: &mut Criterion) {
@@ -46,13 +46,13 @@
         let aim = Duration::from_millis(120);
         let view = support::view(&registry, usual, aim, NOW);
         let mut lots = StdRng::seed_from_u64(1);
-        let options = place::Options::default();
+        let options = placement::Options::default();
         criterion.bench_function(&format!("spread of {count} shards"), |bench| {
-            bench.iter(|| black_box(spread::spread(view, &rule, &mut lots, &options)));
+            bench.iter(|| black_box(scatter::plan(view, &rule, &mut lots, &options)));
         });
-        let spread = spread::spread(view, &rule, &mut lots, &options);
+        let spread = scatter::plan(view, &rule, &mut lots, &options);
         criterion.bench_function(&format!("hand over of {count} shards"), |bench| {
-            bench.iter(|| black_box(spread.hand_over(|_| true, &spread::Options::default())));
+            bench.iter(|| black_box(spread.delegate(|_| true, &scatter::Options::default())));
         });
         let body: Vec<u8> = (0..160_u32).map(|byte| (byte * 37) as u8).collect();
         criterion.bench_function(&format!("merge of {count} parts"), |bench| {
@@ -64,12 +64,12 @@
         });
         let waits = vec![Duration::from_millis(3); count];
         criterion.bench_function(&format!("door for {count} shards"), |bench| {
-            let mut door = QueryDoor::default();
+            let mut door = QueryAdmission::default();
             let waits = waits.clone();
-            let load = QueryLoad { waits, shards: count, spare: 2, ..QueryLoad::default() };
+            let load = QueryLoad { waits, shards: count, max_missing: 2, ..QueryLoad::default() };
             bench.iter(|| {
-                if door.admit(NOW, true, &door::Options::default()) {
-                    door.finish(NOW, usual, aim, Some(&load), &door::Options::default());
+                if door.admit(NOW, true, &admission::Options::default()) {
+                    door.finish(NOW, usual, aim, Some(&load), &admission::Options::default());
                 }
             });
         });
--- a/crates/hawthorn-route/src/door.rs
+++ b/crates/hawthorn-route/src/admission.rs
@@ -77,11 +77,11 @@
     /// For each shard that told, or was known, how long work waits there.
     pub waits: Vec<Duration>,
     /// Parts that targets turned away for being full.
-    pub turned_away: usize,
+    pub rejected: usize,
     /// Shards of the query.
     pub shards: usize,
     /// Shards that its answer may do without.
-    pub spare: usize,
+    pub max_missing: usize,
     /// It ended without an answer, as too few parts could come.
     pub failed: bool,
 }
@@ -93,7 +93,7 @@
     pub fn decisive_wait(&self) -> Duration {
         let mut waits = self.waits.clone();
         waits.sort_unstable_by(|a, b| b.cmp(a));
-        waits.get(self.spare).copied().unwrap_or_default()
+        waits.get(self.max_missing).copied().unwrap_or_default()
     }
 }
 
@@ -120,7 +120,7 @@
 
 /// The door of one host, for all its queries over shards.
 #[derive(Clone, Debug, Default)]
-pub struct QueryDoor {
+pub struct QueryAdmission {
     window: CallerWindow,
     open: u32,
     /// When the places of queries that failed are given back.
@@ -130,8 +130,8 @@
     ordinary: UrgencyCount,
 }
 
-impl QueryDoor {
-    /// Admits a query, or not; [`QueryDoor::finish`] has to follow once it is.
+impl QueryAdmission {
+    /// Admits a query, or not; [`QueryAdmission::finish`] has to follow once it is.
     pub fn admit(&mut self, now: Duration, urgent: bool, options: &Options) -> bool {
         self.give_back(now);
         self.urgent.fade();
@@ -160,7 +160,7 @@
     ) {
         if let Some(load) = load {
             let standing_wait = aim.mul_f64(options.standing_share);
-            let away = load.turned_away as f64 / load.shards.max(1) as f64;
+            let away = load.rejected as f64 / load.shards.max(1) as f64;
             let turned_away = away >= options.turned_away_share;
             let end = QueryFeedback {
                 queue_wait: load.decisive_wait(),
@@ -195,7 +195,7 @@
 
     /// Queues stand at more shards than an answer may do without. While they do not,
     /// a part that is late costs the targets nothing that others need.
-    pub fn is_crowded(&self, now: Duration) -> bool {
+    pub fn is_overloaded(&self, now: Duration) -> bool {
         now < self.crowded_until
     }
 
--- a/crates/hawthorn-route/src/budget.rs
+++ b/crates/hawthorn-route/src/budget.rs
@@ -63,7 +63,7 @@
     /// How long it has been one of them; `None` while it is not.
     pub gathering: Option<Duration>,
     /// It was told of others and has heard of none yet.
-    pub meeting: bool,
+    pub awaiting_peers: bool,
 }
 
 /// Who sends requests to a service.
@@ -76,7 +76,7 @@
 }
 
 /// The hosts reckoned with where something is shared by all of them.
-pub fn reckoned(hosts: usize) -> usize {
+pub fn effective_hosts(hosts: usize) -> usize {
     hosts.max(LEAST_HOSTS)
 }
 
@@ -92,13 +92,13 @@
 /// shards are slow. An equal part of each host's would be one attempt for those that
 /// need it, and be left unused by the others. So the hosts that gather share most of a
 /// shard's allowance; the part of one that takes over grows like that of one that starts.
-pub fn part(whole: &FleetBudget, view: &FleetView, service: ServiceUse) -> Options {
+pub fn host_share(whole: &FleetBudget, view: &FleetView, service: ServiceUse) -> Options {
     let (share, sharers) = if view.gatherers < view.hosts {
         (GATHERERS_SHARE, view.gatherers)
     } else {
         (1.0, view.hosts)
     };
-    let meets = view.meeting && view.running < MEETING_TIME;
+    let meets = view.awaiting_peers && view.running < MEETING_TIME;
     let running = if meets { Duration::ZERO } else { view.running };
     let (share, sharers, since) = match (service, view.gathering) {
         (ServiceUse::Shard, Some(gathering)) => (share, sharers, running.min(gathering)),
@@ -106,7 +106,8 @@
         (ServiceUse::Single, _) => (1.0, view.hosts, running),
     };
     let grown = (since.as_secs_f64() / whole.window.as_secs_f64().max(0.001)).min(1.0);
-    let allowance = whole.allowance * USED_ALLOWANCE * share * grown / reckoned(sharers) as f64;
+    let allowance =
+        whole.allowance * USED_ALLOWANCE * share * grown / effective_hosts(sharers) as f64;
     Options { window: whole.window, share: whole.share * USED_SHARE, allowance }
 }
 
--- a/crates/hawthorn-route/src/offset.rs
+++ b/crates/hawthorn-route/src/clock_offset.rs
@@ -27,7 +27,7 @@
     /// The peer replied.
     pub replied: Duration,
     /// This host had the reply.
-    pub heard: Duration,
+    pub reply_received: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -54,7 +54,7 @@
     /// Failure: a peer's machine was switched off and on, and its clock begins
     /// anew. What no longer agrees, by more than both round trips, is forgotten.
     pub fn learn(&mut self, exchange: &Exchange) -> bool {
-        let Exchange { sent, received, replied, heard } = *exchange;
+        let Exchange { sent, received, replied, reply_received: heard } = *exchange;
         let (Some(out), Some(there)) = (heard.checked_sub(sent), replied.checked_sub(received))
         else {
             return false;
@@ -85,7 +85,7 @@
 
     /// What the peer's clock shows at `at` of this host's, at the earliest; `None`
     /// before the first exchange.
-    pub fn theirs(&self, at: Duration) -> Option<Duration> {
+    pub fn to_peer_time(&self, at: Duration) -> Option<Duration> {
         let ClockSample { round_trip, offset } = self.best()?;
         let there = nanos(at) + offset - nanos(round_trip / 2);
         u64::try_from(there.max(0)).ok().map(Duration::from_nanos)
@@ -97,22 +97,22 @@
 
 /// The times of an order as it was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SentSpan {
+pub struct SentDeadlines {
     /// Time until nobody waits any more, when the order was made.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Time within which its parts are worth all they can be, by then.
-    pub aim_left: Duration,
+    pub soft_time_left: Duration,
     /// The ends of both by the reader's clock, where the sender knew it.
-    pub ends: Option<(Duration, Duration)>,
+    pub reader_deadlines: Option<(Duration, Duration)>,
 }
 
 /// The ends of an order, by its reader's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OrderSpan {
+pub struct LocalDeadlines {
     /// Nobody waits any more.
-    pub ends: Duration,
+    pub deadline: Duration,
     /// The parts lose worth.
-    pub aim_at: Duration,
+    pub soft_deadline: Duration,
 }
 
 /// Reads the times of an order that is taken up at `now`, by a loop that has been at
@@ -127,20 +127,25 @@
 /// Parts are due sooner by the reader's own `lag`, and not by the sender's: a host
 /// of an eighth of a core has several times that of the one that gathers for it.
 /// With the sender's, worth fell by 0.05 on a fleet of 78 such hosts.
-pub fn read(sent: &SentSpan, now: Duration, busy: Duration, lag: Duration) -> Option<OrderSpan> {
-    let SentSpan { left, aim_left, ends } = *sent;
+pub fn to_local(
+    sent: &SentDeadlines,
+    now: Duration,
+    busy: Duration,
+    lag: Duration,
+) -> Option<LocalDeadlines> {
+    let SentDeadlines { time_left: left, soft_time_left: aim_left, reader_deadlines: ends } = *sent;
     if left > MOST_LEFT || aim_left > MOST_LEFT {
         return None;
     }
     let Some((ends, aim_at)) = ends else {
         let came = now.saturating_sub(busy);
         let aim_at = (came + aim_left).saturating_sub(lag);
-        return Some(OrderSpan { ends: came + left, aim_at });
+        return Some(LocalDeadlines { deadline: came + left, soft_deadline: aim_at });
     };
     let is_absurd = |end: Duration| end + MOST_LEFT < now || end > now + MOST_LEFT;
     if is_absurd(ends) || is_absurd(aim_at) {
         return None;
     }
     let aim_at = aim_at.min(now + aim_left).saturating_sub(lag);
-    Some(OrderSpan { ends: ends.min(now + left), aim_at })
+    Some(LocalDeadlines { deadline: ends.min(now + left), soft_deadline: aim_at })
 }
--- a/crates/hawthorn-route/src/document.rs
+++ b/crates/hawthorn-route/src/document.rs
@@ -31,7 +31,7 @@
     /// Longest time that a caller is kept waiting.
     pub timeout: Duration,
     /// Time within which an answer is worth all it can be to the caller.
-    pub aim: Duration,
+    pub target_latency: Duration,
     /// Rank; 0 is the most urgent.
     pub priority: u32,
     /// Most targets that may run one request, for each shard.
@@ -39,12 +39,12 @@
     /// Regions in which its requests may be run; `None` if anywhere.
     pub homes: Option<Vec<String>>,
     /// Where requests go.
-    pub way: RouteWay,
+    pub destination: RouteDestination,
 }
 
 /// Where the requests of a route go.
 #[derive(Clone, Debug, PartialEq)]
-pub enum RouteWay {
+pub enum RouteDestination {
     /// To one target of the service.
     Single(String),
     /// To one target of one of the services, in proportion to the weights.
@@ -70,7 +70,7 @@
     /// Records in an answer, at the most.
     pub top: usize,
     /// Share of the shards without which there is no answer, 0 to 1.
-    pub least_share: f64,
+    pub min_share: f64,
 }
 
 /// What operators say of one service.
--- a/crates/hawthorn-route/src/gather.rs
+++ b/crates/hawthorn-route/src/gather.rs
@@ -30,7 +30,7 @@
     /// Shards that certainly will not answer any more.
     pub lost: usize,
     /// Share of the shards without which there is no answer.
-    pub least_share: f64,
+    pub min_share: f64,
 }
 
 /// What to do with the query now.
@@ -46,8 +46,8 @@
 
 impl GatherState {
     /// The parts that are in are enough for an answer.
-    pub fn enough(&self) -> bool {
-        self.share_of(self.parts) >= self.least_share && self.parts > 0
+    pub fn is_sufficient(&self) -> bool {
+        self.share_of(self.parts) >= self.min_share && self.parts > 0
     }
 
     fn share_of(&self, parts: usize) -> f64 {
@@ -55,8 +55,8 @@
     }
 
     /// Shards that the answer may do without.
-    pub fn spare(&self) -> usize {
-        let needed = (self.shards as f64 * self.least_share).ceil() as usize;
+    pub fn max_missing(&self) -> usize {
+        let needed = (self.shards as f64 * self.min_share).ceil() as usize;
         self.shards.saturating_sub(needed)
     }
 
@@ -70,12 +70,12 @@
     /// Beyond the aim it answers as soon as there is enough.
     pub fn step(&self, aim_left: Duration, options: &Options) -> GatherStep {
         if self.parts + self.lost >= self.shards {
-            return if self.enough() { GatherStep::Answer } else { GatherStep::Fail };
+            return if self.is_sufficient() { GatherStep::Answer } else { GatherStep::Fail };
         }
-        if self.share_of(self.shards - self.lost) < self.least_share {
+        if self.share_of(self.shards - self.lost) < self.min_share {
             return GatherStep::Fail;
         }
-        if aim_left.is_zero() && self.enough() && options.part_answers {
+        if aim_left.is_zero() && self.is_sufficient() && options.part_answers {
             return GatherStep::Answer;
         }
         GatherStep::Wait
--- a/crates/hawthorn-route/src/hedge.rs
+++ b/crates/hawthorn-route/src/hedge.rs
@@ -21,7 +21,7 @@
 pub struct Options {
     /// Second attempts are made at all.
     pub on: bool,
-    /// Only where a target has room for one; see [`has_room`].
+    /// Only where a target has room for one; see [`has_capacity`].
     pub needs_room: bool,
     /// While the budget is full, an attempt is late after so many times the
     /// ninetieth percentile. 1.2: one ordinary attempt in fifteen takes as long.
@@ -67,7 +67,7 @@
 
 /// Where no target has room, it is looked for again after so long: about a
 /// request's work, in which a queue is shorter by one for each slot.
-pub const ROOM_PAUSE: Duration = Duration::from_millis(10);
+pub const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The target has room for a second attempt.
 ///
@@ -75,6 +75,6 @@
 /// second one of each would lengthen them by as much. Where the other target is
 /// free, it is the one that is late which is paused, slow or dark, however long
 /// the queues are elsewhere.
-pub fn has_room(state: &TargetState, now: Duration) -> bool {
+pub fn has_capacity(state: &TargetState, now: Duration) -> bool {
     state.queue(now) < ROOM_QUEUE
 }
--- a/crates/hawthorn-route/src/mirror.rs
+++ b/crates/hawthorn-route/src/mirror.rs
@@ -27,16 +27,16 @@
 
 /// Items and how far they reach.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct MirrorNews {
+pub struct MirrorUpdate {
     /// Changed items.
     pub items: Vec<MirrorItem>,
     /// All changes up to this revision are in, or were before.
     pub as_of: u64,
     /// The items are all there are: others are gone.
-    pub whole: bool,
+    pub complete: bool,
 }
 
-impl MirrorNews {
+impl MirrorUpdate {
     /// Bytes of its keys and values.
     pub fn bytes(&self) -> usize {
         let value = |item: &MirrorItem| item.value.as_ref().map_or(0, Vec::len);
@@ -75,9 +75,9 @@
     /// Failure: a page read early and a watch's event, or two peers' answers,
     /// overtake each other, and an older entry replaces a newer one. Every item
     /// bears the revision of its change, and only a greater one counts.
-    pub fn take(&mut self, news: MirrorNews) -> Vec<MirrorItem> {
+    pub fn apply(&mut self, news: MirrorUpdate) -> Vec<MirrorItem> {
         let mut changed = Vec::new();
-        if news.whole {
+        if news.complete {
             let present: HashSet<&str> = news.items.iter().map(|item| item.key.as_str()).collect();
             let gone = self.items.iter().filter(|(key, held)| {
                 held.value.is_some()
@@ -132,7 +132,7 @@
     }
 
     /// What is new to one who knows everything up to `after`.
-    pub fn since(&self, after: u64) -> MirrorNews {
+    pub fn since(&self, after: u64) -> MirrorUpdate {
         let whole = after == 0 || after < self.forgotten;
         let from = if whole { 0 } else { after + 1 };
         let item = |(revision, key): &(u64, String)| {
@@ -141,7 +141,7 @@
         };
         let items = self.by_revision.range((from, String::new())..).map(item);
         let items = items.filter(|item| !whole || item.value.is_some()).collect();
-        MirrorNews { items, as_of: self.as_of, whole }
+        MirrorUpdate { items, as_of: self.as_of, complete: whole }
     }
 }
 
@@ -160,7 +160,7 @@
 /// Whether a host watches the store, given the [`rank`] of its zone's hosts. A fleet of
 /// one zone has two watchers, so that one that is cut off from the store unnoticed is
 /// not the only source of news.
-pub fn watches(ranked: &[u64], me: u64, zones: usize) -> bool {
+pub fn is_watcher(ranked: &[u64], me: u64, zones: usize) -> bool {
     let watchers = if zones > 1 { 1 } else { 2 };
     ranked.iter().position(|id| *id == me).is_some_and(|place| place < watchers)
 }
--- a/crates/hawthorn-route/src/pace.rs
+++ b/crates/hawthorn-route/src/pace.rs
@@ -14,15 +14,15 @@
     /// Part of the link that bulk messages may use.
     pub share: f64,
     /// Smaller messages are not delayed.
-    pub least_bytes: usize,
+    pub min_bytes: usize,
     /// The longest delay of a message; beyond it the reader asks again.
-    pub longest_delay: Duration,
+    pub max_delay: Duration,
 }
 
 impl Options {
     /// The limits for a link that carries so many bytes a second.
-    pub fn of_link(link_rate: f64) -> Self {
-        Self { link_rate, share: 0.5, least_bytes: 2048, longest_delay: Duration::from_millis(200) }
+    pub fn for_link(link_rate: f64) -> Self {
+        Self { link_rate, share: 0.5, min_bytes: 2048, max_delay: Duration::from_millis(200) }
     }
 }
 
@@ -36,11 +36,11 @@
     /// How long to wait before sending a message of so many bytes, which is counted as
     /// sent; `None` when the wait would be too long, and nothing is counted.
     pub fn reserve(&mut self, now: Duration, bytes: usize, options: &Options) -> Option<Duration> {
-        if bytes < options.least_bytes {
+        if bytes < options.min_bytes {
             return Some(Duration::ZERO);
         }
         let delay = self.free_at.saturating_sub(now);
-        if delay > options.longest_delay {
+        if delay > options.max_delay {
             return None;
         }
         let seconds = bytes as f64 / (options.link_rate * options.share).max(1.0);
--- a/crates/hawthorn-route/src/place.rs
+++ b/crates/hawthorn-route/src/placement.rs
@@ -38,58 +38,58 @@
 
 /// What a choice is made from.
 #[derive(Clone, Copy, Debug)]
-pub struct PlaceView<'a> {
+pub struct PlacementView<'a> {
     /// All targets and what is believed of them.
     pub registry: &'a TargetRegistry,
     /// Zone of this host.
     pub zone: &'a str,
     /// Zones that cannot be reached.
-    pub cut: &'a [String],
+    pub unreachable_zones: &'a [String],
     /// Zones in which the route's requests may be run.
     pub homes: HomeZones<'a>,
     /// The usual time of such a request.
-    pub usual: Duration,
+    pub service_time: Duration,
     /// The usual time of one of those that wait in queues, of whichever route.
-    pub queued: Duration,
+    pub queued_service_time: Duration,
     /// Time within which its answer is worth all it can be to the caller.
-    pub aim: Duration,
+    pub target_latency: Duration,
     /// When the choice is made.
     pub now: Duration,
 }
 
-impl<'a> PlaceView<'a> {
+impl<'a> PlacementView<'a> {
     /// The target's zone is a home and not cut off, as far as is known, and it may be sent
     /// requests.
     fn reaches(&self, state: &TargetState) -> bool {
         let zone = &state.entry.zone;
         self.homes.allows(zone)
-            && !self.cut.iter().any(|cut| **cut == **zone)
+            && !self.unreachable_zones.iter().any(|cut| **cut == **zone)
             && self.registry.is_open(state, self.now)
     }
 
     /// The targets of a service that take work and can be reached.
-    pub fn working(self, service: &str) -> impl Iterator<Item = &'a TargetState> {
+    pub fn available_targets(self, service: &str) -> impl Iterator<Item = &'a TargetState> {
         let targets = self.registry.of_service(service).iter();
         let states = targets.filter_map(move |key| self.registry.get(*key));
-        states.filter(move |state| self.reaches(state) && state.is_working(self.now))
+        states.filter(move |state| self.reaches(state) && state.is_available(self.now))
     }
 
     /// Whether a target is the only one of a service with several that would be left.
-    pub fn is_last(self, service: &str, key: TargetKey, tried: &[TargetKey]) -> bool {
+    pub fn is_last_target(self, service: &str, key: TargetKey, tried: &[TargetKey]) -> bool {
         let others = || {
             let keys = self.registry.of_service(service).iter().filter(|other| **other != key);
             keys.filter_map(|other| Some((other, self.registry.get(*other)?)))
         };
         let stands = |other: TargetKey, state: &TargetState| {
-            !tried.contains(&other) && self.reaches(state) && state.is_standing(self.now)
+            !tried.contains(&other) && self.reaches(state) && state.is_healthy(self.now)
         };
         others().next().is_some() && !others().any(|(other, state)| stands(*other, state))
     }
 
     /// How long a request sent now waits at a service before it is worked on, at the
     /// least busy of its targets; `None` where none takes work.
-    pub fn wait(self, service: &str) -> Option<Duration> {
-        self.working(service).map(|state| self.target_wait(state)).min()
+    pub fn queue_wait(self, service: &str) -> Option<Duration> {
+        self.available_targets(service).map(|state| self.target_wait(state)).min()
     }
 
     /// How long it waits at one target.
@@ -103,17 +103,17 @@
     /// waits of earlier ones, which would count twice.
     fn target_wait(self, state: &TargetState) -> Duration {
         let slots = f64::from(state.entry.slots.max(1));
-        let own = (state.flying.len() as f64 - slots).max(0.0) / slots;
-        let queue = self.queued.mul_f64(own.max(state.queue(self.now)));
+        let own = (state.in_flight.len() as f64 - slots).max(0.0) / slots;
+        let queue = self.queued_service_time.mul_f64(own.max(state.queue(self.now)));
         let oldest = state.oldest_wait(self.now);
-        if oldest > self.queued * SUSPECT_FACTOR { queue + oldest } else { queue }
+        if oldest > self.queued_service_time * SUSPECT_FACTOR { queue + oldest } else { queue }
     }
 }
 
 /// The target of a service that is expected to answer first, apart from those
 /// tried already and those that cannot be reached.
-pub fn place(
-    view: PlaceView<'_>,
+pub fn select_target(
+    view: PlacementView<'_>,
     service: &str,
     tried: &[TargetKey],
     lots: &mut impl Rng,
@@ -186,15 +186,15 @@
 }
 
 /// Expected time until the target's answer, in seconds; `None` when it takes nothing.
-pub fn score(view: PlaceView<'_>, state: &TargetState, options: &Options) -> Option<f64> {
-    let PlaceView { zone, usual, aim, now, .. } = view;
+pub fn score(view: PlacementView<'_>, state: &TargetState, options: &Options) -> Option<f64> {
+    let PlacementView { zone, service_time: usual, target_latency: aim, now, .. } = view;
     let phase_cost = match state.phase {
         TargetPhase::Ready => 0.0,
         // Only while nobody else takes work: dearer than any ready target.
         TargetPhase::Leaving { until } if now < until => LEAVING_COST,
         TargetPhase::Leaving { .. } | TargetPhase::Gone => return None,
     };
-    let mut work = usual.as_secs_f64() * state.speed().max(0.25);
+    let mut work = usual.as_secs_f64() * state.slowdown().max(0.25);
     if now < state.cold_until {
         work *= options.cold_factor;
     }
@@ -212,7 +212,7 @@
     if view.registry.cold().limit(state, now).is_some() {
         time += COLD_COST;
     }
-    time += state.failing() * options.failing_cost.as_secs_f64();
+    time += state.failure_rate() * options.failing_cost.as_secs_f64();
     if now < state.paused_until() {
         // Tried only when the others are paused too, the first to end first.
         time += PAUSED_COST + (state.paused_until() - now).as_secs_f64();
--- a/crates/hawthorn-route/src/policy.rs
+++ b/crates/hawthorn-route/src/policy.rs
@@ -8,25 +8,25 @@
 use quick_error::quick_error;
 use serde::Deserialize;
 
-use crate::depart;
-use crate::door;
+use crate::admission;
 use crate::gather;
 use crate::hedge;
-use crate::place;
+use crate::placement;
 use crate::quarantine;
-use crate::reach;
+use crate::reachability;
 use crate::registry;
 use crate::rollout;
+use crate::scatter;
+use crate::send_deadline;
 use crate::skip;
-use crate::spread;
 
 quick_error! {
     /// Why a policy was not accepted.
     #[derive(Debug, PartialEq)]
     pub enum Error {
         /// A value is outside its range.
-        Range(key: &'static str, value: f64, least: f64, most: f64) {
-            display("policy.{key}: {value} is not within {least} to {most}")
+        Range(key: &'static str, value: f64, min: f64, max: f64) {
+            display("policy.{key}: {value} is not within {min} to {max}")
         }
         /// Two values contradict each other.
         Above(key: &'static str, other: &'static str) {
@@ -56,21 +56,21 @@
 #[serde(default, deny_unknown_fields)]
 pub struct RoutePolicy {
     /// When answers leave.
-    pub departure: depart::Options,
+    pub departure: send_deadline::Options,
     /// Which target an attempt goes to.
-    pub placing: place::Options,
+    pub placing: placement::Options,
     /// When an attempt counts as late.
     pub second_attempts: hedge::Options,
     /// Which shards are not asked for.
     pub skipping: skip::Options,
     /// Which queries are admitted.
-    pub admission: door::Options,
+    pub admission: admission::Options,
     /// Which shards peers gather.
-    pub gatherers: spread::Options,
+    pub gatherers: scatter::Options,
     /// Which answers leave before they are whole.
     pub gathering: gather::Options,
     /// What the balancer is told of zones that are cut off.
-    pub zones: reach::Options,
+    pub zones: reachability::Options,
     /// When versions of the routes come into force.
     pub rollout: rollout::Options,
     /// How targets are remembered.
@@ -88,10 +88,10 @@
     pub key: &'static str,
     /// What it is.
     pub value: f64,
-    /// The least it may be.
-    pub least: f64,
+    /// The min it may be.
+    pub min: f64,
     /// The most it may be.
-    pub most: f64,
+    pub max: f64,
 }
 
 /// Factors, and queries in flight, at the most.
@@ -108,8 +108,8 @@
 /// Shards of one query, at the most: their places are counted in 16 bits.
 const MOST_SHARDS: f64 = 65_535.0;
 
-fn row(key: &'static str, value: f64, least: f64, most: f64) -> PolicyRow {
-    PolicyRow { key, value, least, most }
+fn row(key: &'static str, value: f64, min: f64, max: f64) -> PolicyRow {
+    PolicyRow { key, value, min, max }
 }
 
 fn switch(key: &'static str, on: bool) -> PolicyRow {
@@ -183,10 +183,10 @@
     /// # Errors
     /// When a value is outside its range, or contradicts another.
     pub fn check(&self) -> Result<(), Error> {
-        for PolicyRow { key, value, least, most } in self.rows() {
+        for PolicyRow { key, value, min, max } in self.rows() {
             // What is not a number is in no range.
-            if !(least..=most).contains(&value) {
-                return Err(Error::Range(key, value, least, most));
+            if !(min..=max).contains(&value) {
+                return Err(Error::Range(key, value, min, max));
             }
         }
         if self.second_attempts.eager_factor > self.second_attempts.patient_factor {
--- a/crates/hawthorn-route/src/reach.rs
+++ b/crates/hawthorn-route/src/reachability.rs
@@ -42,14 +42,14 @@
 
 /// What is known of the way to one zone's targets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ZoneReach {
+pub struct ZoneReachability {
     unanswered: u32,
     /// When nothing will have come for long enough to doubt the zone, and to
     /// believe it cut off.
     overdue: Option<(Duration, Duration)>,
 }
 
-impl ZoneReach {
+impl ZoneReachability {
     /// A request that usually takes `usual` was sent to a target of the zone.
     pub fn sent(&mut self, now: Duration, usual: Duration) {
         self.unanswered = self.unanswered.saturating_add(1);
@@ -64,13 +64,13 @@
     }
 
     /// Nothing there is worth sending to.
-    pub fn is_cut(&self, now: Duration) -> bool {
+    pub fn is_unreachable(&self, now: Duration) -> bool {
         self.unanswered >= LEAST_UNANSWERED && self.overdue.is_some_and(|(_, cut)| now >= cut)
     }
 
     /// It may be cut off: worth a try of the way there, and for a balancer that
     /// asks twice before it believes, worth being told of. Requests still go there.
-    pub fn is_doubtful(&self, now: Duration) -> bool {
+    pub fn is_suspected(&self, now: Duration) -> bool {
         self.unanswered >= LEAST_UNANSWERED
             && self.overdue.is_some_and(|(doubted, _)| now >= doubted)
     }
@@ -83,7 +83,7 @@
 /// The harm it prevents: they are refused for as long as the cut lasts, while
 /// hosts of the larger side would serve them. Both sides see a cut; only the
 /// smaller one steps aside, or all would.
-pub fn steps_aside(zones: usize, cut: usize, unanswerable_share: f64) -> bool {
+pub fn should_fail_readiness(zones: usize, cut: usize, unanswerable_share: f64) -> bool {
     let reachable = zones.saturating_sub(cut);
     cut > reachable && unanswerable_share >= LEAST_SHARE
 }
--- a/crates/hawthorn-route/src/registry.rs
+++ b/crates/hawthorn-route/src/registry.rs
@@ -67,7 +67,7 @@
 /// Why a request may not be sent to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
-pub enum SendBar {
+pub enum SendRejection {
     /// It left, or is another target by now.
     Gone,
     /// Its zone is evacuated.
@@ -155,7 +155,7 @@
         options: Options,
     ) -> TargetChange {
         state.revision = revision;
-        state.heard = now;
+        state.last_seen = now;
         if entry.cold > Duration::ZERO {
             state.cold_until = now + entry.cold;
         }
@@ -259,7 +259,7 @@
     ///
     /// Failure: a request waits for a connection while its target leaves or its zone is
     /// evacuated, and is sent seconds later.
-    pub fn admit(&mut self, key: TargetKey, now: Duration) -> Result<(), SendBar> {
+    pub fn admit(&mut self, key: TargetKey, now: Duration) -> Result<(), SendRejection> {
         self.permit(key, now)?;
         if let Some(state) = self.targets.get_mut(key)
             && self.cold.limit(state, now).is_some()
@@ -270,18 +270,18 @@
     }
 
     /// Whether a request may be sent to a target now.
-    pub fn permit(&self, key: TargetKey, now: Duration) -> Result<(), SendBar> {
-        let state = self.targets.get(key).ok_or(SendBar::Gone)?;
+    pub fn permit(&self, key: TargetKey, now: Duration) -> Result<(), SendRejection> {
+        let state = self.targets.get(key).ok_or(SendRejection::Gone)?;
         match state.phase {
-            TargetPhase::Gone => return Err(SendBar::Gone),
-            TargetPhase::Leaving { until } if now >= until => return Err(SendBar::Gone),
+            TargetPhase::Gone => return Err(SendRejection::Gone),
+            TargetPhase::Leaving { until } if now >= until => return Err(SendRejection::Gone),
             TargetPhase::Leaving { .. } | TargetPhase::Ready => {}
         }
         if self.evacuations.contains(&state.entry.zone) {
-            return Err(SendBar::Evacuated);
+            return Err(SendRejection::Evacuated);
         }
         if !self.cold.admits(state, &self.zone, now) {
-            return Err(SendBar::Cold);
+            return Err(SendRejection::Cold);
         }
         Ok(())
     }
--- a/crates/hawthorn-route/src/rollout.rs
+++ b/crates/hawthorn-route/src/rollout.rs
@@ -38,17 +38,17 @@
 
 /// Versions that are known and not yet in force, the oldest first.
 #[derive(Debug)]
-pub struct HeldVersions<T> {
+pub struct PendingVersions<T> {
     versions: VecDeque<(Duration, T)>,
 }
 
-impl<T> Default for HeldVersions<T> {
+impl<T> Default for PendingVersions<T> {
     fn default() -> Self {
         Self { versions: VecDeque::new() }
     }
 }
 
-impl<T> HeldVersions<T> {
+impl<T> PendingVersions<T> {
     /// Adds a version that comes into force at `due`.
     pub fn push(&mut self, due: Duration, version: T) {
         self.versions.push_back((due, version));
--- a/crates/hawthorn-route/src/spread.rs
+++ b/crates/hawthorn-route/src/scatter.rs
@@ -17,8 +17,8 @@
 use smallvec::SmallVec;
 
 use crate::document::GatherRule;
-use crate::place;
-use crate::place::PlaceView;
+use crate::placement;
+use crate::placement::PlacementView;
 use crate::registry::TargetKey;
 
 /// Limits of handing shards over.
@@ -44,20 +44,20 @@
 
 /// Where one shard is best had.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ShardWay {
+pub enum ShardSource {
     /// From a target of this host's own zone, or from one that is alone.
-    Near(TargetKey),
+    Direct(TargetKey),
     /// From this target, and as well from any of these other zones.
-    Away(TargetKey, ZoneNames),
+    Remote(TargetKey, ZoneNames),
     /// No target takes work.
-    Nowhere,
+    Unavailable,
 }
 
 /// A query's shards by their place in its list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Outcome {
+pub struct ScatterPlan {
     /// Where each is best had.
-    pub ways: Vec<ShardWay>,
+    pub sources: Vec<ShardSource>,
 }
 
 /// Shards that a host of one zone gathers.
@@ -70,57 +70,57 @@
 }
 
 /// Finds for each shard of a query where it is best had, once.
-pub fn spread(
-    view: PlaceView<'_>,
+pub fn plan(
+    view: PlacementView<'_>,
     rule: &GatherRule,
     lots: &mut impl Rng,
-    options: &place::Options,
-) -> Outcome {
+    options: &placement::Options,
+) -> ScatterPlan {
     let ways = rule.shards.iter().map(|shard| way(view, shard, lots, options)).collect();
-    Outcome { ways }
+    ScatterPlan { sources: ways }
 }
 
 fn way(
-    view: PlaceView<'_>,
+    view: PlacementView<'_>,
     shard: &str,
     lots: &mut impl Rng,
-    options: &place::Options,
-) -> ShardWay {
-    let PlaceView { registry, zone, .. } = view;
-    let Some(best) = place::place(view, shard, &[], lots, options) else {
-        return ShardWay::Nowhere;
+    options: &placement::Options,
+) -> ShardSource {
+    let PlacementView { registry, zone, .. } = view;
+    let Some(best) = placement::select_target(view, shard, &[], lots, options) else {
+        return ShardSource::Unavailable;
     };
     let Some(best_zone) = registry.get(best).map(|state| &state.entry.zone) else {
-        return ShardWay::Near(best);
+        return ShardSource::Direct(best);
     };
     if **best_zone == *zone {
-        return ShardWay::Near(best);
+        return ShardSource::Direct(best);
     }
     let mut zones = ZoneNames::new();
-    if view.working(shard).any(|state| state.entry.zone == *best_zone) {
+    if view.available_targets(shard).any(|state| state.entry.zone == *best_zone) {
         zones.push(Rc::clone(best_zone));
     }
-    for other in view.working(shard).map(|state| &state.entry.zone) {
+    for other in view.available_targets(shard).map(|state| &state.entry.zone) {
         if **other != *zone && !zones.contains(other) {
             zones.push(Rc::clone(other));
         }
     }
-    if zones.is_empty() { ShardWay::Near(best) } else { ShardWay::Away(best, zones) }
+    if zones.is_empty() { ShardSource::Direct(best) } else { ShardSource::Remote(best, zones) }
 }
 
-impl Outcome {
+impl ScatterPlan {
     /// Enough shards have a target for an answer to be possible.
     ///
     /// Failure: targets work for an answer that cannot be given, and the caller
     /// waits for it. It is refused at once instead.
     pub fn can_answer(&self, rule: &GatherRule) -> bool {
-        let there = self.ways.len() - self.lost();
-        there as f64 >= rule.least_share * self.ways.len() as f64 && there > 0
+        let there = self.sources.len() - self.lost();
+        there as f64 >= rule.min_share * self.sources.len() as f64 && there > 0
     }
 
     /// Shards without any target.
     fn lost(&self) -> usize {
-        self.ways.iter().filter(|way| **way == ShardWay::Nowhere).count()
+        self.sources.iter().filter(|way| **way == ShardSource::Unavailable).count()
     }
 
     /// How many more shards the answer may do without, of the `spare` that it may
@@ -128,21 +128,21 @@
     ///
     /// Failure: a shard has no target left, two more are skipped, and with the
     /// next that is late the query fails, though all of those skipped were there.
-    pub fn spare_left(&self, spare: usize) -> usize {
+    pub fn max_missing_left(&self, spare: usize) -> usize {
         spare.saturating_sub(self.lost())
     }
 
     /// The target that a shard is best had from.
     pub fn target(&self, place: u16) -> Option<TargetKey> {
-        match self.ways.get(usize::from(place))? {
-            ShardWay::Near(key) | ShardWay::Away(key, _) => Some(*key),
-            ShardWay::Nowhere => None,
+        match self.sources.get(usize::from(place))? {
+            ShardSource::Direct(key) | ShardSource::Remote(key, _) => Some(*key),
+            ShardSource::Unavailable => None,
         }
     }
 
     /// Which shards a host of another zone gathers, while one is to be had
     /// there; all others are asked for here.
-    pub fn hand_over(
+    pub fn delegate(
         &self,
         mut has_host: impl FnMut(&str) -> bool,
         options: &Options,
@@ -170,15 +170,16 @@
     /// another zone for a host there, the others for a host of the first of `zones` that
     /// has one, this host's zone being the first. Too few to be worth a message are
     /// asked for here.
-    pub fn hand_over_all(
+    pub fn delegate_all(
         &self,
         zones: &[Rc<str>],
         mut has_host: impl FnMut(&str) -> bool,
         options: &Options,
     ) -> Vec<ZoneShards> {
-        let mut parts = self.hand_over(&mut has_host, options);
+        let mut parts = self.delegate(&mut has_host, options);
         let handed_over = |place: &u16| parts.iter().any(|part| part.shards.contains(place));
-        let places = (0_u16..).zip(&self.ways).filter(|(_, way)| **way != ShardWay::Nowhere);
+        let places =
+            (0_u16..).zip(&self.sources).filter(|(_, way)| **way != ShardSource::Unavailable);
         let rest: Vec<u16> =
             places.map(|(place, _)| place).filter(|place| !handed_over(place)).collect();
         if rest.len() < options.least_shards || !options.on {
@@ -196,9 +197,9 @@
     }
 
     fn away(&self) -> impl Iterator<Item = (u16, &ZoneNames)> {
-        (0_u16..).zip(&self.ways).filter_map(|(place, way)| match way {
-            ShardWay::Away(_, zones) => Some((place, zones)),
-            ShardWay::Near(_) | ShardWay::Nowhere => None,
+        (0_u16..).zip(&self.sources).filter_map(|(place, way)| match way {
+            ShardSource::Remote(_, zones) => Some((place, zones)),
+            ShardSource::Direct(_) | ShardSource::Unavailable => None,
         })
     }
 }
--- a/crates/hawthorn-route/src/depart.rs
+++ b/crates/hawthorn-route/src/send_deadline.rs
@@ -50,7 +50,7 @@
 
 /// The way to a caller and back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct CallerPath {
+pub struct CallerRtt {
     /// How long it takes.
     pub round_trip: Duration,
     /// The mean deviation of that.
@@ -59,13 +59,13 @@
 
 /// What is known of a caller's clock when its request has come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct CallerClock {
+pub struct RequestArrival {
     /// When the request came, read or not.
-    pub came: Duration,
+    pub arrived: Duration,
     /// It is the first of its connection.
-    pub fresh: bool,
+    pub new_connection: bool,
     /// The way to the caller and back, if it is known.
-    pub path: Option<CallerPath>,
+    pub rtt: Option<CallerRtt>,
 }
 
 /// Deviations of a round trip that an answer's own way may take longer: half of
@@ -87,17 +87,22 @@
 
 /// The latest time at which an answer leaves that is to be with its caller
 /// within the aim. `lag` is how late this host does what is due.
-pub fn leaves(clock: &CallerClock, aim: Duration, lag: Duration, options: &Options) -> Duration {
+pub fn send_deadline(
+    clock: &RequestArrival,
+    aim: Duration,
+    lag: Duration,
+    options: &Options,
+) -> Duration {
     if !options.on {
-        return clock.came + aim.saturating_sub(options.round_trip);
+        return clock.arrived + aim.saturating_sub(options.round_trip);
     }
-    let unknown = CallerPath { round_trip: options.round_trip, deviation: Duration::ZERO };
-    let CallerPath { round_trip, deviation } = clock.path.unwrap_or(unknown);
-    let ways = if clock.fresh { round_trip * 2 } else { round_trip };
+    let unknown = CallerRtt { round_trip: options.round_trip, deviation: Duration::ZERO };
+    let CallerRtt { round_trip, deviation } = clock.rtt.unwrap_or(unknown);
+    let ways = if clock.new_connection { round_trip * 2 } else { round_trip };
     let margin = lag * LAGS + aim.mul_f64(options.margin_share);
     let margin = margin.min(aim.mul_f64(options.lag_share));
     let least = aim.mul_f64(options.least_share);
-    clock.came + aim.saturating_sub(ways + deviation * WAY_DEVIATIONS + margin).max(least)
+    clock.arrived + aim.saturating_sub(ways + deviation * WAY_DEVIATIONS + margin).max(least)
 }
 
 /// Round trips of one connection that count, the newest.
@@ -109,20 +114,20 @@
 /// is up to 40 ms too long, and the handshake's, which comes first, is not. After
 /// [`PATH_SAMPLES`] requests the caller has moved.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PathMeter {
-    samples: [Option<CallerPath>; PATH_SAMPLES],
+pub struct RttMeter {
+    samples: [Option<CallerRtt>; PATH_SAMPLES],
     next: usize,
 }
 
-impl PathMeter {
+impl RttMeter {
     /// The kernel told a round trip.
-    pub fn learn(&mut self, path: CallerPath) {
+    pub fn learn(&mut self, path: CallerRtt) {
         self.samples[self.next] = Some(path);
         self.next = (self.next + 1) % PATH_SAMPLES;
     }
 
     /// The way to the caller, once a round trip was told.
-    pub fn path(&self) -> Option<CallerPath> {
+    pub fn rtt(&self) -> Option<CallerRtt> {
         self.samples.iter().flatten().min_by_key(|path| path.round_trip).copied()
     }
 }
--- a/crates/hawthorn-route/src/skip.rs
+++ b/crates/hawthorn-route/src/skip.rs
@@ -13,7 +13,7 @@
 
 use serde::Deserialize;
 
-use crate::place::PlaceView;
+use crate::placement::PlacementView;
 
 /// Limits of skipping.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
@@ -38,7 +38,7 @@
 /// The places of at most `most` shards whose parts cannot come within `time`,
 /// those with the longest queues first.
 pub fn skip<'a>(
-    view: PlaceView<'_>,
+    view: PlacementView<'_>,
     shards: impl Iterator<Item = (u16, &'a str)>,
     most: usize,
     time: Duration,
@@ -58,9 +58,9 @@
 
 /// How long a part takes, queue and work; `None` where no target takes work, or one
 /// has no queue and answers as usual, as far as is known.
-fn expected(view: PlaceView<'_>, shard: &str) -> Option<Duration> {
-    let wait = view.wait(shard)?;
-    (!wait.is_zero()).then(|| view.usual + wait)
+fn expected(view: PlacementView<'_>, shard: &str) -> Option<Duration> {
+    let wait = view.queue_wait(shard)?;
+    (!wait.is_zero()).then(|| view.service_time + wait)
 }
 
 /// How many shards of each part of a query may be skipped, so that together they
--- a/crates/hawthorn-route/src/table.rs
+++ b/crates/hawthorn-route/src/table.rs
@@ -4,9 +4,9 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
+use crate::document::RouteDestination;
 use crate::document::RouteDocument;
 use crate::document::RouteRule;
-use crate::document::RouteWay;
 use crate::document::ServiceRule;
 
 /// A version of the routes. A request keeps the one it began with.
@@ -39,9 +39,9 @@
         }
         let services =
             document.services.iter().map(|rule| (rule.name.clone(), rule.clone())).collect();
-        let queries = document.routes.iter().filter_map(|route| match &route.way {
-            RouteWay::Gather(rule) => Some((route, rule)),
-            RouteWay::Single(_) | RouteWay::Weighted(_) => None,
+        let queries = document.routes.iter().filter_map(|route| match &route.destination {
+            RouteDestination::Gather(rule) => Some((route, rule)),
+            RouteDestination::Single(_) | RouteDestination::Weighted(_) => None,
         });
         let first_rank = queries.clone().map(|(route, _)| route.priority).min();
         let shards = queries.flat_map(|(_, rule)| rule.shards.iter().cloned()).collect();
--- a/crates/hawthorn-route/src/target.rs
+++ b/crates/hawthorn-route/src/target.rs
@@ -50,14 +50,14 @@
     /// Revision of the store at which the entry was written.
     pub revision: u64,
     /// When the entry was last heard of.
-    pub heard: Duration,
+    pub last_seen: Duration,
     /// When it stops being slow after its start.
     pub cold_until: Duration,
     /// Requests that this host sent it while it was cold.
     pub cold_sends: SendMeter,
     /// Starts of own requests that it has not answered.
-    pub flying: Vec<Duration>,
-    told: Option<ToldLoad>,
+    pub in_flight: Vec<Duration>,
+    told: Option<ReportedLoad>,
     speed: f64,
     failures: u32,
     paused_until: Duration,
@@ -69,7 +69,7 @@
 
 /// A load as the target told it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldLoad {
+pub struct ReportedLoad {
     /// Requests it works on.
     pub running: u32,
     /// Requests that wait there.
@@ -88,10 +88,10 @@
             entry,
             phase: TargetPhase::Ready,
             revision,
-            heard: now,
+            last_seen: now,
             cold_until,
             cold_sends: SendMeter::default(),
-            flying: Vec::new(),
+            in_flight: Vec::new(),
             told: None,
             speed: 1.0,
             failures: 0,
@@ -103,18 +103,18 @@
 
     /// A request was sent at `now`.
     pub fn send(&mut self, now: Duration) {
-        self.flying.push(now);
+        self.in_flight.push(now);
     }
 
     /// The target told its load.
-    pub fn tell(&mut self, load: ToldLoad) {
+    pub fn report_load(&mut self, load: ReportedLoad) {
         self.told = Some(load);
     }
 
     /// A request sent at `sent` ended. `usual` is the usual time of such a request.
     pub fn end(&mut self, sent: Duration, now: Duration, end: AttemptEnd, usual: Duration) {
-        if let Some(index) = self.flying.iter().position(|at| *at == sent) {
-            self.flying.swap_remove(index);
+        if let Some(index) = self.in_flight.iter().position(|at| *at == sent) {
+            self.in_flight.swap_remove(index);
         }
         match end {
             AttemptEnd::Answered => {
@@ -141,14 +141,14 @@
     }
 
     /// It takes work now, and has not crashed recently as far as this host knows.
-    pub fn is_standing(&self, now: Duration) -> bool {
-        self.is_working(now) && self.crashed.is_none_or(|at| now >= at + CRASH_MEMORY)
+    pub fn is_healthy(&self, now: Duration) -> bool {
+        self.is_available(now) && self.crashed.is_none_or(|at| now >= at + CRASH_MEMORY)
     }
 
     /// A request was let go unanswered after some time: the target is at least as slow.
     pub fn abandon(&mut self, sent: Duration, now: Duration, usual: Duration) {
-        if let Some(index) = self.flying.iter().position(|at| *at == sent) {
-            self.flying.swap_remove(index);
+        if let Some(index) = self.in_flight.iter().position(|at| *at == sent) {
+            self.in_flight.swap_remove(index);
         }
         let waited = now.saturating_sub(sent);
         if waited > usual {
@@ -168,7 +168,7 @@
     }
 
     /// It takes work now: neither leaving nor passed over after failures.
-    pub fn is_working(&self, now: Duration) -> bool {
+    pub fn is_available(&self, now: Duration) -> bool {
         self.phase == TargetPhase::Ready && now >= self.paused_until
     }
 
@@ -178,18 +178,18 @@
     }
 
     /// Share of its recent answers that were failures, 0 to 1.
-    pub fn failing(&self) -> f64 {
+    pub fn failure_rate(&self) -> f64 {
         self.failing
     }
 
     /// How many times longer than usual it takes.
-    pub fn speed(&self) -> f64 {
+    pub fn slowdown(&self) -> f64 {
         self.speed
     }
 
     /// Requests that run or wait there, as far as is known.
     pub fn load(&self, now: Duration) -> u32 {
-        let own = self.flying.len() as u32;
+        let own = self.in_flight.len() as u32;
         match self.told {
             Some(told) if now.saturating_sub(told.at) < LOAD_LIFE => {
                 own.max(told.running + told.waiting)
@@ -215,7 +215,7 @@
 
     /// How long the oldest own request has waited.
     pub fn oldest_wait(&self, now: Duration) -> Duration {
-        let oldest = self.flying.iter().min();
+        let oldest = self.in_flight.iter().min();
         oldest.map_or(Duration::ZERO, |sent| now.saturating_sub(*sent))
     }
 }
--- a/crates/hawthorn-route/src/weight.rs
+++ b/crates/hawthorn-route/src/weight.rs
@@ -4,16 +4,16 @@
 
 /// Deals requests out by weight, evenly over any short run of requests.
 #[derive(Clone, Debug, Default)]
-pub struct WeightDealer {
+pub struct WeightedRoundRobin {
     credits: Vec<f64>,
 }
 
-impl WeightDealer {
+impl WeightedRoundRobin {
     /// The part whose share is furthest behind.
     ///
     /// A part that has no room keeps its share: its requests are refused, not
     /// moved, as operators weigh parts to bound what each is sent.
-    pub fn deal(&mut self, parts: &[WeightedService]) -> Option<usize> {
+    pub fn select(&mut self, parts: &[WeightedService]) -> Option<usize> {
         if self.credits.len() != parts.len() {
             self.credits = vec![0.0; parts.len()];
         }
--- a/crates/hawthorn-route/tests/budget.rs
+++ b/crates/hawthorn-route/tests/budget.rs
@@ -121,9 +121,9 @@
                 running,
                 gatherers: hosts,
                 gathering: Some(running),
-                meeting: false,
+                awaiting_peers: false,
             };
-            let options = budget::part(&self.whole, &view, ServiceUse::Single);
+            let options = budget::host_share(&self.whole, &view, ServiceUse::Single);
             (0..requests).for_each(|_| host.earn(now, &options));
             while host.spend(now, &options) {
                 extras += 1;
@@ -237,9 +237,9 @@
                 running: STEP * running,
                 gatherers: if alone { 1 } else { self.gatherers.min(known) },
                 gathering: host.gathers.map(|since| STEP * (step - since)),
-                meeting: alone,
+                awaiting_peers: alone,
             };
-            let options = budget::part(&self.whole, &view, ServiceUse::Shard);
+            let options = budget::host_share(&self.whole, &view, ServiceUse::Shard);
             while host.budget.spend(now, &options) {
                 extras += 1;
             }
@@ -288,9 +288,9 @@
         running: WINDOW * 2,
         gatherers: 15,
         gathering,
-        meeting: false,
+        awaiting_peers: false,
     };
-    let part = |gathering, service| budget::part(&whole, &view(gathering), service).allowance;
+    let part = |gathering, service| budget::host_share(&whole, &view(gathering), service).allowance;
     let gatherer = part(Some(WINDOW), ServiceUse::Shard);
     assert!((11.0..12.0).contains(&gatherer), "{gatherer}");
     assert_eq!(part(Some(WINDOW / 2), ServiceUse::Shard), gatherer / 2.0);
--- a/crates/hawthorn-route/tests/cold.rs
+++ b/crates/hawthorn-route/tests/cold.rs
@@ -11,9 +11,9 @@
 use hawthorn_route::cold::claim::SlotWrite;
 use hawthorn_route::cold::claim::WriteOutcome;
 use hawthorn_route::document::ServiceRule;
-use hawthorn_route::place;
+use hawthorn_route::placement;
 use hawthorn_route::registry;
-use hawthorn_route::registry::SendBar;
+use hawthorn_route::registry::SendRejection;
 use hawthorn_route::registry::TargetRegistry;
 use rand::Rng;
 use rand::RngExt;
@@ -52,7 +52,7 @@
 fn place_one(registry: &TargetRegistry, now: Duration) -> Option<registry::TargetKey> {
     let view = support::view(registry, ms(15), ms(120), now);
     let mut rng = StdRng::seed_from_u64(3);
-    place::place(view, "s", &[], &mut rng, &place::Options::default())
+    placement::select_target(view, "s", &[], &mut rng, &placement::Options::default())
 }
 
 fn right(slot: u32) -> SlotRight {
@@ -176,7 +176,7 @@
         let now = NOW + ms(step * 10);
         match registry.admit(key, now) {
             Ok(()) => sent.push(now),
-            Err(bar) => assert_eq!(bar, SendBar::Cold),
+            Err(bar) => assert_eq!(bar, SendRejection::Cold),
         }
     }
     let most = cold::part(limit, 1) as usize;
--- a/crates/hawthorn-route/tests/depart.rs
+++ b/crates/hawthorn-route/tests/depart.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use hawthorn_route::depart;
-use hawthorn_route::depart::CallerClock;
-use hawthorn_route::depart::CallerPath;
-use hawthorn_route::depart::LagMeter;
-use hawthorn_route::depart::Options;
-use hawthorn_route::depart::PathMeter;
+use hawthorn_route::send_deadline;
+use hawthorn_route::send_deadline::CallerRtt;
+use hawthorn_route::send_deadline::LagMeter;
+use hawthorn_route::send_deadline::Options;
+use hawthorn_route::send_deadline::RequestArrival;
+use hawthorn_route::send_deadline::RttMeter;
 
 const AIM: Duration = Duration::from_millis(150);
 
@@ -42,11 +42,12 @@
     ];
     for case in &cases {
         let way = millis(case.way);
-        let path = CallerPath { round_trip: way * 2, deviation: way / 2 };
+        let path = CallerRtt { round_trip: way * 2, deviation: way / 2 };
         // The caller's clock begins at zero.
         let came = if case.fresh { way * 3 } else { way };
-        let clock = CallerClock { came, fresh: case.fresh, path: Some(path) };
-        let leaves = depart::leaves(&clock, AIM, millis(case.lag), &Options::default());
+        let clock = RequestArrival { arrived: came, new_connection: case.fresh, rtt: Some(path) };
+        let leaves =
+            send_deadline::send_deadline(&clock, AIM, millis(case.lag), &Options::default());
         let there = leaves + millis(case.lag) + way;
         assert!(there <= AIM, "{}: there after {there:?}", case.name);
         assert!(leaves - came >= millis(case.least), "{}: {leaves:?}", case.name);
@@ -60,9 +61,9 @@
 fn a_request_that_is_read_late_is_answered_in_time() {
     for lag in [0, 2, 8, 14].map(millis) {
         let way = millis(2);
-        let path = CallerPath { round_trip: way * 2, deviation: Duration::ZERO };
-        let clock = CallerClock { came: way + lag, fresh: false, path: Some(path) };
-        let there = depart::leaves(&clock, AIM, lag, &Options::default()) + lag + way;
+        let path = CallerRtt { round_trip: way * 2, deviation: Duration::ZERO };
+        let clock = RequestArrival { arrived: way + lag, new_connection: false, rtt: Some(path) };
+        let there = send_deadline::send_deadline(&clock, AIM, lag, &Options::default()) + lag + way;
         assert!(there <= AIM, "lag {lag:?}: there after {there:?}");
     }
 }
@@ -71,18 +72,21 @@
 /// of the aim all the same: what leaves at once would be late and empty.
 #[test]
 fn what_cannot_be_in_time_is_gathered_all_the_same() {
-    let path = CallerPath { round_trip: millis(200), deviation: millis(50) };
-    let clock = CallerClock { came: millis(300), fresh: true, path: Some(path) };
-    let leaves = depart::leaves(&clock, AIM, millis(900), &Options::default());
+    let path = CallerRtt { round_trip: millis(200), deviation: millis(50) };
+    let clock = RequestArrival { arrived: millis(300), new_connection: true, rtt: Some(path) };
+    let leaves = send_deadline::send_deadline(&clock, AIM, millis(900), &Options::default());
     assert_eq!(leaves, millis(300) + AIM / 2);
 }
 
 /// The kernel tells no round trip: the one of the settings stands for it.
 #[test]
 fn a_silent_kernel_leaves_the_round_trip_of_the_settings() {
-    let clock = CallerClock { came: millis(10), fresh: false, path: None };
+    let clock = RequestArrival { arrived: millis(10), new_connection: false, rtt: None };
     let options = Options { round_trip: millis(12), margin_share: 0.0, ..Options::default() };
-    assert_eq!(depart::leaves(&clock, AIM, Duration::ZERO, &options), millis(10 + 150 - 12));
+    assert_eq!(
+        send_deadline::send_deadline(&clock, AIM, Duration::ZERO, &options),
+        millis(10 + 150 - 12)
+    );
 }
 
 /// A caller acknowledges late, 40 ms after its answer came, and the kernel's
@@ -90,19 +94,19 @@
 /// requests have told more that the caller has moved.
 #[test]
 fn delayed_acknowledgements_make_no_caller_distant() {
-    let mut meter = PathMeter::default();
-    assert_eq!(meter.path(), None);
-    let near = CallerPath { round_trip: millis(6), deviation: millis(3) };
-    let delayed = CallerPath { round_trip: millis(46), deviation: millis(10) };
+    let mut meter = RttMeter::default();
+    assert_eq!(meter.rtt(), None);
+    let near = CallerRtt { round_trip: millis(6), deviation: millis(3) };
+    let delayed = CallerRtt { round_trip: millis(46), deviation: millis(10) };
     meter.learn(near);
     for _ in 0..7 {
         meter.learn(delayed);
-        assert_eq!(meter.path(), Some(near));
+        assert_eq!(meter.rtt(), Some(near));
     }
     meter.learn(delayed);
-    assert_eq!(meter.path(), Some(delayed), "the caller has moved");
+    assert_eq!(meter.rtt(), Some(delayed), "the caller has moved");
     meter.learn(near);
-    assert_eq!(meter.path(), Some(near), "and come back");
+    assert_eq!(meter.rtt(), Some(near), "and come back");
 }
 
 /// Guards against answers that are late by a hair although nine in ten are not: one in ten is
--- a/crates/hawthorn-route/tests/door.rs
+++ b/crates/hawthorn-route/tests/door.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use hawthorn_route::door::Options;
-use hawthorn_route::door::QueryDoor;
-use hawthorn_route::door::QueryLoad;
+use hawthorn_route::admission::Options;
+use hawthorn_route::admission::QueryAdmission;
+use hawthorn_route::admission::QueryLoad;
 
 const AIM: Duration = Duration::from_millis(100);
 const STEP: Duration = Duration::from_millis(1);
@@ -38,7 +38,7 @@
 /// two; counts the urgent and the others.
 fn play(rate: u32, flood: u32, guarded: bool) -> [Tally; 2] {
     let options = Options::default();
-    let mut door = QueryDoor::default();
+    let mut door = QueryAdmission::default();
     let mut service = Service { slots: [Duration::ZERO; 4] };
     let mut flying: Vec<(Duration, Duration, Duration, usize)> = Vec::new();
     let mut tallies: [Tally; 2] = Default::default();
@@ -112,15 +112,16 @@
 #[test]
 fn one_full_shard_closes_nothing() {
     let options = Options::default();
-    let mut door = QueryDoor::default();
+    let mut door = QueryAdmission::default();
     let before = door.state(&options).1;
-    let load = QueryLoad { waits: vec![AIM], turned_away: 1, shards: 20, spare: 2, failed: false };
+    let load =
+        QueryLoad { waits: vec![AIM], rejected: 1, shards: 20, max_missing: 2, failed: false };
     for step in 0..50 {
         assert!(door.admit(STEP * step * 100, true, &options));
         door.finish(STEP * step * 100, STEP, AIM, Some(&load), &options);
     }
     assert!(door.state(&options).1 >= before);
-    assert!(!door.is_crowded(STEP * 5_000));
+    assert!(!door.is_overloaded(STEP * 5_000));
 }
 
 /// Targets are full and turn so many parts away that each query fails after 2 ms. Its
@@ -129,9 +130,9 @@
 #[test]
 fn queries_that_fail_at_once_keep_their_places() {
     let options = Options::default();
-    let mut door = QueryDoor::default();
+    let mut door = QueryAdmission::default();
     let failed =
-        QueryLoad { waits: vec![AIM; 4], turned_away: 4, shards: 20, spare: 2, failed: true };
+        QueryLoad { waits: vec![AIM; 4], rejected: 4, shards: 20, max_missing: 2, failed: true };
     let mut admitted = 0;
     for step in 0..1_000 {
         let now = STEP * step;
@@ -153,12 +154,12 @@
 #[test]
 fn queues_are_known_to_stand_for_as_long_as_queries_tell_of_them() {
     let options = Options::default();
-    let mut door = QueryDoor::default();
-    assert!(!door.is_crowded(Duration::ZERO));
+    let mut door = QueryAdmission::default();
+    assert!(!door.is_overloaded(Duration::ZERO));
     let load =
-        QueryLoad { waits: vec![AIM; 4], turned_away: 0, shards: 20, spare: 2, failed: false };
+        QueryLoad { waits: vec![AIM; 4], rejected: 0, shards: 20, max_missing: 2, failed: false };
     assert!(door.admit(STEP * 100, true, &options));
     door.finish(STEP * 100, STEP, AIM, Some(&load), &options);
-    assert!(door.is_crowded(STEP * 200));
-    assert!(!door.is_crowded(STEP * 100 + options.crowded_time));
+    assert!(door.is_overloaded(STEP * 200));
+    assert!(!door.is_overloaded(STEP * 100 + options.crowded_time));
 }
--- a/crates/hawthorn-route/tests/evacuation.rs
+++ b/crates/hawthorn-route/tests/evacuation.rs
@@ -7,13 +7,13 @@
 use hawthorn_route::document::GatherRule;
 use hawthorn_route::evacuation::EvacuationChange;
 use hawthorn_route::evacuation::ZoneEvacuations;
-use hawthorn_route::place;
+use hawthorn_route::placement;
 use hawthorn_route::registry;
-use hawthorn_route::registry::SendBar;
+use hawthorn_route::registry::SendRejection;
 use hawthorn_route::registry::TargetKey;
 use hawthorn_route::registry::TargetRegistry;
-use hawthorn_route::spread;
-use hawthorn_route::spread::ShardWay;
+use hawthorn_route::scatter;
+use hawthorn_route::scatter::ShardSource;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -111,14 +111,15 @@
             support::view(&registry, Duration::from_millis(15), Duration::from_millis(120), NOW);
         let mut rng = StdRng::seed_from_u64(1);
         let mut tried = Vec::new();
-        while let Some(key) = place::place(view, "s0", &tried, &mut rng, &place::Options::default())
+        while let Some(key) =
+            placement::select_target(view, "s0", &tried, &mut rng, &placement::Options::default())
         {
             let zone = zone_of(&registry, key);
             assert!(!case.evacuated.contains(&zone.as_str()), "{}: {zone}", case.name);
             tried.push(key);
         }
         assert_eq!(tried.len(), case.attempts, "{}", case.name);
-        assert_eq!(view.working("s0").count(), case.attempts, "{}", case.name);
+        assert_eq!(view.available_targets("s0").count(), case.attempts, "{}", case.name);
     }
 }
 
@@ -129,7 +130,7 @@
     struct Case {
         name: &'static str,
         change: fn(&mut TargetRegistry),
-        permit: Result<(), SendBar>,
+        permit: Result<(), SendRejection>,
     }
     let cases = [
         Case { name: "unchanged", change: |_| {}, permit: Ok(()) },
@@ -138,7 +139,7 @@
             change: |registry| {
                 registry.evacuate("east", true, 9);
             },
-            permit: Err(SendBar::Evacuated),
+            permit: Err(SendRejection::Evacuated),
         },
         Case {
             name: "another zone is evacuated",
@@ -152,7 +153,7 @@
             change: |registry| {
                 registry.remove("t0-east", 9, NOW - Duration::from_secs(5));
             },
-            permit: Err(SendBar::Gone),
+            permit: Err(SendRejection::Gone),
         },
         Case {
             name: "it leaves",
@@ -166,7 +167,7 @@
             change: |registry| {
                 registry.put(support::entry("t0-east", "other", "east"), 9, NOW);
             },
-            permit: Err(SendBar::Gone),
+            permit: Err(SendRejection::Gone),
         },
     ];
     for case in cases {
@@ -187,15 +188,15 @@
     let mut registry = registry(90);
     registry.evacuate("east", true, 9);
     let shards = (0..90).map(|shard| format!("s{shard}")).collect();
-    let rule = GatherRule { shards, top: 5, least_share: 0.95 };
+    let rule = GatherRule { shards, top: 5, min_share: 0.95 };
     let view = support::view(&registry, Duration::from_millis(15), Duration::from_millis(120), NOW);
     let mut rng = StdRng::seed_from_u64(7);
     let mut queries = [0; 2];
     for _ in 0..200 {
-        let spread = spread::spread(view, &rule, &mut rng, &place::Options::default());
+        let spread = scatter::plan(view, &rule, &mut rng, &placement::Options::default());
         assert!(spread.can_answer(&rule));
-        assert!(spread.ways.iter().all(|way| matches!(way, ShardWay::Away(..))));
-        let parts = spread.hand_over(|_| true, &spread::Options::default());
+        assert!(spread.sources.iter().all(|way| matches!(way, ShardSource::Remote(..))));
+        let parts = spread.delegate(|_| true, &scatter::Options::default());
         for part in parts {
             let place = ["west", "south"].iter().position(|zone| **zone == *part.zone);
             queries[place.expect("no shard is handed to the evacuated zone")] += 1;
@@ -212,9 +213,9 @@
         registry.evacuate(zone, true, 9);
     });
     let shards = (0..20).map(|shard| format!("s{shard}")).collect();
-    let rule = GatherRule { shards, top: 5, least_share: 0.5 };
+    let rule = GatherRule { shards, top: 5, min_share: 0.5 };
     let view = support::view(&registry, Duration::from_millis(15), Duration::from_millis(120), NOW);
     let mut rng = StdRng::seed_from_u64(7);
-    let spread = spread::spread(view, &rule, &mut rng, &place::Options::default());
+    let spread = scatter::plan(view, &rule, &mut rng, &placement::Options::default());
     assert!(!spread.can_answer(&rule));
 }
--- a/crates/hawthorn-route/tests/gather.rs
+++ b/crates/hawthorn-route/tests/gather.rs
@@ -58,7 +58,7 @@
     ];
     for case in cases {
         let Case { parts, lost, .. } = case;
-        let state = GatherState { shards: 20, parts, lost, least_share: 0.89 };
+        let state = GatherState { shards: 20, parts, lost, min_share: 0.89 };
         assert_eq!(
             state.step(Duration::from_millis(case.aim_left_ms), &Options::default()),
             case.step,
--- a/crates/hawthorn-route/tests/goodput/fleet.rs
+++ b/crates/hawthorn-route/tests/goodput/fleet.rs
@@ -8,27 +8,27 @@
 use std::time::Duration;
 
 use hawthorn_decide::latency::ServiceTimes;
+use hawthorn_route::admission::QueryAdmission;
+use hawthorn_route::admission::QueryLoad;
 use hawthorn_route::budget;
 use hawthorn_route::budget::FleetBudget;
 use hawthorn_route::budget::FleetView;
 use hawthorn_route::budget::RetryBudget;
 use hawthorn_route::budget::ServiceUse;
-use hawthorn_route::door::QueryDoor;
-use hawthorn_route::door::QueryLoad;
 use hawthorn_route::gather::GatherState;
 use hawthorn_route::gather::GatherStep;
 use hawthorn_route::hedge;
 use hawthorn_route::outcome::AttemptEnd;
 use hawthorn_route::outcome::RefusalReason;
-use hawthorn_route::place;
-use hawthorn_route::place::PlaceView;
+use hawthorn_route::placement;
+use hawthorn_route::placement::PlacementView;
 use hawthorn_route::policy::RoutePolicy;
 use hawthorn_route::registry::TargetKey;
 use hawthorn_route::registry::TargetKeys;
 use hawthorn_route::registry::TargetRegistry;
 use hawthorn_route::retry_after::retry_after;
 use hawthorn_route::skip;
-use hawthorn_route::target::ToldLoad;
+use hawthorn_route::target::ReportedLoad;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -142,7 +142,7 @@
     target: usize,
     sent: Duration,
     end: AttemptEnd,
-    told: Option<ToldLoad>,
+    told: Option<ReportedLoad>,
 }
 
 #[derive(Default)]
@@ -158,7 +158,7 @@
     times: ServiceTimes,
     works: ServiceTimes,
     budgets: Vec<RetryBudget>,
-    door: QueryDoor,
+    door: QueryAdmission,
 }
 
 struct Fleet<'a> {
@@ -208,7 +208,7 @@
                 times: ServiceTimes::new(guess),
                 works: ServiceTimes::new(guess),
                 budgets: vec![RetryBudget::default(); scene.shards],
-                door: QueryDoor::default(),
+                door: QueryAdmission::default(),
             }
         };
         let hosts = (0..scene.hosts).map(|_| host()).collect();
@@ -259,15 +259,15 @@
         let running = self.now + Duration::from_secs(60);
         let hosts = self.scene.hosts;
         let gathering = Some(running);
-        let view = FleetView { hosts, running, gatherers: hosts, gathering, meeting: false };
-        budget::part(&BUDGET, &view, ServiceUse::Shard)
+        let view = FleetView { hosts, running, gatherers: hosts, gathering, awaiting_peers: false };
+        budget::host_share(&BUDGET, &view, ServiceUse::Shard)
     }
 
-    fn view<'h>(&self, host: &'h Host) -> PlaceView<'h> {
+    fn view<'h>(&self, host: &'h Host) -> PlacementView<'h> {
         let micros = Duration::from_micros;
         let (usual, queued) = (micros(host.times.median()), micros(host.works.median()));
         let (registry, aim, now) = (&host.registry, self.scene.aim, self.now);
-        PlaceView { queued, ..support::view(registry, usual, aim, now) }
+        PlacementView { queued_service_time: queued, ..support::view(registry, usual, aim, now) }
     }
 
     fn ask(&mut self, caller: usize) {
@@ -279,12 +279,12 @@
             return self.refuse(caller, RefusalReason::HostFull);
         }
         let state =
-            GatherState { shards: scene.shards, parts: 0, lost: 0, least_share: scene.least_share };
-        let spare = state.spare();
+            GatherState { shards: scene.shards, parts: 0, lost: 0, min_share: scene.least_share };
+        let spare = state.max_missing();
         let skipped = {
             let host = &self.hosts[number];
             let places = (0_u16..).zip(self.names.iter().map(String::as_str));
-            if host.door.is_crowded(self.now) {
+            if host.door.is_overloaded(self.now) {
                 skip::skip(self.view(host), places, spare, scene.aim, &scene.policy.skipping)
             } else {
                 Vec::new()
@@ -305,9 +305,9 @@
             races: (0..scene.shards).map(race).collect(),
             load: QueryLoad {
                 waits: Vec::new(),
-                turned_away: 0,
+                rejected: 0,
                 shards: scene.shards,
-                spare: spare - skipped.len(),
+                max_missing: spare - skipped.len(),
                 failed: false,
             },
             ended: None,
@@ -343,7 +343,13 @@
         let host = &self.hosts[number];
         let tried = &self.queries[query].races[shard].tried;
         let placing = &scene.policy.placing;
-        let key = place::place(self.view(host), &self.names[shard], tried, &mut lots, placing);
+        let key = placement::select_target(
+            self.view(host),
+            &self.names[shard],
+            tried,
+            &mut lots,
+            placing,
+        );
         let Some(key) = key else { return false };
         if extra && !self.hosts[number].budgets[shard].spend(now, &options) {
             return false;
@@ -400,7 +406,7 @@
     fn answer(&mut self, attempt: usize, end: AttemptEnd) {
         let Target { running, waiting } = &self.targets[self.attempts[attempt].target];
         let (running, waiting) = (*running, waiting.len() as u32);
-        let told = ToldLoad { running, waiting, slots: self.scene.slots, at: self.now };
+        let told = ReportedLoad { running, waiting, slots: self.scene.slots, at: self.now };
         let record = &mut self.attempts[attempt];
         record.end = end;
         record.told = (end != AttemptEnd::Silent).then_some(told);
@@ -415,7 +421,7 @@
         let state = host.registry.get_mut(key).expect("targets stay");
         let free = state.has_free_slot(sent);
         if let Some(told) = told {
-            state.tell(ToldLoad { at: now, ..told });
+            state.report_load(ReportedLoad { at: now, ..told });
         }
         if end == AttemptEnd::Silent {
             state.abandon(sent, now, usual);
@@ -441,7 +447,7 @@
                 record.state.parts += 1;
             }
             _ => {
-                record.load.turned_away += usize::from(end == AttemptEnd::NotRun);
+                record.load.rejected += usize::from(end == AttemptEnd::NotRun);
                 let alone = race.flying == 0;
                 if alone && !self.launch(query, shard, true) {
                     let record = &mut self.queries[query];
@@ -463,12 +469,12 @@
         let mut lots = StdRng::from_rng(&mut self.lots);
         let placing = &self.scene.policy.placing;
         let name = &self.names[shard];
-        let next = place::place(self.view(host), name, &race.tried, &mut lots, placing);
+        let next = placement::select_target(self.view(host), name, &race.tried, &mut lots, placing);
         let room = next.and_then(|key| host.registry.get(key));
         let needs_room = self.scene.policy.second_attempts.needs_room;
-        if needs_room && room.is_some_and(|state| !hedge::has_room(state, self.now)) {
-            if self.now + hedge::ROOM_PAUSE < record.started + self.scene.aim {
-                self.at(self.now + hedge::ROOM_PAUSE, Event::Late { query, shard });
+        if needs_room && room.is_some_and(|state| !hedge::has_capacity(state, self.now)) {
+            if self.now + hedge::CAPACITY_POLL_INTERVAL < record.started + self.scene.aim {
+                self.at(self.now + hedge::CAPACITY_POLL_INTERVAL, Event::Late { query, shard });
             }
             return;
         }
@@ -516,7 +522,7 @@
         let host = &self.hosts[record.host];
         let view = self.view(host);
         let asked = (0..self.scene.shards).filter(|shard| !record.races[*shard].tried.is_empty());
-        let waits = asked.filter_map(|shard| view.wait(&self.names[shard])).collect();
+        let waits = asked.filter_map(|shard| view.queue_wait(&self.names[shard])).collect();
         let load = QueryLoad { waits, ..record.load.clone() };
         let took = self.now.saturating_sub(record.started);
         let (number, now, scene) = (record.host, self.now, self.scene);
--- a/crates/hawthorn-route/tests/mirror.rs
+++ b/crates/hawthorn-route/tests/mirror.rs
@@ -3,7 +3,7 @@
 use hawthorn_route::gatherers::ZoneHost;
 use hawthorn_route::mirror;
 use hawthorn_route::mirror::MirrorItem;
-use hawthorn_route::mirror::MirrorNews;
+use hawthorn_route::mirror::MirrorUpdate;
 use hawthorn_route::mirror::StoreMirror;
 use proptest::prelude::ProptestConfig;
 use proptest::prop_assert_eq;
@@ -14,8 +14,8 @@
     MirrorItem { key: key.to_owned(), revision, value }
 }
 
-fn news(items: Vec<MirrorItem>, as_of: u64) -> MirrorNews {
-    MirrorNews { items, as_of, whole: false }
+fn news(items: Vec<MirrorItem>, as_of: u64) -> MirrorUpdate {
+    MirrorUpdate { items, as_of, complete: false }
 }
 
 /// A slow peer's answer arrives after the store's own watch has brought newer
@@ -23,8 +23,8 @@
 #[test]
 fn an_older_item_changes_nothing() {
     let mut mirror = StoreMirror::default();
-    assert_eq!(mirror.take(news(vec![item("a", 5, Some("new"))], 5)).len(), 1);
-    assert_eq!(mirror.take(news(vec![item("a", 4, Some("old"))], 4)), []);
+    assert_eq!(mirror.apply(news(vec![item("a", 5, Some("new"))], 5)).len(), 1);
+    assert_eq!(mirror.apply(news(vec![item("a", 4, Some("old"))], 4)), []);
     assert_eq!(mirror.as_of(), 5);
     assert_eq!(mirror.since(0).items, [item("a", 5, Some("new"))]);
 }
@@ -34,12 +34,12 @@
 #[test]
 fn what_a_whole_reading_lacks_is_gone() {
     let mut mirror = StoreMirror::default();
-    mirror.take(news(vec![item("a", 1, Some("x")), item("b", 2, Some("y"))], 2));
-    let whole = MirrorNews { items: vec![item("b", 2, Some("y"))], as_of: 7, whole: true };
-    assert_eq!(mirror.take(whole), [item("a", 7, None)]);
+    mirror.apply(news(vec![item("a", 1, Some("x")), item("b", 2, Some("y"))], 2));
+    let whole = MirrorUpdate { items: vec![item("b", 2, Some("y"))], as_of: 7, complete: true };
+    assert_eq!(mirror.apply(whole), [item("a", 7, None)]);
     let mut peer = StoreMirror::default();
-    peer.take(news(vec![item("a", 1, Some("x")), item("b", 2, Some("y"))], 2));
-    peer.take(mirror.since(peer.as_of()));
+    peer.apply(news(vec![item("a", 1, Some("x")), item("b", 2, Some("y"))], 2));
+    peer.apply(mirror.since(peer.as_of()));
     for held in [&mirror, &peer] {
         assert_eq!(held.since(0).items, [item("b", 2, Some("y"))]);
     }
@@ -69,9 +69,9 @@
             hosts.iter().map(|(id, capacity)| ZoneHost { id: *id, capacity: *capacity }).collect();
         let ranked = mirror::rank(&all);
         let watching = hosts.iter().map(|(id, _)| *id);
-        let watching = watching.filter(|id| mirror::watches(&ranked, *id, zones));
+        let watching = watching.filter(|id| mirror::is_watcher(&ranked, *id, zones));
         assert_eq!(watching.collect::<Vec<u64>>(), watch);
-        assert!(!mirror::watches(&ranked, 99, zones), "a host that leaves watches nothing");
+        assert!(!mirror::is_watcher(&ranked, 99, zones), "a host that leaves watches nothing");
     }
 }
 
@@ -100,16 +100,16 @@
                 let known = hosts[to].as_of() as usize;
                 let end = (known + reach).min(history.len());
                 let part = history[known.min(end)..end].to_vec();
-                hosts[to].take(news(part, end as u64));
+                hosts[to].apply(news(part, end as u64));
             } else {
                 let told = hosts[from].since(hosts[to].as_of());
-                hosts[to].take(told);
+                hosts[to].apply(told);
             }
         }
         let mut full = StoreMirror::default();
-        full.take(news(history.clone(), history.len() as u64));
+        full.apply(news(history.clone(), history.len() as u64));
         for host in &mut hosts {
-            host.take(full.since(host.as_of()));
+            host.apply(full.since(host.as_of()));
             prop_assert_eq!(host.since(0), full.since(0));
         }
     }
--- a/crates/hawthorn-route/tests/offset.rs
+++ b/crates/hawthorn-route/tests/offset.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use hawthorn_route::offset;
-use hawthorn_route::offset::Exchange;
-use hawthorn_route::offset::OrderSpan;
-use hawthorn_route::offset::PeerClock;
-use hawthorn_route::offset::SentSpan;
+use hawthorn_route::clock_offset;
+use hawthorn_route::clock_offset::Exchange;
+use hawthorn_route::clock_offset::LocalDeadlines;
+use hawthorn_route::clock_offset::PeerClock;
+use hawthorn_route::clock_offset::SentDeadlines;
 use proptest::prelude::prop_assert;
 use proptest::proptest;
 
@@ -19,7 +19,7 @@
 fn exchange(at: Duration, offset: Duration, there: u64, work: u64, back: u64) -> Exchange {
     let received = at + offset + ms(there);
     let heard = at + ms(there + work + back);
-    Exchange { sent: at, received, replied: received + ms(work), heard }
+    Exchange { sent: at, received, replied: received + ms(work), reply_received: heard }
 }
 
 /// A busy peer takes in most orders late, and one at once. That one tells how the
@@ -29,14 +29,14 @@
 fn the_quickest_exchange_tells_how_clocks_stand() {
     let offset = Duration::from_secs(5000);
     let mut clock = PeerClock::default();
-    assert_eq!(clock.theirs(ms(1)), None);
+    assert_eq!(clock.to_peer_time(ms(1)), None);
     for (step, there) in [700, 90, 2, 300, 650].into_iter().enumerate() {
         let at = ms(10_000 + 1000 * step as u64);
         assert!(clock.learn(&exchange(at, offset, there, 40, 2)));
     }
     assert_eq!(clock.round_trip(), Some(ms(4)));
     let end = ms(20_000);
-    let theirs = clock.theirs(end).expect("there were exchanges");
+    let theirs = clock.to_peer_time(end).expect("there were exchanges");
     assert!(theirs <= end + offset && theirs + ms(4) >= end + offset, "{theirs:?}");
 }
 
@@ -49,7 +49,7 @@
         clock.learn(&exchange(ms(1000 * step), Duration::from_secs(9000), 1, 5, 1));
     });
     assert!(clock.learn(&exchange(ms(20_000), ms(3), 4, 5, 4)));
-    let theirs = clock.theirs(ms(30_000)).expect("there were exchanges");
+    let theirs = clock.to_peer_time(ms(30_000)).expect("there were exchanges");
     assert!(theirs <= ms(30_003) && theirs + ms(8) >= ms(30_003), "{theirs:?}");
 }
 
@@ -59,14 +59,14 @@
 fn absurd_times_are_refused() {
     let good = exchange(ms(100), ms(5), 1, 10, 1);
     let cases = [
-        Exchange { heard: ms(50), ..good },
+        Exchange { reply_received: ms(50), ..good },
         Exchange { replied: good.received - ms(1), ..good },
         Exchange { replied: good.received + Duration::from_secs(4_000_000_000), ..good },
     ];
     for case in cases {
         let mut clock = PeerClock::default();
         assert!(!clock.learn(&case), "{case:?}");
-        assert_eq!(clock.theirs(ms(1)), None);
+        assert_eq!(clock.to_peer_time(ms(1)), None);
     }
 }
 
@@ -97,9 +97,14 @@
     let (left, aim_left) = (ms(2500), ms(130));
     for case in cases {
         let ends = case.known.then_some((made + left, made + aim_left));
-        let span =
-            offset::read(&SentSpan { left, aim_left, ends }, now, ms(case.busy), Duration::ZERO);
-        let OrderSpan { ends, aim_at } = span.expect("its times can be");
+        let span = clock_offset::to_local(
+            &SentDeadlines { time_left: left, soft_time_left: aim_left, reader_deadlines: ends },
+            now,
+            ms(case.busy),
+            Duration::ZERO,
+        );
+        let LocalDeadlines { deadline: ends, soft_deadline: aim_at } =
+            span.expect("its times can be");
         assert_eq!(ends.saturating_sub(now), ms(case.left), "{}", case.name);
         assert_eq!(aim_at.saturating_sub(now), ms(case.aim), "{}", case.name);
     }
@@ -113,9 +118,11 @@
     let now = Duration::from_secs(50);
     let (left, aim_left) = (ms(900), ms(40));
     for ends in [None, Some((now + left, now + aim_left))] {
-        let sent = SentSpan { left, aim_left, ends };
-        let span = offset::read(&sent, now, Duration::ZERO, ms(2)).expect("its times can be");
-        assert_eq!(span, OrderSpan { ends: now + left, aim_at: now + ms(38) });
+        let sent =
+            SentDeadlines { time_left: left, soft_time_left: aim_left, reader_deadlines: ends };
+        let span =
+            clock_offset::to_local(&sent, now, Duration::ZERO, ms(2)).expect("its times can be");
+        assert_eq!(span, LocalDeadlines { deadline: now + left, soft_deadline: now + ms(38) });
     }
 }
 
@@ -125,21 +132,27 @@
 fn orders_whose_times_cannot_be_are_none() {
     let year = Duration::from_secs(365 * 24 * 3600);
     let now = year * 3;
-    let good = SentSpan { left: ms(500), aim_left: ms(100), ends: None };
+    let good =
+        SentDeadlines { time_left: ms(500), soft_time_left: ms(100), reader_deadlines: None };
     let cases = [
-        SentSpan { left: year, ..good },
-        SentSpan { aim_left: year, ..good },
-        SentSpan { ends: Some((now + year, now)), ..good },
-        SentSpan { ends: Some((now, now - year)), ..good },
-        SentSpan { ends: Some((Duration::ZERO, Duration::ZERO)), ..good },
+        SentDeadlines { time_left: year, ..good },
+        SentDeadlines { soft_time_left: year, ..good },
+        SentDeadlines { reader_deadlines: Some((now + year, now)), ..good },
+        SentDeadlines { reader_deadlines: Some((now, now - year)), ..good },
+        SentDeadlines { reader_deadlines: Some((Duration::ZERO, Duration::ZERO)), ..good },
     ];
     for case in cases {
-        assert_eq!(offset::read(&case, now, Duration::ZERO, Duration::ZERO), None, "{case:?}");
+        assert_eq!(
+            clock_offset::to_local(&case, now, Duration::ZERO, Duration::ZERO),
+            None,
+            "{case:?}"
+        );
     }
     // A clock that is a little wrong only shortens.
-    let fast = SentSpan { ends: Some((now + ms(900), now + ms(900))), ..good };
-    let span = offset::read(&fast, now, Duration::ZERO, Duration::ZERO).expect("its times can be");
-    assert_eq!(span, OrderSpan { ends: now + ms(500), aim_at: now + ms(100) });
+    let fast = SentDeadlines { reader_deadlines: Some((now + ms(900), now + ms(900))), ..good };
+    let span = clock_offset::to_local(&fast, now, Duration::ZERO, Duration::ZERO)
+        .expect("its times can be");
+    assert_eq!(span, LocalDeadlines { deadline: now + ms(500), soft_deadline: now + ms(100) });
 }
 
 proptest! {
@@ -154,7 +167,7 @@
         for (step, (there, work, back)) in delays.into_iter().enumerate() {
             let at = ms(2_000_000 + 2000 * step as u64);
             clock.learn(&exchange(at, ms(offset), there, work, back));
-            let theirs = clock.theirs(at).expect("there was an exchange");
+            let theirs = clock.to_peer_time(at).expect("there was an exchange");
             prop_assert!(theirs <= at + ms(offset));
         }
     }
--- a/crates/hawthorn-route/tests/pace.rs
+++ b/crates/hawthorn-route/tests/pace.rs
@@ -52,7 +52,7 @@
         },
     ];
     for Case { name, peers, bytes, longest_request, all_told } in cases {
-        let options = Options::of_link(LINK_RATE);
+        let options = Options::for_link(LINK_RATE);
         let (mut pacer, mut link) = (BulkPacer::default(), NarrowLink::default());
         // When each peer's message is given to the link, once that is known.
         let mut due: Vec<Option<Duration>> = vec![None; peers];
@@ -81,7 +81,7 @@
 /// A change of one entry is in force everywhere without delay.
 #[test]
 fn small_messages_are_not_delayed() {
-    let options = Options::of_link(LINK_RATE);
+    let options = Options::for_link(LINK_RATE);
     let mut pacer = BulkPacer::default();
     assert_eq!(pacer.reserve(Duration::ZERO, 1_000_000, &options), Some(Duration::ZERO));
     assert_eq!(pacer.reserve(Duration::ZERO, 300, &options), Some(Duration::ZERO));
--- a/crates/hawthorn-route/tests/policy.rs
+++ b/crates/hawthorn-route/tests/policy.rs
@@ -75,7 +75,7 @@
     let known = RoutePolicy::default().rows();
     assert_eq!(listed.len(), known.len());
     for (line, row) in listed.iter().zip(&known) {
-        let range = format!("{} to {}", row.least, row.most);
+        let range = format!("{} to {}", row.min, row.max);
         let expected = [row.key.to_owned(), row.value.to_string(), range];
         assert_eq!(line[1..4], expected, "{}", row.key);
     }
--- a/crates/hawthorn-route/tests/rollout.rs
+++ b/crates/hawthorn-route/tests/rollout.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use hawthorn_route::rollout;
-use hawthorn_route::rollout::HeldVersions;
 use hawthorn_route::rollout::Options;
+use hawthorn_route::rollout::PendingVersions;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -18,7 +18,7 @@
 struct ZoneHost {
     gathers: bool,
     in_force: Vec<u64>,
-    held: HeldVersions<u64>,
+    held: PendingVersions<u64>,
     /// When each version arrives.
     arrivals: Vec<(Duration, u64)>,
 }
--- a/crates/hawthorn-route/tests/routes.rs
+++ b/crates/hawthorn-route/tests/routes.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
+use hawthorn_route::document::RouteDestination;
 use hawthorn_route::document::RouteDocument;
 use hawthorn_route::document::RouteRule;
-use hawthorn_route::document::RouteWay;
 use hawthorn_route::document::WeightedService;
 use hawthorn_route::table::RouteTable;
-use hawthorn_route::weight::WeightDealer;
+use hawthorn_route::weight::WeightedRoundRobin;
 
 fn rule(host: &str, prefix: &str) -> RouteRule {
     RouteRule {
@@ -16,11 +16,11 @@
         prefix: prefix.to_owned(),
         idempotent: true,
         timeout: Duration::from_secs(1),
-        aim: Duration::from_millis(100),
+        target_latency: Duration::from_millis(100),
         priority: 0,
         homes: None,
         max_attempts: 2,
-        way: RouteWay::Single("s".to_owned()),
+        destination: RouteDestination::Single("s".to_owned()),
     }
 }
 
@@ -63,13 +63,13 @@
     for case in cases {
         let part = |weight: &f64| WeightedService { service: "s".to_owned(), weight: *weight };
         let parts: Vec<WeightedService> = case.weights.iter().map(part).collect();
-        let mut dealer = WeightDealer::default();
+        let mut dealer = WeightedRoundRobin::default();
         let mut counts = vec![0; parts.len()];
         for _ in 0..100 {
-            counts[dealer.deal(&parts).expect("some weight is above zero")] += 1;
+            counts[dealer.select(&parts).expect("some weight is above zero")] += 1;
         }
         assert_eq!(counts, case.shares);
     }
     let none = [WeightedService { service: "s".to_owned(), weight: 0.0 }];
-    assert_eq!(WeightDealer::default().deal(&none), None);
+    assert_eq!(WeightedRoundRobin::default().select(&none), None);
 }
--- a/crates/hawthorn-route/tests/skip.rs
+++ b/crates/hawthorn-route/tests/skip.rs
@@ -7,7 +7,7 @@
 use hawthorn_route::registry;
 use hawthorn_route::registry::TargetRegistry;
 use hawthorn_route::skip;
-use hawthorn_route::target::ToldLoad;
+use hawthorn_route::target::ReportedLoad;
 use proptest::prelude::prop_assert;
 use proptest::prelude::prop_assert_eq;
 use proptest::proptest;
@@ -24,8 +24,8 @@
             let entry = support::entry(&format!("t{shard}-{place}"), &format!("s{shard}"), "east");
             registry.put(entry, 1, NOW);
             let key = registry.of_service(&format!("s{shard}"))[place];
-            let load = ToldLoad { running: 2, waiting: *waiting, slots: 2, at: told };
-            registry.get_mut(key).expect("it has just been put").tell(load);
+            let load = ReportedLoad { running: 2, waiting: *waiting, slots: 2, at: told };
+            registry.get_mut(key).expect("it has just been put").report_load(load);
         }
     }
     registry
--- a/crates/hawthorn-route/tests/spread.rs
+++ b/crates/hawthorn-route/tests/spread.rs
@@ -8,13 +8,13 @@
 
 use hawthorn_route::document::GatherRule;
 use hawthorn_route::outcome::AttemptEnd;
-use hawthorn_route::place;
-use hawthorn_route::place::PlaceView;
+use hawthorn_route::placement;
+use hawthorn_route::placement::PlacementView;
 use hawthorn_route::registry;
 use hawthorn_route::registry::TargetRegistry;
-use hawthorn_route::spread;
-use hawthorn_route::spread::ShardWay;
-use hawthorn_route::spread::ZoneShards;
+use hawthorn_route::scatter;
+use hawthorn_route::scatter::ShardSource;
+use hawthorn_route::scatter::ZoneShards;
 use rand::SeedableRng;
 use rand::TryRng;
 use rand::rngs::StdRng;
@@ -35,19 +35,19 @@
 
 fn rule(shards: usize, least_share: f64) -> GatherRule {
     let shards = (0..shards).map(|shard| format!("s{shard}")).collect();
-    GatherRule { shards, top: 5, least_share }
+    GatherRule { shards, top: 5, min_share: least_share }
 }
 
 fn spread_from_east(
     registry: &TargetRegistry,
     rule: &GatherRule,
     cut: &[String],
-) -> spread::Outcome {
+) -> scatter::ScatterPlan {
     let usual = Duration::from_millis(15);
     let aim = Duration::from_millis(120);
-    let view = PlaceView { cut, ..support::view(registry, usual, aim, NOW) };
+    let view = PlacementView { unreachable_zones: cut, ..support::view(registry, usual, aim, NOW) };
     let mut lots = StdRng::seed_from_u64(1);
-    spread::spread(view, rule, &mut lots, &place::Options::default())
+    scatter::plan(view, rule, &mut lots, &placement::Options::default())
 }
 
 fn part(zone: &str, shards: &[u16]) -> ZoneShards {
@@ -145,9 +145,9 @@
         let rule = rule(case.shards.len(), 0.5);
         let spread = spread_from_east(&registry, &rule, &cut);
         let parts =
-            spread.hand_over(|zone| case.hosts.contains(&zone), &spread::Options::default());
+            spread.delegate(|zone| case.hosts.contains(&zone), &scatter::Options::default());
         assert_eq!(parts, case.parts, "{}", case.name);
-        let nowhere = spread.ways.iter().filter(|way| **way == ShardWay::Nowhere).count();
+        let nowhere = spread.sources.iter().filter(|way| **way == ShardSource::Unavailable).count();
         assert_eq!(nowhere, case.nowhere, "{}", case.name);
     }
 }
@@ -184,7 +184,8 @@
         let aim = Duration::from_millis(case.aim_ms);
         let view = support::view(&registry, usual, aim, NOW);
         let mut lots = StdRng::seed_from_u64(1);
-        let key = place::place(view, "s0", &[], &mut lots, &place::Options::default());
+        let key =
+            placement::select_target(view, "s0", &[], &mut lots, &placement::Options::default());
         let state = key.and_then(|key| registry.get(key)).expect("both take work");
         assert_eq!(&*state.entry.zone, case.zone, "{} ms, {} %", case.aim_ms, case.slower);
     }
@@ -243,8 +244,8 @@
     for Case { name, shards, hosts, parts } in cases {
         let registry = registry(shards);
         let spread = spread_from_east(&registry, &rule(shards.len(), 0.5), &[]);
-        let options = spread::Options::default();
-        let handed = spread.hand_over_all(&zones, |zone| hosts.contains(&zone), &options);
+        let options = scatter::Options::default();
+        let handed = spread.delegate_all(&zones, |zone| hosts.contains(&zone), &options);
         assert_eq!(handed, parts, "{name}");
     }
 }
@@ -285,9 +286,9 @@
     let view = support::view(&registry, usual, aim, NOW);
     let mut lots = CountedLots { lots: StdRng::seed_from_u64(1), drawn: 0 };
     let rule = rule(90, 0.9);
-    let spread = spread::spread(view, &rule, &mut lots, &place::Options::default());
+    let spread = scatter::plan(view, &rule, &mut lots, &placement::Options::default());
     assert!(spread.can_answer(&rule));
-    let parts = spread.hand_over(|_| true, &spread::Options::default());
+    let parts = spread.delegate(|_| true, &scatter::Options::default());
     assert_eq!(parts, []);
     assert_eq!(lots.drawn, 270);
 }
@@ -322,8 +323,9 @@
 /// all that is decided of the others.
 #[test]
 fn a_shard_without_a_target_uses_up_what_may_be_missing() {
-    let gone = |count: usize| spread::Outcome { ways: vec![ShardWay::Nowhere; count] };
-    assert_eq!(gone(0).spare_left(2), 2);
-    assert_eq!(gone(1).spare_left(2), 1);
-    assert_eq!(gone(3).spare_left(2), 0);
+    let gone =
+        |count: usize| scatter::ScatterPlan { sources: vec![ShardSource::Unavailable; count] };
+    assert_eq!(gone(0).max_missing_left(2), 2);
+    assert_eq!(gone(1).max_missing_left(2), 1);
+    assert_eq!(gone(3).max_missing_left(2), 0);
 }
--- a/crates/hawthorn-route/tests/support/mod.rs
+++ b/crates/hawthorn-route/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use hawthorn_route::document::TargetEntry;
 use hawthorn_route::home::HomeZones;
 use hawthorn_route::home::RegionMap;
-use hawthorn_route::place::PlaceView;
+use hawthorn_route::placement::PlacementView;
 use hawthorn_route::registry::TargetRegistry;
 
 static NO_REGIONS: LazyLock<RegionMap> = LazyLock::new(RegionMap::default);
@@ -31,7 +31,16 @@
     usual: Duration,
     aim: Duration,
     now: Duration,
-) -> PlaceView<'_> {
+) -> PlacementView<'_> {
     let homes = HomeZones::new(&NO_REGIONS, None);
-    PlaceView { registry, zone: "east", cut: &[], homes, usual, queued: usual, aim, now }
+    PlacementView {
+        registry,
+        zone: "east",
+        unreachable_zones: &[],
+        homes,
+        service_time: usual,
+        queued_service_time: usual,
+        target_latency: aim,
+        now,
+    }
 }
--- a/crates/hawthorn-route/tests/targets.rs
+++ b/crates/hawthorn-route/tests/targets.rs
@@ -8,15 +8,15 @@
 use hawthorn_route::document::TargetEntry;
 use hawthorn_route::hedge;
 use hawthorn_route::outcome::AttemptEnd;
-use hawthorn_route::place;
-use hawthorn_route::reach;
-use hawthorn_route::reach::ZoneReach;
+use hawthorn_route::placement;
+use hawthorn_route::reachability;
+use hawthorn_route::reachability::ZoneReachability;
 use hawthorn_route::registry;
 use hawthorn_route::registry::TargetChange;
 use hawthorn_route::registry::TargetRegistry;
+use hawthorn_route::target::ReportedLoad;
 use hawthorn_route::target::TargetPhase;
 use hawthorn_route::target::TargetState;
-use hawthorn_route::target::ToldLoad;
 
 const USUAL: Duration = Duration::from_millis(15);
 
@@ -32,7 +32,7 @@
     let registry = TargetRegistry::new(registry::Options::default(), "east");
     let aim = Duration::from_millis(120);
     let view = support::view(&registry, USUAL, aim, now);
-    place::score(view, state, &place::Options::default())
+    placement::score(view, state, &placement::Options::default())
 }
 
 /// Two targets hold a shard. One of them pauses, slows down, fails, fills up,
@@ -72,7 +72,9 @@
         Case {
             name: "says it is full",
             zone: "east",
-            harm: |state| state.tell(ToldLoad { running: 2, waiting: 5, slots: 2, at: ms(990) }),
+            harm: |state| {
+                state.report_load(ReportedLoad { running: 2, waiting: 5, slots: 2, at: ms(990) })
+            },
         },
         Case { name: "cold", zone: "east", harm: |state| state.cold_until = ms(2000) },
         Case {
@@ -227,13 +229,13 @@
         case("long work, overdue", 6, 120, 480, true, true),
     ];
     for case in cases {
-        let mut reach = ZoneReach::default();
+        let mut reach = ZoneReachability::default();
         (0..case.sent).for_each(|_| reach.sent(ms(0), ms(case.usual_ms)));
-        assert_eq!(reach.is_doubtful(ms(case.now_ms)), case.doubtful, "{}", case.name);
-        assert_eq!(reach.is_cut(ms(case.now_ms)), case.cut, "{}", case.name);
+        assert_eq!(reach.is_suspected(ms(case.now_ms)), case.doubtful, "{}", case.name);
+        assert_eq!(reach.is_unreachable(ms(case.now_ms)), case.cut, "{}", case.name);
         reach.answered();
-        assert!(!reach.is_doubtful(ms(case.now_ms)), "{}", case.name);
-        assert!(!reach.is_cut(ms(case.now_ms)), "{}", case.name);
+        assert!(!reach.is_suspected(ms(case.now_ms)), "{}", case.name);
+        assert!(!reach.is_unreachable(ms(case.now_ms)), "{}", case.name);
     }
 }
 
@@ -272,7 +274,7 @@
         Case { name: "no cut", zones: 3, cut: 0, unanswerable: 1.0, aside: false },
     ];
     for case in cases {
-        let aside = reach::steps_aside(case.zones, case.cut, case.unanswerable);
+        let aside = reachability::should_fail_readiness(case.zones, case.cut, case.unanswerable);
         assert_eq!(aside, case.aside, "{}", case.name);
     }
 }
@@ -299,8 +301,8 @@
     for case in cases {
         let mut state = TargetState::new(entry("t", "east"), 1, now);
         let at = now - Duration::from_millis(case.told);
-        state.tell(ToldLoad { running: 2, waiting: case.waiting, slots: 2, at });
-        assert_eq!(hedge::has_room(&state, now), case.room, "{}", case.name);
+        state.report_load(ReportedLoad { running: 2, waiting: case.waiting, slots: 2, at });
+        assert_eq!(hedge::has_capacity(&state, now), case.room, "{}", case.name);
     }
 }
 
@@ -361,6 +363,6 @@
             (case.harm)(registry.get_mut(*other).expect("it is known"));
         }
         let view = support::view(&registry, USUAL, ms(120), ms(1000));
-        assert_eq!(view.is_last("s", keys[0], &[]), case.last, "{}", case.name);
+        assert_eq!(view.is_last_target("s", keys[0], &[]), case.last, "{}", case.name);
     }
 }
