--- a/crates/hawthorn-route/src/cold/claim.rs
+++ b/crates/hawthorn-route/src/cold/claim.rs
@@ -1,12 +1,13 @@
 //! Claims of a zone's slots for cold targets, by conditional writes to the store.
 //!
-//! A slot is a key of the store. Its holder writes it again and again, each time on the
-//! condition that nobody else has written since, and may use the slot for [`TERM`] after
-//! it sent the last such write that succeeded. Another host claims a slot by the same kind
-//! of write, on the condition of a revision that it has known for [`STALE_TIME`]. That is
-//! longer than the term, which began before the revision was known to anybody; so the
-//! earlier holder's term is over, however slow the store is and however late either host
-//! learns of it, and the second in which its last requests count is over too. Leases are not used: the store may remove a key before its lease ends.
+//! A slot is a key of the store. Its holder writes it repeatedly, each time on the condition
+//! that no other host has written it since, and may use the slot for [`TERM`] after it sent the
+//! last such write that succeeded. Another host claims a slot by the same kind of write, on the
+//! condition of a revision that it has known for `STALE_TIME`. That is longer than the term,
+//! which began before any host knew the revision. The earlier holder's term has therefore
+//! ended, however slow the store is and however late either host receives the change, and so
+//! has the second in which its last requests count. Leases are not used, because the store may
+//! remove a key before its lease ends.
 
 use std::time::Duration;
 
@@ -20,8 +21,8 @@
 pub const TERM: Duration = Duration::from_secs(1);
 /// Part of the term after which the holder writes the slot again.
 const RENEW_SHARE: f64 = 0.4;
-/// A slot that has not changed for so long has no holder, and nothing that the last one sent
-/// counts any more: the term, the second in which requests are counted, and a margin.
+/// A slot that has not changed for this long has no holder, and the requests of the last one no
+/// longer count: the term, the second in which requests are counted, and a margin.
 const STALE_TIME: Duration = Duration::from_millis(2200);
 /// Shortest and longest time until a host that lost a claim tries again.
 const RETRY_TIMES: (Duration, Duration) = (Duration::from_millis(400), Duration::from_millis(1200));
@@ -43,7 +44,7 @@
 pub enum WriteOutcome {
     /// Done, at this revision.
     Done(u64),
-    /// Not done: the slot was written by somebody else, or the store refused.
+    /// Not done: another host wrote the slot, or the store refused the write.
     NotDone,
     /// No answer: it may be executed, now or later.
     Unknown,
@@ -117,8 +118,8 @@
     /// Records the outcome of a write.
     pub fn record(&mut self, write: SlotWrite, outcome: WriteOutcome, now: Duration) {
         let WriteOutcome::Done(revision) = outcome else {
-            // Failure: a write without an answer may be executed later, and a holder goes
-            // on with a revision that it does not know. It claims anew instead.
+            // Failure: a write without an answer may be executed later, and the holder would
+            // continue with an outdated revision. It starts a new claim instead.
             self.held = None;
             return;
         };
@@ -132,7 +133,7 @@
         self.held.map(|held| held.right)
     }
 
-    /// Gives the slot up.
+    /// Releases the slot.
     pub fn release(&mut self) {
         self.held = None;
     }
--- a/crates/hawthorn-route/src/cold/mod.rs
+++ b/crates/hawthorn-route/src/cold/mod.rs
@@ -2,14 +2,14 @@
 //!
 //! Load: the targets of a zone start, or return from an evacuation, and crash if they
 //! receive more than a few requests a second before they are warm. The limit holds for
-//! the sum over all hosts, including those that are cut off from each other.
+//! the sum over all hosts, including those that are partitioned from each other.
 //!
 //! - Warm targets are preferred; a query may omit a shard whose targets are all cold.
 //! - Only hosts of a cold target's own zone send to it, and of these only the holders of
-//!   the zone's [`SLOTS`] slots in the store. Each slot is worth a fixed part of the
-//!   limit, so that the sum holds whatever hosts know of each other.
-//! - A slot is valid for a short time after the write that proved its possession, and
-//!   nobody else claims it before that time is over; see [`claim`].
+//!   the zone's [`SLOTS`] slots in the store. Each slot grants a fixed part of the
+//!   limit, so that the sum holds however much hosts know of each other.
+//! - A slot is valid for a short time after the write that confirmed its holder, and
+//!   no other host claims it before that time is over; see [`claim`].
 
 pub mod claim;
 mod meter;
@@ -25,11 +25,11 @@
 
 pub use meter::SendMeter;
 
-/// Slots of a zone. With several, a zone's gatherers can all use a part, and one that is
-/// killed takes only its own part with it.
+/// Slots of a zone. With several, several gatherers can each use a part of the limit, and a
+/// killed one blocks only its own part.
 pub const SLOTS: u32 = 4;
 
-/// How long a host goes on claiming a slot after it last needed one.
+/// How long a host continues to claim a slot after it last needed one.
 const WANT_TIME: Duration = Duration::from_secs(2);
 
 /// How far the rate that a service states for its cold targets may be exceeded.
@@ -38,7 +38,7 @@
 pub struct Options {
     /// Factor on the rate.
     pub overshoot: f64,
-    /// Requests a second beyond that.
+    /// Requests per second in addition to that.
     pub slack: f64,
 }
 
@@ -69,7 +69,7 @@
     pub until: Duration,
 }
 
-/// What operators say of a service's cold targets.
+/// The configured limit of a service's cold targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ServiceLimit {
     Unlimited,
@@ -85,8 +85,8 @@
 }
 
 impl ColdAdmission {
-    /// Applies a version of the configuration. A rate of 0 is none, and leaves the one
-    /// stated before in force. Returns the services with such a rate.
+    /// Applies a version of the configuration. A rate of 0 is invalid and leaves the
+    /// previous one in force. Returns the services with such a rate.
     pub fn configure(&mut self, services: &[ServiceRule], options: &Options) -> Vec<String> {
         let before = self.limits.take().unwrap_or_default();
         let mut limits = HashMap::new();
@@ -135,7 +135,7 @@
         right.is_some_and(|right| state.cold_sends.count(now) < part(limit, right.slot))
     }
 
-    /// Notes that a request found only cold targets.
+    /// Records that a request found only cold targets.
     pub fn want(&self, now: Duration) {
         self.wanted.set(Some(now));
     }
--- a/crates/hawthorn-route/src/quarantine/exposure.rs
+++ b/crates/hawthorn-route/src/quarantine/exposure.rs
@@ -7,7 +7,7 @@
     Answered,
     /// The connection closed while the request was in progress.
     Crashed,
-    /// Any other end, which says nothing about the request.
+    /// Any other end, which is no evidence about the request.
     Other,
 }
 
--- a/crates/hawthorn-route/src/quarantine/mod.rs
+++ b/crates/hawthorn-route/src/quarantine/mod.rs
@@ -191,12 +191,12 @@
 /// The maximum number of extra attempts of a request that no target has answered.
 pub const MAX_UNANSWERED_EXTRA: u32 = 2;
 
-/// Whether a request must leave the last working target of a shard alone: it is suspected of
+/// Whether a request must not be sent to the last healthy target of a shard: it is suspected of
 /// crashing targets, and none has answered it yet.
 ///
 /// Load: shards of two targets, and a request that crashes each target that runs it. Its
 /// first attempts crash one target of each shard; an extra attempt crashes the other, and
-/// unrelated queries fail for want of that shard. A query that lost a target to an
+/// unrelated queries fail because that shard has no target. A query that lost a target to an
 /// unrelated crash is answered by its other shards, and may use the last one then.
 pub fn spares_last(
     table: &QuarantineTable,
--- a/crates/hawthorn-route/src/quarantine/record.rs
+++ b/crates/hawthorn-route/src/quarantine/record.rs
@@ -48,7 +48,8 @@
     pub refused_ms: u32,
     /// Milliseconds until the record expires.
     pub life_ms: u32,
-    /// Hashes of callers whose requests caused crashes, as in [`RequestIdentity`](super::RequestIdentity).
+    /// Hashes of callers whose requests caused crashes, as in
+    /// [`RequestIdentity`](super::RequestIdentity).
     pub callers: SmallVec<[u64; MAX_CALLERS]>,
 }
 
