--- a/crates/hawthorn-route/src/admission.rs
+++ b/crates/hawthorn-route/src/admission.rs
@@ -1,12 +1,11 @@
-//! Whether a query over many shards is admitted.
+//! Admission control for queries over several shards.
 //!
-//! The load it is for: callers ask for more than the targets can do. The harm
-//! it prevents: every shard's queue grows, each query gets some of its parts
-//! and none of them in time, and the targets work for answers that nobody is
-//! glad of: once a service is over its capacity, hardly any query is in time.
-//! The door closes before the queues are long, and what is admitted is whole
-//! and in time; what is not is refused before anything is sent. How long the
-//! queues are is told by every answer.
+//! Load: callers send more queries than the targets can execute. Without admission control all
+//! shards have queues, each query receives only some of its parts before its soft deadline, and
+//! the targets execute requests whose answers are too late: beyond the capacity of one service,
+//! hardly any query is answered in time. Queries are rejected before the queues are long and
+//! before any request is sent, so that admitted ones are answered completely and in time. Queue
+//! lengths are known from the load that responses report.
 
 use std::time::Duration;
 
@@ -17,32 +16,32 @@
 use serde_with::DurationMilliSeconds;
 use serde_with::serde_as;
 
-/// Limits of the door.
+/// Settings of admission control.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Options {
-    /// Queries are refused here at all.
+    /// Whether queries are rejected.
     pub on: bool,
-    /// Queries that may be in flight at once after the start. Calm hosts have one
-    /// to three.
+    /// Initial window: the number of queries that may be in flight. Hosts without overload have
+    /// one to three.
     pub first_window: f64,
-    /// And however long queues stand.
+    /// Minimum window, however long the queues are.
     pub least_window: f64,
-    /// A queue stands when work waits for this share of the query's aim at the
-    /// slowest shard that the query needs: with the work itself and a second
-    /// attempt the aim is then used up.
+    /// A query is delayed by a standing queue if the slowest shard that it needs has a queueing
+    /// delay above this share of the target latency. The service time and a hedge use up the
+    /// rest.
     pub standing_share: f64,
-    /// The less urgent are admitted to this share of the window while they fare
-    /// no worse than `fair_share` of the urgent, and to all of it else: in
-    /// scarcity the urgent come first, and the others still come.
+    /// Share of the window that is available to less urgent queries while their admission rate
+    /// is at least `fair_share` of the urgent ones' rate. Below it they may use the full window.
+    /// Urgent queries thus take precedence under overload without starving the others.
     pub ordinary_share: f64,
-    /// Share of the urgent ones' admitted part that the others are to have.
+    /// Minimum admission rate of less urgent queries, as a share of the urgent ones' rate.
     pub fair_share: f64,
-    /// A query says that it was turned away when so large a share of its shards was.
+    /// A query counts as rejected by the targets if at least this share of its shards was.
     pub turned_away_share: f64,
-    /// Queues that a query told of are believed to stand for so long: a full one of
-    /// a dozen requests on two slots is worked off in it.
+    /// How long queues are assumed to last after a query reported them: a full queue of a dozen
+    /// requests on two slots drains in this time.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "crowded_ms")]
     pub crowded_time: Duration,
@@ -64,32 +63,32 @@
 }
 
 impl Options {
-    /// Of the window of queries that are in flight at once.
+    /// Settings of the window.
     fn window(&self) -> window::Options {
         let (initial, min) = (self.first_window, self.least_window);
         window::Options { initial, min, ..window::Options::default() }
     }
 }
 
-/// What a query that ended tells of the load.
+/// The load that an ended query observed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QueryLoad {
-    /// For each shard that told, or was known, how long work waits there.
+    /// Queueing delay of each shard that reported one, or whose delay was known.
     pub waits: Vec<Duration>,
-    /// Parts that targets turned away for being full.
+    /// Parts that targets rejected because they were overloaded.
     pub rejected: usize,
     /// Shards of the query.
     pub shards: usize,
-    /// Shards that its answer may do without.
+    /// Maximum number of shards that may be missing from the answer.
     pub max_missing: usize,
-    /// It ended without an answer, as too few parts could come.
+    /// Whether the query failed because too few parts could arrive.
     pub failed: bool,
 }
 
 impl QueryLoad {
-    /// The wait that decides: that of the slowest shard which the answer cannot
-    /// do without. The mean would not show the few shards that have lost a
-    /// target and hold up every query.
+    /// The queueing delay that determines the query's latency: that of the slowest shard that
+    /// the answer needs. The mean would hide the few shards that lost a target and delay every
+    /// query.
     pub fn decisive_wait(&self) -> Duration {
         let mut waits = self.waits.clone();
         waits.sort_unstable_by(|a, b| b.cmp(a));
@@ -97,110 +96,111 @@
     }
 }
 
-/// Queries of one urgency lately, earlier ones counting less.
+/// Exponentially decaying counts of the queries of one urgency class.
 #[derive(Clone, Copy, Debug, Default)]
-struct UrgencyCount {
-    asked: f64,
+struct AdmissionCount {
+    requested: f64,
     admitted: f64,
 }
 
-/// What a count keeps with each query of any urgency: the last hundred count most.
-const COUNT_FACTOR: f64 = 0.99;
+/// Decay per query of any class; the last hundred queries dominate the counts.
+const DECAY_FACTOR: f64 = 0.99;
 
-impl UrgencyCount {
-    fn fade(&mut self) {
-        self.asked *= COUNT_FACTOR;
-        self.admitted *= COUNT_FACTOR;
+impl AdmissionCount {
+    fn decay(&mut self) {
+        self.requested *= DECAY_FACTOR;
+        self.admitted *= DECAY_FACTOR;
     }
 
-    fn share(&self) -> f64 {
-        if self.asked > 0.0 { self.admitted / self.asked } else { 1.0 }
+    fn admission_rate(&self) -> f64 {
+        if self.requested > 0.0 { self.admitted / self.requested } else { 1.0 }
     }
 }
 
-/// The door of one host, for all its queries over shards.
+/// Admission control of one host, for all its queries over several shards.
 #[derive(Clone, Debug, Default)]
 pub struct QueryAdmission {
     window: CallerWindow,
-    open: u32,
-    /// When the places of queries that failed are given back.
-    owed: Vec<Duration>,
-    crowded_until: Duration,
-    urgent: UrgencyCount,
-    ordinary: UrgencyCount,
+    in_flight: u32,
+    /// When the slots of failed queries are released.
+    delayed_releases: Vec<Duration>,
+    overloaded_until: Duration,
+    urgent: AdmissionCount,
+    ordinary: AdmissionCount,
 }
 
 impl QueryAdmission {
-    /// Admits a query, or not; [`QueryAdmission::finish`] has to follow once it is.
+    /// Decides whether a query is admitted. [`QueryAdmission::finish`] must follow if it is.
     pub fn admit(&mut self, now: Duration, urgent: bool, options: &Options) -> bool {
-        self.give_back(now);
-        self.urgent.fade();
-        self.ordinary.fade();
-        let behind = self.ordinary.share() < self.urgent.share() * options.fair_share;
+        self.release_due(now);
+        self.urgent.decay();
+        self.ordinary.decay();
+        let is_behind =
+            self.ordinary.admission_rate() < self.urgent.admission_rate() * options.fair_share;
         let size = self.window.size(&options.window());
-        let limit = if urgent || behind { size } else { size * options.ordinary_share };
-        let admitted = !options.on || f64::from(self.open) < limit;
+        let limit = if urgent || is_behind { size } else { size * options.ordinary_share };
+        let admitted = !options.on || f64::from(self.in_flight) < limit;
         let count = if urgent { &mut self.urgent } else { &mut self.ordinary };
-        count.asked += 1.0;
+        count.requested += 1.0;
         if admitted {
             count.admitted += 1.0;
-            self.open += 1;
+            self.in_flight += 1;
         }
         admitted
     }
 
-    /// A query ended; `load` is `None` where it says nothing, as its caller left.
+    /// Records the end of a query; `load` is `None` if it observed none because its caller
+    /// disconnected.
     pub fn finish(
         &mut self,
         now: Duration,
         took: Duration,
-        aim: Duration,
+        target_latency: Duration,
         load: Option<&QueryLoad>,
         options: &Options,
     ) {
         if let Some(load) = load {
-            let standing_wait = aim.mul_f64(options.standing_share);
-            let away = load.rejected as f64 / load.shards.max(1) as f64;
-            let turned_away = away >= options.turned_away_share;
-            let end = QueryFeedback {
+            let standing_wait = target_latency.mul_f64(options.standing_share);
+            let rejected_share = load.rejected as f64 / load.shards.max(1) as f64;
+            let turned_away = rejected_share >= options.turned_away_share;
+            let feedback = QueryFeedback {
                 queue_wait: load.decisive_wait(),
                 rejected: turned_away,
                 elapsed: took,
             };
             let window = window::Options { standing_wait, ..options.window() };
-            self.window.update(now, self.open, &end, &window);
-            if turned_away || end.queue_wait > standing_wait {
-                self.crowded_until = now + options.crowded_time;
+            self.window.update(now, self.in_flight, &feedback, &window);
+            if turned_away || feedback.queue_wait > standing_wait {
+                self.overloaded_until = now + options.crowded_time;
             }
-            // Failure: targets are full, each query fails within a few milliseconds as
-            // they turn too many of its parts away, and its place is the next one's at
-            // once. Its other parts lie in the queues, work for nobody, and keep them
-            // full: a window of two queries lets hundreds a second through, and none is
-            // answered. The place is free when the aim has passed, as if it had waited.
-            // Queries in time a second, 20 shards with one target each, asked for
-            // twice what is left, 267: 1 without this, 134 with it (tests/goodput).
-            if load.failed && took < aim {
-                self.owed.push(now + (aim - took));
+            // Failure: targets are full, and each query fails within a few milliseconds because
+            // too many of its parts are rejected. If its slot were released at once, even a
+            // window of two queries would admit hundreds per second, whose other parts fill
+            // the queues although no query is answered. The slot is therefore released when
+            // the target latency has passed, as if the query had waited; see tests/goodput.
+            if load.failed && took < target_latency {
+                self.delayed_releases.push(now + (target_latency - took));
                 return;
             }
         }
-        self.open = self.open.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    fn give_back(&mut self, now: Duration) {
-        let before = self.owed.len();
-        self.owed.retain(|until| *until > now);
-        self.open = self.open.saturating_sub((before - self.owed.len()) as u32);
+    fn release_due(&mut self, now: Duration) {
+        let before = self.delayed_releases.len();
+        self.delayed_releases.retain(|until| *until > now);
+        self.in_flight =
+            self.in_flight.saturating_sub((before - self.delayed_releases.len()) as u32);
     }
 
-    /// Queues stand at more shards than an answer may do without. While they do not,
-    /// a part that is late costs the targets nothing that others need.
+    /// Whether more shards have standing queues than may be missing from an answer. Otherwise
+    /// a late part uses capacity that no other query needs.
     pub fn is_overloaded(&self, now: Duration) -> bool {
-        now < self.crowded_until
+        now < self.overloaded_until
     }
 
-    /// Queries in flight, and how many may be.
+    /// The number of queries in flight, and the window.
     pub fn state(&self, options: &Options) -> (u32, f64) {
-        (self.open, self.window.size(&options.window()))
+        (self.in_flight, self.window.size(&options.window()))
     }
 }
--- a/crates/hawthorn-route/src/clock_offset.rs
+++ b/crates/hawthorn-route/src/clock_offset.rs
@@ -1,43 +1,43 @@
-//! How a peer's steady clock stands to this host's.
+//! Estimates the offset between a peer's monotonic clock and this host's.
 //!
-//! The load it is for: hosts that are short of processor time read an order long
-//! after it came, or send it long after it was made. The harm it prevents: the
-//! order carries a span, the span begins when it is read, and targets are handed
-//! time that the caller no longer has. An order that carries its end in its
-//! reader's clock is as old as it is, wherever it lay. Clocks count from any
-//! moment, so each exchange tells how they stand to each other, to within half of
-//! its round trip; the quickest of the last few is believed.
+//! Load: hosts with little processor time read a gather request long after it arrived, or send
+//! it long after it was created. If the request carried only the time left, that time would
+//! start when the request is read, and targets would receive time that the caller no longer
+//! has. A request that carries its deadlines by the reader's clock accounts for any delay on
+//! the way. Monotonic clocks start at arbitrary instants, so each exchange is used to estimate
+//! the offset, to within half of its round trip; the sample with the shortest round trip is
+//! used.
 //!
-//! The ways weighed: the age of the reader's loop knows nothing of the sender's,
-//! nor of what lay in a socket while the loop rested or was stopped; the time of
-//! day jumps. Steady clocks that count while a host is suspended do neither.
+//! The age of the reader's event loop iteration is no substitute: it excludes delays at the
+//! sender, and time in a socket while the loop was idle or stopped. Wall clocks jump. Monotonic
+//! clocks that include suspension do not.
 
 use std::time::Duration;
 
-/// Exchanges that count, the newest.
+/// Number of exchanges that are kept, the newest.
 const SAMPLES: usize = 8;
 
-/// The four times of one exchange, the middle two by the peer's clock.
+/// The four timestamps of one exchange, the middle two by the peer's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Exchange {
-    /// This host sent.
+    /// When this host sent the request.
     pub sent: Duration,
-    /// The peer took it in.
+    /// When the peer received the request.
     pub received: Duration,
-    /// The peer replied.
+    /// When the peer sent the reply.
     pub replied: Duration,
-    /// This host had the reply.
+    /// When this host received the reply.
     pub reply_received: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct ClockSample {
     round_trip: Duration,
-    /// The peer's clock less this host's, in nanoseconds.
+    /// The peer's clock minus this host's, in nanoseconds.
     offset: i128,
 }
 
-/// What is known of one peer's clock.
+/// The estimated offset of one peer's clock.
 #[derive(Clone, Debug, Default)]
 pub struct PeerClock {
     samples: [Option<ClockSample>; SAMPLES],
@@ -49,22 +49,23 @@
 }
 
 impl PeerClock {
-    /// Takes in an exchange; false where its times cannot be.
+    /// Records an exchange; returns false if its timestamps are inconsistent.
     ///
-    /// Failure: a peer's machine was switched off and on, and its clock begins
-    /// anew. What no longer agrees, by more than both round trips, is forgotten.
+    /// Failure: a peer's machine reboots, and its clock starts again. Samples that disagree with
+    /// the new one by more than the sum of both round trips are dropped.
     pub fn learn(&mut self, exchange: &Exchange) -> bool {
-        let Exchange { sent, received, replied, reply_received: heard } = *exchange;
-        let (Some(out), Some(there)) = (heard.checked_sub(sent), replied.checked_sub(received))
+        let Exchange { sent, received, replied, reply_received } = *exchange;
+        let (Some(total), Some(at_peer)) =
+            (reply_received.checked_sub(sent), replied.checked_sub(received))
         else {
             return false;
         };
-        let Some(round_trip) = out.checked_sub(there) else { return false };
-        let doubled = nanos(received) - nanos(sent) + nanos(replied) - nanos(heard);
+        let Some(round_trip) = total.checked_sub(at_peer) else { return false };
+        let doubled = nanos(received) - nanos(sent) + nanos(replied) - nanos(reply_received);
         let sample = ClockSample { round_trip, offset: doubled / 2 };
         let agrees = |known: &ClockSample| {
-            let apart = (known.offset - sample.offset).unsigned_abs();
-            apart <= (known.round_trip + round_trip).as_nanos()
+            let difference = (known.offset - sample.offset).unsigned_abs();
+            difference <= (known.round_trip + round_trip).as_nanos()
         };
         if !self.best().is_none_or(|known| agrees(&known)) {
             *self = Self::default();
@@ -78,74 +79,73 @@
         self.samples.iter().flatten().min_by_key(|sample| sample.round_trip).copied()
     }
 
-    /// The way to the peer and back.
+    /// The shortest round trip to the peer.
     pub fn round_trip(&self) -> Option<Duration> {
         self.best().map(|sample| sample.round_trip)
     }
 
-    /// What the peer's clock shows at `at` of this host's, at the earliest; `None`
-    /// before the first exchange.
+    /// Converts a time of this host's clock to the peer's, as a lower bound; `None` before the
+    /// first exchange.
     pub fn to_peer_time(&self, at: Duration) -> Option<Duration> {
         let ClockSample { round_trip, offset } = self.best()?;
-        let there = nanos(at) + offset - nanos(round_trip / 2);
-        u64::try_from(there.max(0)).ok().map(Duration::from_nanos)
+        let peer_time = nanos(at) + offset - nanos(round_trip / 2);
+        u64::try_from(peer_time.max(0)).ok().map(Duration::from_nanos)
     }
 }
 
-/// No caller waits longer; an order that says so is none of ours.
-const MOST_LEFT: Duration = Duration::from_secs(3600);
+/// Maximum time left of a request. No caller waits longer, so that a greater value is invalid.
+const MAX_TIME_LEFT: Duration = Duration::from_secs(3600);
 
-/// The times of an order as it was sent.
+/// The deadlines of a gather request as sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SentDeadlines {
-    /// Time until nobody waits any more, when the order was made.
+    /// Time left until the deadline when the request was created.
     pub time_left: Duration,
-    /// Time within which its parts are worth all they can be, by then.
+    /// Time left until the soft deadline when the request was created.
     pub soft_time_left: Duration,
-    /// The ends of both by the reader's clock, where the sender knew it.
+    /// The deadline and the soft deadline by the reader's clock, if the sender knows its offset.
     pub reader_deadlines: Option<(Duration, Duration)>,
 }
 
-/// The ends of an order, by its reader's clock.
+/// The deadlines of a gather request by its reader's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LocalDeadlines {
-    /// Nobody waits any more.
+    /// When the caller stops waiting.
     pub deadline: Duration,
-    /// The parts lose worth.
+    /// When the parts start to lose value.
     pub soft_deadline: Duration,
 }
 
-/// Reads the times of an order that is taken up at `now`, by a loop that has been at
-/// work for `busy` without a rest; `None` where they cannot be.
+/// Converts the deadlines of a gather request that is read at `now`, by an event loop that has
+/// been busy for `busy` without idling; `None` if they are invalid.
 ///
-/// Failure: an order lies unread for most of a second, at a peer that is short of
-/// processor time or in its sender, and its span begins when it is read: targets
-/// are handed time that the caller no longer has. Where the sender knows this
-/// host's clock, the order says when it ends; else it is as old at least as the
-/// loop has been at work. A clock that is wrong never adds to the span.
+/// Failure: a request is queued for most of a second at its sender, or at a reader with little
+/// processor time, and its time left starts when it is read: targets receive time that the
+/// caller no longer has. If the sender knows the reader's clock, the request carries its
+/// deadlines; otherwise it is assumed to be as old as the loop has been busy. A wrong clock
+/// never extends the time left.
 ///
-/// Parts are due sooner by the reader's own `lag`, and not by the sender's: a host
-/// of an eighth of a core has several times that of the one that gathers for it.
-/// With the sender's, worth fell by 0.05 on a fleet of 78 such hosts.
+/// Parts are due earlier by the reader's scheduling delay `lag` instead of the sender's, because
+/// the delay of a host with an eighth of a core is several times that of its gatherer.
 pub fn to_local(
     sent: &SentDeadlines,
     now: Duration,
     busy: Duration,
     lag: Duration,
 ) -> Option<LocalDeadlines> {
-    let SentDeadlines { time_left: left, soft_time_left: aim_left, reader_deadlines: ends } = *sent;
-    if left > MOST_LEFT || aim_left > MOST_LEFT {
+    let SentDeadlines { time_left, soft_time_left, reader_deadlines } = *sent;
+    if time_left > MAX_TIME_LEFT || soft_time_left > MAX_TIME_LEFT {
         return None;
     }
-    let Some((ends, aim_at)) = ends else {
-        let came = now.saturating_sub(busy);
-        let aim_at = (came + aim_left).saturating_sub(lag);
-        return Some(LocalDeadlines { deadline: came + left, soft_deadline: aim_at });
+    let Some((deadline, soft_deadline)) = reader_deadlines else {
+        let arrived = now.saturating_sub(busy);
+        let soft_deadline = (arrived + soft_time_left).saturating_sub(lag);
+        return Some(LocalDeadlines { deadline: arrived + time_left, soft_deadline });
     };
-    let is_absurd = |end: Duration| end + MOST_LEFT < now || end > now + MOST_LEFT;
-    if is_absurd(ends) || is_absurd(aim_at) {
+    let is_invalid = |time: Duration| time + MAX_TIME_LEFT < now || time > now + MAX_TIME_LEFT;
+    if is_invalid(deadline) || is_invalid(soft_deadline) {
         return None;
     }
-    let aim_at = aim_at.min(now + aim_left).saturating_sub(lag);
-    Some(LocalDeadlines { deadline: ends.min(now + left), soft_deadline: aim_at })
+    let soft_deadline = soft_deadline.min(now + soft_time_left).saturating_sub(lag);
+    Some(LocalDeadlines { deadline: deadline.min(now + time_left), soft_deadline })
 }
--- a/crates/hawthorn-route/src/document.rs
+++ b/crates/hawthorn-route/src/document.rs
@@ -1,109 +1,110 @@
-//! What operators configure for routed requests.
+//! The operators' configuration of routes, services and caller limits.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One version of the operators' configuration, whole.
+/// One version of the operators' configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteDocument {
-    /// Grows with each edit, in uneven steps.
+    /// Version number. It grows with each edit, in uneven steps.
     pub version: u64,
     /// All routes.
     pub routes: Vec<RouteRule>,
-    /// All services that routes name.
+    /// All services that routes refer to.
     pub services: Vec<ServiceRule>,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: CallerLimits,
 }
 
-/// One route: which requests, and where they go.
+/// One route: the requests it matches and their destination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteRule {
-    /// Operators' name of the route.
+    /// Name of the route.
     pub name: String,
-    /// Host that the caller asks for, without a port.
+    /// Requested host, without a port.
     pub host: String,
-    /// Beginning of the path; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     pub idempotent: bool,
-    /// Longest time that a caller is kept waiting.
+    /// Maximum time that a caller waits for an answer.
     pub timeout: Duration,
-    /// Time within which an answer is worth all it can be to the caller.
+    /// Latency within which an answer has its full value to the caller. The instant at which
+    /// it has passed is the request's soft deadline.
     pub target_latency: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// Most targets that may run one request, for each shard.
+    /// Maximum number of targets that may execute one request, per shard.
     pub max_attempts: usize,
-    /// Regions in which its requests may be run; `None` if anywhere.
+    /// Regions in which requests may be executed; `None` means all regions.
     pub homes: Option<Vec<String>>,
-    /// Where requests go.
+    /// Destination of the requests.
     pub destination: RouteDestination,
 }
 
-/// Where the requests of a route go.
+/// Destination of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouteDestination {
-    /// To one target of the service.
+    /// One target of the service.
     Single(String),
-    /// To one target of one of the services, in proportion to the weights.
+    /// One target of one of the services, in proportion to the weights.
     Weighted(Vec<WeightedService>),
-    /// To one target of each shard; the answers are merged.
+    /// One target of each shard; the answers are merged.
     Gather(GatherRule),
 }
 
-/// One part of a weighted route.
+/// One service of a weighted route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedService {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Its share of the requests, relative to the other parts.
+    /// Share of the requests, relative to the other services of the route.
     pub weight: f64,
 }
 
-/// How a query over many shards is answered.
+/// How a query over several shards is answered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatherRule {
     /// The services that hold the shards.
     pub shards: Vec<String>,
-    /// Records in an answer, at the most.
+    /// Maximum number of records in an answer.
     pub top: usize,
-    /// Share of the shards without which there is no answer, 0 to 1.
+    /// Minimum share of the shards that an answer must cover, 0 to 1.
     pub min_share: f64,
 }
 
-/// What operators say of one service.
+/// Configuration of one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceRule {
     /// Name of the service.
     pub name: String,
-    /// Path of a target's health page.
+    /// Path of the health check on its targets.
     pub health_path: String,
-    /// Connections that one target accepts from all callers together.
+    /// Maximum number of connections that one target accepts, over all callers.
     pub max_connections: usize,
     /// How long a target stays cold after its start.
     pub cold_start: Duration,
-    /// Requests a second that a cold target tolerates; `None` if it is not limited. 0 is
-    /// no rate.
+    /// Requests per second that a cold target tolerates; `None` means no limit. 0 is invalid.
     pub cold_rate: Option<f64>,
 }
 
-/// What callers may send.
+/// Limits on what callers may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Time from the first byte of a head to its last.
+    /// Maximum time from the first byte of a head to its last.
     pub head_time: Duration,
-    /// Time that a connection may lie idle.
+    /// Maximum idle time of a connection.
     pub idle_time: Duration,
 }
 
 impl Default for CallerLimits {
-    /// In force until operators say otherwise; wide enough for any usual caller.
+    /// The limits that apply until operators configure others. Ordinary callers stay below
+    /// them.
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1024,
@@ -114,23 +115,23 @@
     }
 }
 
-/// A target as it registers itself.
+/// A target's registration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetEntry {
-    /// Name of this incarnation of the target.
+    /// Identifies this incarnation of the target.
     pub id: Rc<str>,
-    /// The service whose requests it runs.
+    /// The service whose requests it executes.
     pub service: Rc<str>,
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: Rc<str>,
-    /// Requests it works on at a time.
+    /// Number of requests it executes concurrently.
     pub slots: u32,
-    /// It finishes what it has and leaves.
+    /// Whether it is draining: it completes its requests and shuts down.
     pub draining: bool,
-    /// How much longer it stays slow after its start.
+    /// Remaining time for which it is cold after its start.
     pub cold: Duration,
-    /// When it started, by its own time of day in Unix milliseconds, where it tells so.
+    /// Start time by the target's own clock, in Unix milliseconds, if it reports one.
     pub born: Option<u64>,
 }
--- a/crates/hawthorn-route/src/evacuation.rs
+++ b/crates/hawthorn-route/src/evacuation.rs
@@ -1,18 +1,18 @@
 //! Availability zones that operators have evacuated.
 //!
-//! The targets of an evacuated zone receive no requests; its hosts go on serving callers.
-//! Load: a whole zone's share moves to the other zones at once. Delaying it would not
-//! reduce what the other zones have to carry, and a host that learns of the evacuation
-//! late would use up the time in which it must be in force.
+//! The targets of an evacuated zone receive no requests; its hosts continue to serve callers.
+//! Load: the requests of an evacuated zone move to the other zones at once. A gradual move
+//! would not reduce the final load of the other zones, and would take too long on a host that
+//! learns of the evacuation shortly before it must be in force.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A zone's evacuation changed.
+/// Effect of a change of a zone's evacuation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum EvacuationChange {
-    /// No change, or one older than what is known.
+    /// None, or the change was older than the known state.
     None,
     /// The zone's targets receive no requests from now on.
     Begun,
--- a/crates/hawthorn-route/src/gather.rs
+++ b/crates/hawthorn-route/src/gather.rs
@@ -1,16 +1,17 @@
-//! When a query over many shards is answered, and with what.
+//! When a query over several shards is answered, and with which parts.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 
-/// Which answers leave before they are whole.
+/// Which partial answers are returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Options {
-    /// At the aim a query is answered with the parts that are in.
+    /// Whether a query is answered at its soft deadline with the parts received so far.
     pub part_answers: bool,
-    /// A peer goes on after the aim while the answer needs what is missing.
+    /// Whether a peer continues after the soft deadline while the answer needs its missing
+    /// parts.
     pub beyond_aim: bool,
 }
 
@@ -20,32 +21,32 @@
     }
 }
 
-/// Where a query stands.
+/// Progress of a query.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GatherState {
     /// Shards of the query.
     pub shards: usize,
-    /// Parts that are in.
+    /// Parts received.
     pub parts: usize,
-    /// Shards that certainly will not answer any more.
+    /// Shards that have failed for good.
     pub lost: usize,
-    /// Share of the shards without which there is no answer.
+    /// Minimum share of the shards that an answer must cover.
     pub min_share: f64,
 }
 
-/// What to do with the query now.
+/// The next step of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GatherStep {
     /// Wait for more parts.
     Wait,
-    /// Answer with the parts that are in.
+    /// Answer with the parts received.
     Answer,
-    /// Too few parts can come.
+    /// Fail: too few parts can still arrive.
     Fail,
 }
 
 impl GatherState {
-    /// The parts that are in are enough for an answer.
+    /// Whether the parts received are sufficient for an answer.
     pub fn is_sufficient(&self) -> bool {
         self.share_of(self.parts) >= self.min_share && self.parts > 0
     }
@@ -54,28 +55,28 @@
         if self.shards == 0 { 0.0 } else { parts as f64 / self.shards as f64 }
     }
 
-    /// Shards that the answer may do without.
+    /// Maximum number of shards that may be missing from the answer.
     pub fn max_missing(&self) -> usize {
         let needed = (self.shards as f64 * self.min_share).ceil() as usize;
         self.shards.saturating_sub(needed)
     }
 
-    /// Decides on the query; `aim_left` is the time until the answer loses
-    /// worth to the caller, zero once it has passed.
+    /// Returns the next step. `soft_time_left` is the time until the soft deadline, zero once
+    /// it has passed.
     ///
-    /// Within the aim it waits for every shard. At the aim it answers with what
-    /// is in, if that is enough: a caller values an answer by the square of its
-    /// coverage within the aim (0.79 at least for a share of 0.89) and at a
-    /// tenth after it, so a missing shard costs less than being late for it.
-    /// Beyond the aim it answers as soon as there is enough.
-    pub fn step(&self, aim_left: Duration, options: &Options) -> GatherStep {
+    /// Before the soft deadline, the query waits for all shards. At the soft deadline it is
+    /// answered with the parts received, if they are sufficient. The value of an answer is the
+    /// square of its coverage before the soft deadline (0.79 for a coverage of 0.89) and a
+    /// tenth of it afterwards, so that a missing shard costs less than a late answer. After
+    /// the soft deadline it is answered as soon as the parts are sufficient.
+    pub fn step(&self, soft_time_left: Duration, options: &Options) -> GatherStep {
         if self.parts + self.lost >= self.shards {
             return if self.is_sufficient() { GatherStep::Answer } else { GatherStep::Fail };
         }
         if self.share_of(self.shards - self.lost) < self.min_share {
             return GatherStep::Fail;
         }
-        if aim_left.is_zero() && self.is_sufficient() && options.part_answers {
+        if soft_time_left.is_zero() && self.is_sufficient() && options.part_answers {
             return GatherStep::Answer;
         }
         GatherStep::Wait
--- a/crates/hawthorn-route/src/hedge.rs
+++ b/crates/hawthorn-route/src/hedge.rs
@@ -1,9 +1,8 @@
-//! When an attempt counts as late, so that a second one is worth making.
+//! Hedged requests: when an attempt counts as late and a second one is sent.
 //!
-//! The load it is for: targets that pause or run slow while a query waits for
-//! the slowest of its shards. The harm it prevents: most queries waiting for
-//! one straggler. The limit: extra attempts come out of the service's budget,
-//! and an attempt counts as late only beyond nearly all ordinary ones.
+//! Load: targets that pause or become slow. A query waits for its slowest shard, so that a
+//! single straggler delays most queries. Hedges are limited by the service's retry budget, and
+//! an attempt is late only if it takes longer than nearly all ordinary ones.
 
 use std::time::Duration;
 
@@ -14,26 +13,26 @@
 
 use crate::target::TargetState;
 
-/// Limits of hedging.
+/// Settings of hedged requests.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Options {
-    /// Second attempts are made at all.
+    /// Whether hedges are sent.
     pub on: bool,
-    /// Only where a target has room for one; see [`has_capacity`].
+    /// Whether hedges are sent only to targets with spare capacity; see [`has_capacity`].
     pub needs_room: bool,
-    /// While the budget is full, an attempt is late after so many times the
-    /// ninetieth percentile. 1.2: one ordinary attempt in fifteen takes as long.
+    /// Delay while the budget is unused, as a multiple of the 90th percentile of latency. With
+    /// 1.2, one ordinary attempt in fifteen is hedged.
     pub eager_factor: f64,
-    /// And so many times when the budget is nearly spent.
+    /// Delay while the budget is nearly spent, as a multiple of the 90th percentile.
     pub patient_factor: f64,
-    /// Never sooner than this: twice the way between zones and a new connection.
+    /// Minimum delay: twice the latency between zones, plus a new connection.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "least_delay_ms")]
     pub least_delay: Duration,
-    /// Never later than this share of the route's aim, so that the second
-    /// attempt can still be in time.
+    /// Maximum delay as a share of the route's target latency, so that the hedge can still be
+    /// answered in time.
     pub aim_share: f64,
 }
 
@@ -50,31 +49,35 @@
     }
 }
 
-/// After which time an attempt is late. `fullness` is what is left of the
-/// service's budget, 0 to 1.
-pub fn delay(times: &ServiceTimes, aim: Duration, fullness: f64, options: &Options) -> Duration {
-    let spread = options.patient_factor - options.eager_factor;
-    let factor = options.eager_factor + (1.0 - fullness) * spread;
-    let learnt = Duration::from_micros((times.p90() as f64 * factor) as u64);
-    let most = aim.mul_f64(options.aim_share).max(options.least_delay);
-    learnt.clamp(options.least_delay, most)
+/// The delay after which an attempt is late. `fullness` is the remaining part of the service's
+/// budget, 0 to 1.
+pub fn delay(
+    times: &ServiceTimes,
+    target_latency: Duration,
+    fullness: f64,
+    options: &Options,
+) -> Duration {
+    let range = options.patient_factor - options.eager_factor;
+    let factor = options.eager_factor + (1.0 - fullness) * range;
+    let delay = Duration::from_micros((times.p90() as f64 * factor) as u64);
+    let max = target_latency.mul_f64(options.aim_share).max(options.least_delay);
+    delay.clamp(options.least_delay, max)
 }
 
-/// A target has room for a second attempt while fewer requests wait there for each
-/// of its slots: it is then worked on within one and a half usual times, a third of
-/// what an aim of eight usual times leaves after the first attempt was late.
-const ROOM_QUEUE: f64 = 1.5;
+/// Maximum queue per slot at which a target has capacity for a hedge. The hedge then starts
+/// within one and a half service times, a third of the time that remains after the first attempt
+/// was late if the target latency is eight service times.
+const MAX_QUEUE_PER_SLOT: f64 = 1.5;
 
-/// Where no target has room, it is looked for again after so long: about a
-/// request's work, in which a queue is shorter by one for each slot.
+/// Interval at which capacity is checked again while no target has any: about one service time,
+/// in which each slot takes one request from the queue.
 pub const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The target has room for a second attempt.
+/// Whether a target has capacity for a hedge.
 ///
-/// Load: queues stand at all targets of a shard, and every attempt is late. A
-/// second one of each would lengthen them by as much. Where the other target is
-/// free, it is the one that is late which is paused, slow or dark, however long
-/// the queues are elsewhere.
+/// Load: all targets of a shard have queues, and every attempt is late. Hedging all of them
+/// would double the queues. If the other target has capacity, the late one is paused, slow or
+/// unreachable, and the hedge is useful however long the queues of other shards are.
 pub fn has_capacity(state: &TargetState, now: Duration) -> bool {
-    state.queue(now) < ROOM_QUEUE
+    state.queue(now) < MAX_QUEUE_PER_SLOT
 }
--- a/crates/hawthorn-route/src/home.rs
+++ b/crates/hawthorn-route/src/home.rs
@@ -1,4 +1,4 @@
-//! Home regions of routes: where their requests may be run, and their bodies sent.
+//! Home regions of routes: where their requests may be executed and their bodies sent.
 
 use std::collections::HashMap;
 
@@ -12,7 +12,7 @@
 }
 
 impl RegionMap {
-    /// The region of a zone, if it is known.
+    /// The region of a zone, if known.
     pub fn of(&self, zone: &str) -> Option<&str> {
         self.zones.get(zone).map(String::as_str)
     }
@@ -24,8 +24,8 @@
     }
 }
 
-/// Zones in which a route's requests may be run. Hosts elsewhere are sent no bodies either:
-/// a caller may have been connected to a host of a region that is not its own.
+/// Zones in which a route's requests may be executed. Request bodies are not sent to hosts in
+/// other zones either, as a caller may be connected to a host outside its own region.
 #[derive(Clone, Copy, Debug)]
 pub struct HomeZones<'a> {
     map: &'a RegionMap,
@@ -34,12 +34,12 @@
 }
 
 impl<'a> HomeZones<'a> {
-    /// The zones of some home regions.
+    /// The zones of the home regions, or all zones if `regions` is `None`.
     pub fn new(map: &'a RegionMap, regions: Option<&'a [String]>) -> Self {
         Self { map, regions }
     }
 
-    /// Whether a zone belongs to a home. One whose region is not known does not.
+    /// Whether a zone belongs to a home region. A zone of unknown region does not.
     pub fn allows(&self, zone: &str) -> bool {
         let Some(regions) = self.regions else { return true };
         self.map.of(zone).is_some_and(|region| regions.iter().any(|home| home == region))
--- a/crates/hawthorn-route/src/lib.rs
+++ b/crates/hawthorn-route/src/lib.rs
@@ -1,46 +1,46 @@
-//! Decisions on requests that are routed by host and path prefix, as pure state.
+//! Decisions on requests that are routed by host and path prefix, as pure state machines.
 //!
-//! | module | its one job |
+//! | module | responsibility |
 //! |---|---|
-//! | [`document`] | what operators configure: routes, services, callers' limits |
-//! | [`table`] | one version of it, made for look-ups |
-//! | [`target`] | what is believed of one target: entry, load, speed, failures |
-//! | [`cold`] | how many requests targets receive that have just started |
-//! | [`evacuation`] | which zones operators have evacuated |
-//! | [`home`] | in which regions a route's requests may be run |
-//! | [`registry`] | all targets as they register, each belief with its age |
+//! | [`admission`] | admission control for queries over several shards |
+//! | [`budget`] | retry budgets: the number of extra attempts per service |
+//! | [`clock_offset`] | offsets of peers' clocks, and deadlines of gather requests |
+//! | [`cold`] | request limits of targets that have just started |
+//! | [`document`] | the operators' configuration of routes, services and caller limits |
+//! | [`evacuation`] | zones that operators have evacuated |
+//! | [`fingerprint`] | identification of requests with the same content |
+//! | [`gather`] | when a query over several shards is answered, and with which parts |
+//! | [`gatherers`] | hosts of a zone that gather queries for the others |
+//! | [`mod@hedge`] | hedged requests: when a second attempt is sent |
+//! | [`home`] | regions in which a route's requests may be executed |
+//! | [`merge`] | the greatest records of several parts |
+//! | [`mirror`] | a host's mirror of the store |
+//! | [`outcome`] | outcomes of attempts, and reasons for refusing requests |
+//! | [`pace`] | pacing of bulk messages |
+//! | [`placement`] | selection of the target of an attempt |
+//! | [`policy`] | the settings of all of these |
+//! | [`quarantine`] | refusal of requests that crash targets |
+//! | [`reachability`] | detection of unreachable zones |
+//! | [`registry`] | all targets and their state |
+//! | [`mod@retry_after`] | when a refused caller should retry |
 //! | [`rollout`] | when a version of the routes comes into force |
-//! | [`placement`] | which target an attempt goes to |
-//! | [`mod@hedge`] | when an attempt counts as late |
-//! | [`budget`] | how many extra attempts a service may be sent |
-//! | [`skip`] | which shards are not asked for, as their parts cannot come in time |
-//! | [`scatter`] | where each shard of a query is asked for |
-//! | [`weight`] | which part of a weighted route a request goes to |
-//! | [`merge`] | the greatest records of many parts |
-//! | [`gatherers`] | which hosts of a zone gather for the others |
-//! | [`mirror`] | the store's items as this host knows them |
-//! | [`pace`] | when bulk messages are sent |
-//! | [`admission`] | whether a query is admitted |
-//! | [`gather`] | when a query over many shards is answered, and with what |
-//! | [`send_deadline`] | when an answer has to leave |
-//! | [`clock_offset`] | how a peer's clock stands to this host's |
-//! | [`mod@retry_after`] | when a caller that is refused had best come back |
-//! | [`fingerprint`] | which requests have the same content |
-//! | [`quarantine`] | which requests are refused because they crash targets |
-//! | [`reachability`] | which zones cannot be reached |
-//! | [`policy`] | the limits of all of these, as operators set them |
-//! | [`outcome`] | what an attempt and a request came to |
+//! | [`scatter`] | where the part of each shard of a query is requested |
+//! | [`mod@send_deadline`] | the deadline for sending an answer |
+//! | [`skip`] | shards whose parts are not requested |
+//! | [`table`] | one version of the routes, indexed for lookups |
+//! | [`target`] | state of one target: registration, load, speed and failures |
+//! | [`weight`] | selection among the services of a weighted route |
 //!
 //! Nothing here opens a socket, reads a clock or starts a thread. Time is a
-//! [`Duration`](std::time::Duration) since any fixed instant of the host.
+//! [`Duration`](std::time::Duration) since an arbitrary fixed instant of the host.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms)]
 
+pub mod admission;
 pub mod budget;
+pub mod clock_offset;
 pub mod cold;
-pub mod send_deadline;
 pub mod document;
-pub mod admission;
 pub mod evacuation;
 pub mod fingerprint;
 pub mod gather;
@@ -49,7 +49,6 @@
 pub mod home;
 pub mod merge;
 pub mod mirror;
-pub mod clock_offset;
 pub mod outcome;
 pub mod pace;
 pub mod placement;
@@ -59,8 +58,9 @@
 pub mod registry;
 pub mod retry_after;
 pub mod rollout;
-pub mod skip;
 pub mod scatter;
+pub mod send_deadline;
+pub mod skip;
 pub mod table;
 pub mod target;
 pub mod weight;
--- a/crates/hawthorn-route/src/merge.rs
+++ b/crates/hawthorn-route/src/merge.rs
@@ -1,12 +1,12 @@
-//! The greatest records of many parts.
+//! Merges the parts of a query into its greatest records.
 
-/// Bytes of one record.
+/// Size of one record, in bytes.
 pub const RECORD_BYTES: usize = 16;
 
-/// One record, compared byte by byte.
+/// One record, in bytewise order.
 pub type RecordBytes = [u8; RECORD_BYTES];
 
-/// Keeps the greatest records of all parts; equal records all count.
+/// Keeps the greatest records of all parts, duplicates included.
 #[derive(Clone, Debug)]
 pub struct TopRecords {
     top: usize,
@@ -19,7 +19,7 @@
         Self { top, records: Vec::new() }
     }
 
-    /// Takes in a part's body; a remainder shorter than a record is none.
+    /// Adds the records of a part's body. A trailing partial record is ignored.
     pub fn add(&mut self, body: &[u8]) {
         let (records, _remainder) = body.as_chunks::<RECORD_BYTES>();
         self.records.extend_from_slice(records);
@@ -27,7 +27,7 @@
         self.records.truncate(self.top);
     }
 
-    /// The records one after the other, the greatest first.
+    /// The concatenated records, greatest first.
     pub fn into_body(self) -> Vec<u8> {
         self.records.concat()
     }
--- a/crates/hawthorn-route/src/outcome.rs
+++ b/crates/hawthorn-route/src/outcome.rs
@@ -1,53 +1,54 @@
-//! What an attempt and a request came to, as values.
+//! Outcomes of attempts, and reasons for refusing requests.
 
 use strum::Display;
 use strum::EnumIter;
 use strum::IntoStaticStr;
 
-/// What is known after an attempt at one target.
+/// The outcome of an attempt at one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, IntoStaticStr, EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum AttemptEnd {
-    /// The target ran the request and answered it with success.
+    /// The target executed the request and answered with success.
     Answered,
-    /// The target ran the request and answered it with a failure of its own.
+    /// The target executed the request and answered with an error.
     Failed,
-    /// Nothing reached the target: no connection could be had.
+    /// No connection to the target could be established, so that nothing was sent.
     NotSent,
-    /// The target says that it did not run the request.
+    /// The target rejected the request without executing it.
     NotRun,
-    /// Another target has the address; it did not run the request.
+    /// Another target listens on the address; it did not execute the request.
     Misdirected,
-    /// The connection broke or the answer was no answer to this request: it may have run.
+    /// The connection broke or the answer did not match the request, which may have been
+    /// executed.
     Broken,
-    /// No answer came in time: it may have run.
+    /// No answer arrived in time; the request may have been executed.
     Silent,
 }
 
 impl AttemptEnd {
-    /// The target may have worked on the request.
+    /// Whether the target may have executed the request.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Self::NotSent | Self::NotRun | Self::Misdirected)
     }
 }
 
-/// Why a request is refused: it has not run and never will.
+/// Why a request is refused. A refused request has not been executed and will not be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, IntoStaticStr, EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum RefusalReason {
-    /// This host knows no configuration yet.
+    /// This host has no configuration yet.
     NoConfiguration,
     /// No target of the service is known.
     NoTarget,
-    /// All targets said that they did not run it.
+    /// All targets rejected the request without executing it.
     TargetsFull,
-    /// No connection to any target could be had.
+    /// No connection to any target could be established.
     Unreachable,
-    /// Too little time is left to be answered.
+    /// The time left is too short for an answer.
     TooLate,
-    /// Extra attempts are used up.
+    /// The retry budget is exhausted.
     BudgetSpent,
-    /// The host holds as many requests as it may.
+    /// The host has reached its limit of concurrent requests.
     HostFull,
     /// The request is quarantined because it, or others of its caller, crashed targets.
     Quarantined,
--- a/crates/hawthorn-route/src/pace.rs
+++ b/crates/hawthorn-route/src/pace.rs
@@ -1,40 +1,40 @@
-//! When a host sends bulk messages, so that requests do not queue behind them on its link.
+//! Paces bulk messages so that requests do not queue behind them on the host's link.
 //!
-//! Load: one host tells forty peers some hundred changed entries at once, by a link that
-//! carries them in half a second. Each message is sent when the one before has used up
-//! its share of the link.
+//! Load: a host sends several hundred changed entries to forty peers at once, over a link that
+//! needs half a second for them. Each message is sent when the previous one has used its share
+//! of the link.
 
 use std::time::Duration;
 
-/// Limits of bulk messages.
+/// Limits on bulk messages.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
-    /// Bytes a second that the host's link carries.
+    /// Capacity of the host's link, in bytes per second.
     pub link_rate: f64,
-    /// Part of the link that bulk messages may use.
+    /// Share of the link that bulk messages may use.
     pub share: f64,
-    /// Smaller messages are not delayed.
+    /// Minimum size of a bulk message in bytes; smaller messages are not delayed.
     pub min_bytes: usize,
-    /// The longest delay of a message; beyond it the reader asks again.
+    /// Maximum delay of a message. Above it the message is not sent, and its reader retries.
     pub max_delay: Duration,
 }
 
 impl Options {
-    /// The limits for a link that carries so many bytes a second.
+    /// The limits for a link with the given capacity in bytes per second.
     pub fn for_link(link_rate: f64) -> Self {
         Self { link_rate, share: 0.5, min_bytes: 2048, max_delay: Duration::from_millis(200) }
     }
 }
 
-/// Spaces the bulk messages of one host.
+/// Paces the bulk messages of one host.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BulkPacer {
     free_at: Duration,
 }
 
 impl BulkPacer {
-    /// How long to wait before sending a message of so many bytes, which is counted as
-    /// sent; `None` when the wait would be too long, and nothing is counted.
+    /// Returns the delay before a message of `bytes` bytes may be sent, and reserves its share
+    /// of the link. Returns `None` without a reservation if the delay exceeds the maximum.
     pub fn reserve(&mut self, now: Duration, bytes: usize, options: &Options) -> Option<Duration> {
         if bytes < options.min_bytes {
             return Some(Duration::ZERO);
--- a/crates/hawthorn-route/src/policy.rs
+++ b/crates/hawthorn-route/src/policy.rs
@@ -1,7 +1,7 @@
-//! The limits and switches of all decisions, as operators set them.
+//! The settings of all decisions, as configured by operators.
 //!
-//! Each decision has its own `Options`, with what a value means and where its
-//! default comes from. Here they are one table, which is checked as a whole.
+//! Each decision has its own `Options`, which document the values and their defaults. They are
+//! combined here into one table that is validated as a whole.
 
 use std::time::Duration;
 
@@ -21,27 +21,27 @@
 use crate::skip;
 
 quick_error! {
-    /// Why a policy was not accepted.
+    /// Why a policy is invalid.
     #[derive(Debug, PartialEq)]
     pub enum Error {
         /// A value is outside its range.
         Range(key: &'static str, value: f64, min: f64, max: f64) {
             display("policy.{key}: {value} is not within {min} to {max}")
         }
-        /// Two values contradict each other.
+        /// A value exceeds another that bounds it.
         Above(key: &'static str, other: &'static str) {
             display("policy.{key}: above policy.{other}")
         }
     }
 }
 
-/// Answers of targets.
+/// Settings of the buffering of targets' answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AnswerOptions {
-    /// Kilobytes of a target's answer that are held, so that one that breaks before
-    /// can be asked for again. 64: nearly all answers are shorter, and as many
-    /// requests as may be open hold half of a small host's memory.
+    /// Number of kilobytes of a target's answer that are buffered, so that a request whose
+    /// answer breaks off earlier can be retried. Nearly all answers are shorter than 64, and at
+    /// the maximum number of requests the buffers take half of a small host's memory.
     pub held_kb: u32,
 }
 
@@ -51,62 +51,62 @@
     }
 }
 
-/// How requests are decided on; each part is the `Options` of one module.
+/// The settings of all decisions; each part is the `Options` of one module.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RoutePolicy {
-    /// When answers leave.
+    /// By when answers are sent.
     pub departure: send_deadline::Options,
-    /// Which target an attempt goes to.
+    /// How targets are selected.
     pub placing: placement::Options,
-    /// When an attempt counts as late.
+    /// When hedges are sent.
     pub second_attempts: hedge::Options,
-    /// Which shards are not asked for.
+    /// Which shards are skipped.
     pub skipping: skip::Options,
     /// Which queries are admitted.
     pub admission: admission::Options,
-    /// Which shards peers gather.
+    /// Which shards are delegated to peers.
     pub gatherers: scatter::Options,
-    /// Which answers leave before they are whole.
+    /// Which partial answers are returned.
     pub gathering: gather::Options,
-    /// What the balancer is told of zones that are cut off.
+    /// When hosts report that they are not ready because zones are unreachable.
     pub zones: reachability::Options,
     /// When versions of the routes come into force.
     pub rollout: rollout::Options,
-    /// How targets are remembered.
+    /// How targets are registered.
     pub targets: registry::Options,
     /// When requests that crash targets are refused.
     pub quarantine: quarantine::Options,
-    /// How answers are held.
+    /// How answers are buffered.
     pub answers: AnswerOptions,
 }
 
-/// One value of a policy: a switch is 0 or 1, a time in milliseconds.
+/// One value of a policy: a switch as 0 or 1, a time in the unit of its key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PolicyRow {
-    /// Its key below `policy`.
+    /// Key below `policy`.
     pub key: &'static str,
-    /// What it is.
+    /// The value.
     pub value: f64,
-    /// The min it may be.
+    /// The minimum value.
     pub min: f64,
-    /// The most it may be.
+    /// The maximum value.
     pub max: f64,
 }
 
-/// Factors, and queries in flight, at the most.
-const MOST_TIMES: f64 = 1000.0;
-/// Times, at the most: a minute. No caller waits longer.
-const MOST_MILLIS: f64 = 60_000.0;
-/// Delay of a version of the routes, at the most: a part of the time in which it has to be in
+/// Maximum of factors and of queries in flight.
+const MAX_FACTOR: f64 = 1000.0;
+/// Maximum of times: a minute. No caller waits longer.
+const MAX_MILLIS: f64 = 60_000.0;
+/// Maximum delay of a version of the routes: a part of the time within which it must be in
 /// force.
-const MOST_HOLD_MILLIS: f64 = 1000.0;
-/// Seconds, at the most: an hour.
-const MOST_SECONDS: f64 = 3600.0;
-/// Kilobytes of one answer, at the most: a small host's memory.
-const MOST_KILOBYTES: f64 = 65_536.0;
-/// Shards of one query, at the most: their places are counted in 16 bits.
-const MOST_SHARDS: f64 = 65_535.0;
+const MAX_HOLD_MILLIS: f64 = 1000.0;
+/// Maximum of times in seconds: an hour.
+const MAX_SECONDS: f64 = 3600.0;
+/// Maximum buffer per answer in kilobytes: a small host's memory.
+const MAX_KILOBYTES: f64 = 65_536.0;
+/// Maximum number of shards of a query: their indexes have 16 bits.
+const MAX_SHARDS: f64 = 65_535.0;
 
 fn row(key: &'static str, value: f64, min: f64, max: f64) -> PolicyRow {
     PolicyRow { key, value, min, max }
@@ -121,15 +121,15 @@
 }
 
 fn factor(key: &'static str, value: f64) -> PolicyRow {
-    row(key, value, 1.0, MOST_TIMES)
+    row(key, value, 1.0, MAX_FACTOR)
 }
 
 fn millis(key: &'static str, time: Duration) -> PolicyRow {
-    row(key, time.as_secs_f64() * 1000.0, 0.0, MOST_MILLIS)
+    row(key, time.as_secs_f64() * 1000.0, 0.0, MAX_MILLIS)
 }
 
 impl RoutePolicy {
-    /// Every value with its range.
+    /// All values with their ranges.
     pub fn rows(&self) -> Vec<PolicyRow> {
         let Self { departure, placing, second_attempts, skipping, admission, .. } = self;
         let Self { gatherers, gathering, zones, rollout, targets, quarantine, answers, .. } = self;
@@ -152,7 +152,7 @@
             millis("second_attempts.least_delay_ms", second_attempts.least_delay),
             share("second_attempts.aim_share", second_attempts.aim_share),
             switch("skipping.on", skipping.on),
-            row("skipping.time_share", skipping.time_share, 0.0, MOST_TIMES),
+            row("skipping.time_share", skipping.time_share, 0.0, MAX_FACTOR),
             switch("admission.on", admission.on),
             factor("admission.first_window", admission.first_window),
             factor("admission.least_window", admission.least_window),
@@ -163,28 +163,28 @@
             millis("admission.crowded_ms", admission.crowded_time),
             switch("gatherers.on", gatherers.on),
             switch("gatherers.replaces_silent", gatherers.replaces_silent),
-            row("gatherers.least_shards", gatherers.least_shards as f64, 1.0, MOST_SHARDS),
+            row("gatherers.least_shards", gatherers.least_shards as f64, 1.0, MAX_SHARDS),
             switch("gathering.part_answers", gathering.part_answers),
             switch("gathering.beyond_aim", gathering.beyond_aim),
             switch("zones.step_aside", zones.step_aside),
             switch("zones.while_in_doubt", zones.while_in_doubt),
-            row("rollout.hold_ms", rollout.hold.as_millis() as f64, 0.0, MOST_HOLD_MILLIS),
+            row("rollout.hold_ms", rollout.hold.as_millis() as f64, 0.0, MAX_HOLD_MILLIS),
             millis("targets.last_use_ms", targets.last_use),
             switch("quarantine.on", quarantine.on),
-            row("quarantine.crashes", f64::from(quarantine.crashes), 1.0, MOST_TIMES),
-            row("quarantine.term_s", quarantine.term.as_secs_f64(), 1.0, MOST_SECONDS),
+            row("quarantine.crashes", f64::from(quarantine.crashes), 1.0, MAX_FACTOR),
+            row("quarantine.term_s", quarantine.term.as_secs_f64(), 1.0, MAX_SECONDS),
             switch("quarantine.callers", quarantine.callers),
-            row("answers.held_kb", f64::from(answers.held_kb), 1.0, MOST_KILOBYTES),
+            row("answers.held_kb", f64::from(answers.held_kb), 1.0, MAX_KILOBYTES),
         ]
     }
 
-    /// Checks every value.
+    /// Validates all values.
     ///
     /// # Errors
-    /// When a value is outside its range, or contradicts another.
+    /// If a value is outside its range, or exceeds another that bounds it.
     pub fn check(&self) -> Result<(), Error> {
         for PolicyRow { key, value, min, max } in self.rows() {
-            // What is not a number is in no range.
+            // NaN is in no range.
             if !(min..=max).contains(&value) {
                 return Err(Error::Range(key, value, min, max));
             }
@@ -199,15 +199,15 @@
         Ok(())
     }
 
-    /// What differs from the defaults, as `key=value`, comma between; `default` when
-    /// nothing does.
+    /// The values that differ from the defaults, as comma-separated `key=value` pairs, or
+    /// `default` if none does.
     pub fn summary(&self) -> String {
         let rows = self.rows();
-        let usual = Self::default().rows();
+        let defaults = Self::default().rows();
         let changed: Vec<String> = rows
             .iter()
-            .zip(&usual)
-            .filter(|(row, usual)| row.value != usual.value)
+            .zip(&defaults)
+            .filter(|(row, default)| row.value != default.value)
             .map(|(row, _)| format!("{}={}", row.key, row.value))
             .collect();
         if changed.is_empty() { "default".to_owned() } else { changed.join(",") }
--- a/crates/hawthorn-route/src/reachability.rs
+++ b/crates/hawthorn-route/src/reachability.rs
@@ -1,36 +1,38 @@
-//! Whether a zone's targets can be reached from this host.
+//! Detects zones whose targets are unreachable from this host.
 //!
-//! The load it is for: a zone that is cut off while callers still reach hosts
-//! on both sides. The harm it prevents: every request waits out its time for
-//! targets that cannot answer, on a host that could have said at once that
-//! another one should be asked. A zone is believed cut off only when several
-//! requests in a row, sent to any of its targets, brought nothing for longer
-//! than a pause of one target lasts.
+//! Load: a network partition isolates a zone while callers still reach hosts on both sides.
+//! Without detection, every request waits until its deadline for targets that cannot answer,
+//! instead of being refused at once so that the caller can use another host. A zone counts as
+//! unreachable only after several consecutive requests, to any of its targets, remained
+//! unanswered for longer than one target's pause.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 
-/// Requests without any answer from the zone before it is believed cut off:
-/// one query sends a request to several targets at once, so fewer prove nothing.
-const LEAST_UNANSWERED: u32 = 6;
-/// And the time since the first of them, at least: longer than a target pauses.
-const LEAST_SILENCE: Duration = Duration::from_millis(200);
-/// And so many usual times of such a request.
-const USUAL_TIMES: u32 = 4;
-/// After so long the zone is doubted: several usual times, and half of what it
-/// takes to believe it cut off.
-const DOUBT_SILENCE: Duration = Duration::from_millis(80);
-/// And so many usual times.
-const DOUBT_TIMES: u32 = 2;
+/// Minimum number of consecutive unanswered requests: a query sends requests to several targets
+/// at once, so that fewer are no evidence.
+const MIN_UNANSWERED: u32 = 6;
+/// Minimum time since the first unanswered request until the zone is unreachable: longer than a
+/// target's pause.
+const UNREACHABLE_DELAY: Duration = Duration::from_millis(200);
+/// The same minimum as a multiple of the request's typical latency.
+const UNREACHABLE_FACTOR: u32 = 4;
+/// Minimum time since the first unanswered request until the zone is suspected: several typical
+/// latencies, and about half of the delay until it is unreachable.
+const SUSPECT_DELAY: Duration = Duration::from_millis(80);
+/// The same minimum as a multiple of the request's typical latency.
+const SUSPECT_FACTOR: u32 = 2;
 
-/// What a host whose callers others serve better tells the balancer.
+/// Settings of the readiness that a host reports to the load balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Options {
-    /// It steps aside while zones that its callers need are cut off.
+    /// Whether a host reports that it is not ready while zones that its callers need are
+    /// unreachable.
     pub step_aside: bool,
-    /// And while they may be: a balancer believes it only the second time.
+    /// Whether it does so while these zones are only suspected. The balancer acts on the second
+    /// failed probe.
     pub while_in_doubt: bool,
 }
 
@@ -40,55 +42,57 @@
     }
 }
 
-/// What is known of the way to one zone's targets.
+/// Reachability of one zone's targets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneReachability {
     unanswered: u32,
-    /// When nothing will have come for long enough to doubt the zone, and to
-    /// believe it cut off.
-    overdue: Option<(Duration, Duration)>,
+    /// When the zone becomes suspected, and when it becomes unreachable, unless something
+    /// answers.
+    thresholds: Option<(Duration, Duration)>,
 }
 
 impl ZoneReachability {
-    /// A request that usually takes `usual` was sent to a target of the zone.
-    pub fn sent(&mut self, now: Duration, usual: Duration) {
+    /// Records that a request with a typical latency of `typical` was sent to a target of the
+    /// zone.
+    pub fn sent(&mut self, now: Duration, typical: Duration) {
         self.unanswered = self.unanswered.saturating_add(1);
-        let doubted = now + DOUBT_SILENCE.max(usual * DOUBT_TIMES);
-        let cut = now + LEAST_SILENCE.max(usual * USUAL_TIMES);
-        self.overdue.get_or_insert((doubted, cut));
+        let suspected = now + SUSPECT_DELAY.max(typical * SUSPECT_FACTOR);
+        let unreachable = now + UNREACHABLE_DELAY.max(typical * UNREACHABLE_FACTOR);
+        self.thresholds.get_or_insert((suspected, unreachable));
     }
 
-    /// Something of the zone answered: a target, or another host there.
+    /// Records an answer from the zone, by a target or another host there.
     pub fn answered(&mut self) {
         *self = Self::default();
     }
 
-    /// Nothing there is worth sending to.
+    /// Whether the zone is unreachable, so that no requests are sent there.
     pub fn is_unreachable(&self, now: Duration) -> bool {
-        self.unanswered >= LEAST_UNANSWERED && self.overdue.is_some_and(|(_, cut)| now >= cut)
+        self.unanswered >= MIN_UNANSWERED
+            && self.thresholds.is_some_and(|(_, unreachable)| now >= unreachable)
     }
 
-    /// It may be cut off: worth a try of the way there, and for a balancer that
-    /// asks twice before it believes, worth being told of. Requests still go there.
+    /// Whether the zone may be unreachable. Requests are still sent there, but the zone is
+    /// probed, and readiness may be affected, as the balancer needs two failed probes.
     pub fn is_suspected(&self, now: Duration) -> bool {
-        self.unanswered >= LEAST_UNANSWERED
-            && self.overdue.is_some_and(|(doubted, _)| now >= doubted)
+        self.unanswered >= MIN_UNANSWERED
+            && self.thresholds.is_some_and(|(suspected, _)| now >= suspected)
     }
 }
 
-/// Whether this host should leave callers to hosts of other zones.
+/// Whether this host should fail its readiness probe so that the load balancer sends its
+/// callers to hosts of other zones.
 ///
-/// The load it is for: a zone is cut off, callers reach hosts on both sides,
-/// and a large part of what they ask for has targets only on the other side.
-/// The harm it prevents: they are refused for as long as the cut lasts, while
-/// hosts of the larger side would serve them. Both sides see a cut; only the
-/// smaller one steps aside, or all would.
-pub fn should_fail_readiness(zones: usize, cut: usize, unanswerable_share: f64) -> bool {
-    let reachable = zones.saturating_sub(cut);
-    cut > reachable && unanswerable_share >= LEAST_SHARE
+/// Load: a partition isolates a zone, callers reach hosts on both sides, and many of their
+/// requests have targets only on the other side. These are refused for as long as the partition
+/// lasts, while hosts of the larger side could serve them. Both sides detect the partition;
+/// only the smaller one fails its probe, as otherwise no host would be ready.
+pub fn should_fail_readiness(zones: usize, unreachable: usize, unanswerable_share: f64) -> bool {
+    let reachable = zones.saturating_sub(unreachable);
+    unreachable > reachable && unanswerable_share >= MIN_UNANSWERABLE_SHARE
 }
 
-/// Share of callers' requests that cannot be answered from here, at which they
-/// are better off elsewhere: moving costs each of them a connection and the way
-/// to another zone, about as much as one request in five that has to be made again.
-const LEAST_SHARE: f64 = 0.2;
+/// Minimum share of callers' requests that cannot be answered from here. Moving costs each
+/// caller a new connection and the latency to another zone, about as much as retrying one
+/// request in five.
+const MIN_UNANSWERABLE_SHARE: f64 = 0.2;
--- a/crates/hawthorn-route/src/registry.rs
+++ b/crates/hawthorn-route/src/registry.rs
@@ -1,4 +1,4 @@
-//! All targets as they register, each belief with its age.
+//! The registry of all targets and their state.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -22,21 +22,21 @@
 use crate::target::TargetState;
 
 new_key_type! {
-    /// Names one incarnation of a target on this host.
+    /// Identifies one incarnation of a target on this host.
     pub struct TargetKey;
 }
 
 /// Keys of one service's targets.
 pub type TargetKeys = SmallVec<[TargetKey; 4]>;
 
-/// Limits of the registry.
+/// Settings of the registry.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Options {
-    /// How long a target that leaves, or whose entry went, may still be sent
-    /// work while its service has no other. Below the time for which targets go
-    /// on serving, less what news of it may take.
+    /// How long a target that is draining, or whose entry was removed, may still receive
+    /// requests while its service has no other. Must be below the time for which a draining
+    /// target continues to serve, less the propagation delay of the change.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "last_use_ms")]
     pub last_use: Duration,
@@ -48,19 +48,19 @@
     }
 }
 
-/// What a piece of news changed.
+/// Effect of an update of a target's entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum TargetChange {
-    /// Nothing, or it was older than what is known.
+    /// None, or the update was older than the known entry.
     None,
-    /// A target that was not known, or a new incarnation under its id.
+    /// A new target, or a new incarnation of a known one.
     Born,
-    /// It takes work again.
+    /// The target accepts requests again.
     Returned,
-    /// It finishes and leaves.
+    /// The target is draining.
     Draining,
-    /// Its entry is gone.
+    /// The entry was removed.
     Removed,
 }
 
@@ -68,15 +68,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum SendRejection {
-    /// It left, or is another target by now.
+    /// The target has left, or its id belongs to another incarnation.
     Gone,
-    /// Its zone is evacuated.
+    /// The zone is evacuated.
     Evacuated,
-    /// It is cold, and this host may not send it more for now.
+    /// The target is cold, and this host has used up its part of the limit.
     Cold,
 }
 
-/// All targets by key, id and service.
+/// All targets, indexed by key, id and service.
 #[derive(Debug, Default)]
 pub struct TargetRegistry {
     options: Options,
@@ -90,7 +90,7 @@
 }
 
 impl TargetRegistry {
-    /// An empty registry of a host in `zone`.
+    /// Creates the empty registry of a host in `zone`.
     pub fn new(options: Options, zone: &str) -> Self {
         Self { options, zone: zone.to_owned(), ..Self::default() }
     }
@@ -105,7 +105,7 @@
         self.targets.get(key)
     }
 
-    /// One target, to be changed.
+    /// One target, mutable.
     pub fn get_mut(&mut self, key: TargetKey) -> Option<&mut TargetState> {
         self.targets.get_mut(key)
     }
@@ -115,11 +115,11 @@
         self.targets.iter()
     }
 
-    /// Takes in an entry as it was written at `revision`.
+    /// Inserts or updates an entry that was written at `revision`.
     ///
-    /// An entry whose address, service or birth differs from what is known
-    /// under its id is another incarnation: nothing that was learnt holds for
-    /// it, and requests on their way to the old one are not its own.
+    /// An entry whose address, service or start time differs from the known entry under its id
+    /// is a new incarnation: the state of the previous one is dropped, and requests in flight
+    /// to that one are not attributed to the new one.
     pub fn put(&mut self, entry: TargetEntry, revision: u64, now: Duration) -> TargetChange {
         if let Some(key) = self.by_id.get(&entry.id).copied() {
             let state = &mut self.targets[key];
@@ -130,9 +130,9 @@
                 && state.entry.service == entry.service
                 && (state.entry.born == entry.born || entry.born.is_none());
             if same {
-                return Self::renew(state, entry, revision, now, self.options);
+                return Self::update(state, entry, revision, now, self.options);
             }
-            self.forget(key);
+            self.drop_target(key);
         }
         let draining = entry.draining;
         let id = Rc::clone(&entry.id);
@@ -147,7 +147,7 @@
         if draining { TargetChange::Draining } else { TargetChange::Born }
     }
 
-    fn renew(
+    fn update(
         state: &mut TargetState,
         entry: TargetEntry,
         revision: u64,
@@ -159,10 +159,10 @@
         if entry.cold > Duration::ZERO {
             state.cold_until = now + entry.cold;
         }
-        let was = state.phase;
+        let previous_phase = state.phase;
         let draining = entry.draining;
         state.entry = entry;
-        match (was, draining) {
+        match (previous_phase, draining) {
             (TargetPhase::Ready, false) => TargetChange::None,
             (TargetPhase::Ready, true) => {
                 state.phase = TargetPhase::Leaving { until: now + options.last_use };
@@ -176,7 +176,7 @@
         }
     }
 
-    /// The entry is gone, as of `revision`.
+    /// Removes an entry, as of `revision`.
     pub fn remove(&mut self, id: &str, revision: u64, now: Duration) -> TargetChange {
         let Some(key) = self.by_id.get(id).copied() else {
             return TargetChange::None;
@@ -191,7 +191,7 @@
                 state.phase = TargetPhase::Leaving { until: now + self.options.last_use };
                 TargetChange::Removed
             }
-            // Nothing is left of it but the keys.
+            // It receives no requests any more; `sweep` removes it later.
             TargetPhase::Gone => {
                 state.phase = TargetPhase::Leaving { until: now };
                 TargetChange::Removed
@@ -208,8 +208,8 @@
     /// Treats a zone's targets as cold where they are limited while cold, each for the time
     /// that `cold_start` gives for its service.
     ///
-    /// Failure: a zone's targets are cold when its evacuation ends, and their entries, which
-    /// say so, arrive after the news of that end.
+    /// Failure: a zone's targets are cold when its evacuation ends, and their updated entries
+    /// arrive after the end of the evacuation does.
     pub fn presume_cold(
         &mut self,
         zone: &str,
@@ -218,8 +218,8 @@
     ) {
         let Self { targets, cold, .. } = self;
         let limited = |state: &TargetState| cold.service_limit(&state.entry.service).is_some();
-        let there = targets.values_mut().filter(|state| *state.entry.zone == *zone);
-        for state in there.filter(|state| limited(state)) {
+        let in_zone = targets.values_mut().filter(|state| *state.entry.zone == *zone);
+        for state in in_zone.filter(|state| limited(state)) {
             state.cold_until = state.cold_until.max(now + cold_start(&state.entry.service));
         }
     }
@@ -229,36 +229,39 @@
         self.cold.configure(services, options)
     }
 
-    /// Sets the slot for cold targets that this host holds.
+    /// Sets the slot for cold targets that this host holds, if any.
     pub fn set_cold_right(&mut self, right: Option<SlotRight>) {
         self.cold.set_right(right);
     }
 
-    /// What may be sent to cold targets.
+    /// Limits on requests to cold targets.
     pub fn cold(&self) -> &ColdAdmission {
         &self.cold
     }
 
     /// Whether a target is in this host's zone.
-    pub(crate) fn is_near(&self, state: &TargetState) -> bool {
+    pub(crate) fn is_local(&self, state: &TargetState) -> bool {
         *state.entry.zone == *self.zone
     }
 
-    /// Whether a target may receive requests apart from what its phase says: its zone is not
-    /// evacuated, and it is warm or may be sent more.
-    pub(crate) fn is_open(&self, state: &TargetState, now: Duration) -> bool {
+    /// Whether a target may receive requests, regardless of its phase: its zone is not
+    /// evacuated, and it is warm or below its limit.
+    pub(crate) fn accepts_requests(&self, state: &TargetState, now: Duration) -> bool {
         !self.evacuations.contains(&state.entry.zone) && self.cold.admits(state, &self.zone, now)
     }
 
-    /// Evacuated zones.
+    /// The evacuated zones.
     pub fn evacuations(&self) -> &ZoneEvacuations {
         &self.evacuations
     }
 
-    /// Decides whether a request is sent to a target, and counts it if the target is cold.
+    /// Checks that a request may be sent to a target, and counts it if the target is cold.
     ///
     /// Failure: a request waits for a connection while its target leaves or its zone is
-    /// evacuated, and is sent seconds later.
+    /// evacuated, and is sent seconds later. It is therefore checked again before it is sent.
+    ///
+    /// # Errors
+    /// The reason why the request may not be sent.
     pub fn admit(&mut self, key: TargetKey, now: Duration) -> Result<(), SendRejection> {
         self.permit(key, now)?;
         if let Some(state) = self.targets.get_mut(key)
@@ -269,7 +272,10 @@
         Ok(())
     }
 
-    /// Whether a request may be sent to a target now.
+    /// Checks that a request may be sent to a target now.
+    ///
+    /// # Errors
+    /// The reason why the request may not be sent.
     pub fn permit(&self, key: TargetKey, now: Duration) -> Result<(), SendRejection> {
         let state = self.targets.get(key).ok_or(SendRejection::Gone)?;
         match state.phase {
@@ -286,12 +292,12 @@
         Ok(())
     }
 
-    /// The ids that are known and not gone.
+    /// The ids of all known targets.
     pub fn ids(&self) -> Vec<String> {
         self.by_id.keys().map(|id| id.to_string()).collect()
     }
 
-    fn forget(&mut self, key: TargetKey) {
+    fn drop_target(&mut self, key: TargetKey) {
         if let Some(state) = self.targets.remove(key) {
             self.by_id.remove(&state.entry.id);
             if let Some(keys) = self.by_service.get_mut(&state.entry.service) {
@@ -300,16 +306,20 @@
         }
     }
 
-    /// Forgets targets that left longer than `keep` ago and returns their keys.
+    /// Removes targets that left longer than `keep` ago and returns their keys.
     pub fn sweep(&mut self, now: Duration, keep: Duration) -> Vec<TargetKey> {
-        let done = |state: &TargetState| match state.phase {
+        let is_expired = |state: &TargetState| match state.phase {
             TargetPhase::Leaving { until } => now > until + keep,
             TargetPhase::Ready | TargetPhase::Gone => false,
         };
-        let keys: Vec<TargetKey> =
-            self.targets.iter().filter(|(_, state)| done(state)).map(|(key, _)| key).collect();
+        let keys: Vec<TargetKey> = self
+            .targets
+            .iter()
+            .filter(|(_, state)| is_expired(state))
+            .map(|(key, _)| key)
+            .collect();
         for key in &keys {
-            self.forget(*key);
+            self.drop_target(*key);
         }
         keys
     }
--- a/crates/hawthorn-route/src/retry_after.rs
+++ b/crates/hawthorn-route/src/retry_after.rs
@@ -1,9 +1,9 @@
-//! When a caller that is refused had best come back.
+//! When a refused caller should retry.
 //!
-//! The load it is for: many callers are refused within a second, as queues stand,
-//! or as their host is cut off. The harm it prevents: they come back together,
-//! or so soon that they are refused again, which is all that they try. The limit:
-//! callers wait a part of their time at the most, whatever they are told.
+//! Load: many callers are refused within a second, because queues are full or their host is
+//! partitioned. Without jitter they retry at the same time, and too early a retry is refused
+//! as well and uses up the caller's only attempt. The delay is kept short because callers wait
+//! for no longer than a part of their timeout, whatever the response asks for.
 
 use std::time::Duration;
 
@@ -12,41 +12,41 @@
 
 use crate::outcome::RefusalReason;
 
-/// A balancer asks a host once a second whether it takes callers, and believes a
-/// "no" that it has heard twice: after so long callers are elsewhere, at the latest.
-const BALANCER_TIME: Duration = Duration::from_millis(2200);
+/// Time after which the load balancer sends callers to other hosts: it probes readiness once a
+/// second and acts on the second failed probe.
+const BALANCER_DELAY: Duration = Duration::from_millis(2200);
 
-/// How long a caller is told to wait, drawn between two bounds, so that callers
-/// refused together return apart. `aside` is for how long this host has been telling
-/// the balancer that others serve its callers better, if it does.
+/// The delay after which a refused caller should retry, with jitter. `not_ready_for` is how
+/// long this host has been failing its readiness probe because other hosts serve its callers
+/// better, if it does.
 pub fn retry_after(
     reason: RefusalReason,
-    aside: Option<Duration>,
-    lots: &mut impl Rng,
+    not_ready_for: Option<Duration>,
+    rng: &mut impl Rng,
 ) -> Duration {
-    let (least, most) = match reason {
-        // A host that starts reads the configuration within a few hundred milliseconds.
+    let (min, max) = match reason {
+        // A starting host reads the configuration within a few hundred milliseconds.
         RefusalReason::NoConfiguration => (0.2, 0.4),
-        // A target that crashed is back within seconds.
+        // A crashed target restarts within seconds.
         RefusalReason::NoTarget | RefusalReason::Unreachable => (0.2, 0.35),
-        // A queue of a dozen requests on two slots is gone within a tenth of a second.
+        // A queue of a dozen requests on two slots drains within a tenth of a second.
         RefusalReason::TargetsFull => (0.03, 0.1),
-        // The door opens again with the queries in flight; a burst lasts longer, and
-        // callers spread over a quarter of a second fill the gaps.
+        // Capacity is available again when queries in flight end. Bursts last longer, and
+        // retries spread over a quarter of a second use the capacity as it becomes free.
         RefusalReason::HostFull => (0.05, 0.25),
-        // The window slides by a tenth of its length.
+        // The budget's window slides by a tenth of its length.
         RefusalReason::BudgetSpent => (0.1, 0.3),
         RefusalReason::TooLate => (0.01, 0.05),
         // Used only if the end of the refusal term is unknown.
         RefusalReason::Quarantined => (1.0, 2.0),
     };
-    let drawn = Duration::from_secs_f64(lots.random_range(least..most));
-    let elsewhere = aside.map_or(Duration::ZERO, |since| BALANCER_TIME.saturating_sub(since));
+    let delay = Duration::from_secs_f64(rng.random_range(min..max));
+    let until_moved =
+        not_ready_for.map_or(Duration::ZERO, |since| BALANCER_DELAY.saturating_sub(since));
     match reason {
-        // Failure: a zone is cut off, its callers are refused, come back at once to
-        // the same zone, and are refused for good. Once the balancer has noticed,
-        // another zone serves them.
-        RefusalReason::NoTarget | RefusalReason::Unreachable => elsewhere + drawn,
-        _ => drawn,
+        // Failure: callers of a partitioned zone are refused, retry at once in the same zone,
+        // and are refused for good. After the balancer has reacted, another zone serves them.
+        RefusalReason::NoTarget | RefusalReason::Unreachable => until_moved + delay,
+        _ => delay,
     }
 }
--- a/crates/hawthorn-route/src/rollout.rs
+++ b/crates/hawthorn-route/src/rollout.rs
@@ -1,9 +1,9 @@
 //! When a version of the routes comes into force on a host.
 //!
-//! Load: hosts of a zone learn of a version over some hundred milliseconds, while they hand
-//! their queries to the zone's gatherers. A gatherer that is asked for a version it does not
-//! have yet gathers nothing, and the query is refused. So the hosts that gather apply a
-//! version at once and keep the ones before it, and the others apply it a little later.
+//! Load: a version reaches the hosts of a zone over several hundred milliseconds, while they
+//! delegate queries to the zone's gatherers. A gatherer rejects a query that was planned with
+//! a version it does not have yet. Gatherers therefore apply a version at once and keep the
+//! previous ones, and all other hosts apply it after a delay.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,13 +12,14 @@
 use serde_with::DurationMilliSeconds;
 use serde_with::serde_as;
 
-/// Limits of the rollout.
+/// Settings of the rollout.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Options {
-    /// How much later hosts that do not gather apply a version: the time in which a zone's
-    /// hosts learn of it, and far less than that in which it has to be in force.
+    /// Delay after which hosts that do not gather apply a version. It covers the time in which
+    /// a version reaches all hosts of a zone, and is far below the time within which a version
+    /// must be in force.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "hold_ms")]
     pub hold: Duration,
@@ -30,13 +31,13 @@
     }
 }
 
-/// How long a host waits before it applies a version. A host without any applies its first
-/// one at once.
+/// How long a host waits before it applies a version. A host without any version applies its
+/// first one at once.
 pub fn delay(gathers: bool, has_version: bool, options: &Options) -> Duration {
     if gathers || !has_version { Duration::ZERO } else { options.hold }
 }
 
-/// Versions that are known and not yet in force, the oldest first.
+/// Versions that are known but not yet in force, oldest first.
 #[derive(Debug)]
 pub struct PendingVersions<T> {
     versions: VecDeque<(Duration, T)>,
@@ -54,7 +55,7 @@
         self.versions.push_back((due, version));
     }
 
-    /// Takes the versions that are due, the oldest first.
+    /// Removes and returns the versions that are due, oldest first.
     pub fn take_due(&mut self, now: Duration) -> Vec<T> {
         let mut due = Vec::new();
         while self.versions.front().is_some_and(|(at, _)| *at <= now) {
--- a/crates/hawthorn-route/src/scatter.rs
+++ b/crates/hawthorn-route/src/scatter.rs
@@ -1,13 +1,12 @@
-//! Where each shard of a query is asked for.
+//! Plans where the part of each shard of a query is requested.
 //!
-//! The load it is for: queries over tens of shards whose targets lie in several
-//! zones, on hosts that have little processor time each. The harm it prevents:
-//! bytes between zones, several times what the records need, and connections
-//! that every host opens to every target. Shards that are best had in another
-//! zone are gathered by one host there, and where a few hosts of a zone gather
-//! for all, the others hand them the whole query. The limit: fewer than
-//! `least_shards` are asked for directly, as one message with its reply is as
-//! many bytes as their own.
+//! Load: queries over tens of shards whose targets are in several zones, on hosts with little
+//! processor time. Requesting each part directly costs several times the cross-zone traffic of
+//! the merged records, and every host opens connections to every target. Shards whose best
+//! target is in another zone are therefore delegated to one host there. Where only a few hosts
+//! of a zone gather, the others delegate all shards of their queries. Fewer than `least_shards`
+//! are requested directly, because a delegated request with its reply is then as large as the
+//! parts themselves.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -21,15 +20,15 @@
 use crate::placement::PlacementView;
 use crate::registry::TargetKey;
 
-/// Limits of handing shards over.
+/// Settings of delegation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Options {
-    /// Peers gather shards at all.
+    /// Whether shards are delegated to peers.
     pub on: bool,
-    /// A peer that does not say that it is there is replaced by another.
+    /// Whether a peer that fails its liveness probe is replaced by another.
     pub replaces_silent: bool,
-    /// Fewer shards of one zone are asked for directly.
+    /// Minimum number of shards that are delegated to a zone.
     pub least_shards: usize,
 }
 
@@ -39,55 +38,56 @@
     }
 }
 
-/// Zones where a shard has a target that takes work, that of the best target first.
+/// Zones in which a shard has an available target, that of the best target first.
 pub type ZoneNames = SmallVec<[Rc<str>; 2]>;
 
-/// Where one shard is best had.
+/// The best source of one shard's part.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ShardSource {
-    /// From a target of this host's own zone, or from one that is alone.
+    /// A target that this host asks itself: it is in this host's zone, or no target in another
+    /// zone is available.
     Direct(TargetKey),
-    /// From this target, and as well from any of these other zones.
+    /// The best target, and all zones other than this host's that have an available target.
     Remote(TargetKey, ZoneNames),
-    /// No target takes work.
+    /// No target accepts requests.
     Unavailable,
 }
 
-/// A query's shards by their place in its list.
+/// The sources of all shards of a query.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ScatterPlan {
-    /// Where each is best had.
+    /// The source of each shard, by its index in the query.
     pub sources: Vec<ShardSource>,
 }
 
-/// Shards that a host of one zone gathers.
+/// Shards that are delegated to a host of one zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneShards {
     /// The zone.
     pub zone: Rc<str>,
-    /// By their place in the query's list, rising.
+    /// Indexes of the shards in the query, in ascending order.
     pub shards: Vec<u16>,
 }
 
-/// Finds for each shard of a query where it is best had, once.
+/// Selects the best source of each shard of a query.
 pub fn plan(
     view: PlacementView<'_>,
     rule: &GatherRule,
-    lots: &mut impl Rng,
+    rng: &mut impl Rng,
     options: &placement::Options,
 ) -> ScatterPlan {
-    let ways = rule.shards.iter().map(|shard| way(view, shard, lots, options)).collect();
-    ScatterPlan { sources: ways }
+    let sources = rule.shards.iter().map(|shard| source(view, shard, rng, options)).collect();
+    ScatterPlan { sources }
 }
 
-fn way(
+fn source(
     view: PlacementView<'_>,
     shard: &str,
-    lots: &mut impl Rng,
+    rng: &mut impl Rng,
     options: &placement::Options,
 ) -> ShardSource {
     let PlacementView { registry, zone, .. } = view;
-    let Some(best) = placement::select_target(view, shard, &[], lots, options) else {
+    let Some(best) = placement::select_target(view, shard, &[], rng, options) else {
         return ShardSource::Unavailable;
     };
     let Some(best_zone) = registry.get(best).map(|state| &state.entry.zone) else {
@@ -109,109 +109,109 @@
 }
 
 impl ScatterPlan {
-    /// Enough shards have a target for an answer to be possible.
+    /// Whether enough shards have a target for an answer to be possible.
     ///
-    /// Failure: targets work for an answer that cannot be given, and the caller
-    /// waits for it. It is refused at once instead.
+    /// Failure: targets execute requests for a query that cannot be answered, and its caller
+    /// waits for the failure. Such a query is refused at once.
     pub fn can_answer(&self, rule: &GatherRule) -> bool {
-        let there = self.sources.len() - self.lost();
-        there as f64 >= rule.min_share * self.sources.len() as f64 && there > 0
+        let available = self.sources.len() - self.unavailable();
+        available as f64 >= rule.min_share * self.sources.len() as f64 && available > 0
     }
 
-    /// Shards without any target.
-    fn lost(&self) -> usize {
-        self.sources.iter().filter(|way| **way == ShardSource::Unavailable).count()
+    /// The number of shards without any target.
+    fn unavailable(&self) -> usize {
+        self.sources.iter().filter(|source| **source == ShardSource::Unavailable).count()
     }
 
-    /// How many more shards the answer may do without, of the `spare` that it may
-    /// in all: those without a target are lost already.
+    /// How many of the shards that have a target may be missing from the answer, given
+    /// `max_missing` over all shards.
     ///
-    /// Failure: a shard has no target left, two more are skipped, and with the
-    /// next that is late the query fails, though all of those skipped were there.
-    pub fn max_missing_left(&self, spare: usize) -> usize {
-        spare.saturating_sub(self.lost())
+    /// Failure: one shard has no target, two others are skipped, and the query fails with the
+    /// next late part although the skipped shards were available.
+    pub fn max_missing_left(&self, max_missing: usize) -> usize {
+        max_missing.saturating_sub(self.unavailable())
     }
 
-    /// The target that a shard is best had from.
-    pub fn target(&self, place: u16) -> Option<TargetKey> {
-        match self.sources.get(usize::from(place))? {
+    /// The best target of a shard.
+    pub fn target(&self, shard: u16) -> Option<TargetKey> {
+        match self.sources.get(usize::from(shard))? {
             ShardSource::Direct(key) | ShardSource::Remote(key, _) => Some(*key),
             ShardSource::Unavailable => None,
         }
     }
 
-    /// Which shards a host of another zone gathers, while one is to be had
-    /// there; all others are asked for here.
+    /// The shards to delegate to hosts of other zones, as far as `has_host` finds one there.
+    /// This host requests all other parts itself.
     pub fn delegate(
         &self,
         mut has_host: impl FnMut(&str) -> bool,
         options: &Options,
     ) -> Vec<ZoneShards> {
-        let mut away: Vec<(u16, &ZoneNames)> = self.away().collect();
-        let mut parts = Vec::new();
+        let mut remote: Vec<(u16, &ZoneNames)> = self.remote().collect();
+        let mut delegated = Vec::new();
         if !options.on {
-            return parts;
+            return delegated;
         }
-        while let Some(zone) = busiest(&away) {
-            let there = away.iter().filter(|(_, zones)| zones.contains(&zone));
-            let shards: Vec<u16> = there.map(|(shard, _)| *shard).collect();
+        while let Some(zone) = busiest_zone(&remote) {
+            let in_zone = remote.iter().filter(|(_, zones)| zones.contains(&zone));
+            let shards: Vec<u16> = in_zone.map(|(shard, _)| *shard).collect();
             if shards.len() < options.least_shards {
                 break;
             }
-            away.retain(|(_, zones)| !zones.contains(&zone));
+            remote.retain(|(_, zones)| !zones.contains(&zone));
             if has_host(&zone) {
-                parts.push(ZoneShards { zone, shards });
+                delegated.push(ZoneShards { zone, shards });
             }
         }
-        parts
+        delegated
     }
 
-    /// All shards for peers, as this host does not gather: those that are best had in
-    /// another zone for a host there, the others for a host of the first of `zones` that
-    /// has one, this host's zone being the first. Too few to be worth a message are
-    /// asked for here.
+    /// The shards to delegate if this host does not gather: those whose best source is in
+    /// another zone to a host there, and the others to a host of the first of `zones` that has
+    /// one, starting with this host's zone. This host requests the others itself if they are
+    /// fewer than `least_shards`.
     pub fn delegate_all(
         &self,
         zones: &[Rc<str>],
         mut has_host: impl FnMut(&str) -> bool,
         options: &Options,
     ) -> Vec<ZoneShards> {
-        let mut parts = self.delegate(&mut has_host, options);
-        let handed_over = |place: &u16| parts.iter().any(|part| part.shards.contains(place));
-        let places =
-            (0_u16..).zip(&self.sources).filter(|(_, way)| **way != ShardSource::Unavailable);
+        let mut delegated = self.delegate(&mut has_host, options);
+        let is_delegated = |shard: &u16| delegated.iter().any(|part| part.shards.contains(shard));
+        let available =
+            (0_u16..).zip(&self.sources).filter(|(_, source)| **source != ShardSource::Unavailable);
         let rest: Vec<u16> =
-            places.map(|(place, _)| place).filter(|place| !handed_over(place)).collect();
+            available.map(|(shard, _)| shard).filter(|shard| !is_delegated(shard)).collect();
         if rest.len() < options.least_shards || !options.on {
-            return parts;
+            return delegated;
         }
-        let Some(zone) = zones.iter().find(|zone| has_host(zone)) else { return parts };
-        match parts.iter_mut().find(|part| part.zone == *zone) {
+        let Some(zone) = zones.iter().find(|zone| has_host(zone)) else { return delegated };
+        match delegated.iter_mut().find(|part| part.zone == *zone) {
             Some(part) => {
                 part.shards.extend(rest);
                 part.shards.sort_unstable();
             }
-            None => parts.push(ZoneShards { zone: Rc::clone(zone), shards: rest }),
+            None => delegated.push(ZoneShards { zone: Rc::clone(zone), shards: rest }),
         }
-        parts
+        delegated
     }
 
-    fn away(&self) -> impl Iterator<Item = (u16, &ZoneNames)> {
-        (0_u16..).zip(&self.sources).filter_map(|(place, way)| match way {
-            ShardSource::Remote(_, zones) => Some((place, zones)),
+    fn remote(&self) -> impl Iterator<Item = (u16, &ZoneNames)> {
+        (0_u16..).zip(&self.sources).filter_map(|(shard, source)| match source {
+            ShardSource::Remote(_, zones) => Some((shard, zones)),
             ShardSource::Direct(_) | ShardSource::Unavailable => None,
         })
     }
 }
 
-/// The zone where most of the shards have a target; of several, the one where most have
-/// their best.
+/// The zone in which most of the shards have a target; among equals, the one with the best
+/// target of most shards.
 ///
-/// Load: each shard has a target in every zone, and a zone is evacuated or slow. Its
-/// queries are divided among the other zones as their targets have room.
-fn busiest(away: &[(u16, &ZoneNames)]) -> Option<Rc<str>> {
+/// Load: each shard has a target in every zone, and one zone is evacuated or slow. Its queries
+/// are divided among the other zones by the load of their targets.
+fn busiest_zone(remote: &[(u16, &ZoneNames)]) -> Option<Rc<str>> {
     let mut counts: HashMap<&Rc<str>, (usize, usize)> = HashMap::new();
-    for (_, zones) in away {
+    for (_, zones) in remote {
         for (rank, zone) in zones.iter().enumerate() {
             let (shards, best) = counts.entry(zone).or_default();
             *shards += 1;
--- a/crates/hawthorn-route/src/send_deadline.rs
+++ b/crates/hawthorn-route/src/send_deadline.rs
@@ -1,37 +1,37 @@
-//! When an answer has to leave, so that it is in time for its caller.
+//! The deadline for sending an answer so that its caller receives it in time.
 //!
-//! The load it is for: callers at any distance, on connections old and new,
-//! before a host that is more or less busy. The harm it prevents: whole answers
-//! that are late by a hair. A caller's clock runs from before its connection:
-//! on a new one two round trips are gone when the answer is there, on a kept one
-//! a single one, and the host's own turns come on top. All three are observed,
-//! and everything that goes by the aim goes by the one time found here.
+//! Load: callers at any distance, on new and kept connections, and hosts with little or much
+//! spare capacity. Complete answers would often be late by very little. A caller measures from
+//! before it connects: two round trips on a new connection and one on a kept connection, plus
+//! the host's own scheduling delay. All of them are measured, and every decision that depends
+//! on the target latency uses the deadline computed here.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 
-/// Limits of the time at which answers leave.
+/// Settings of the send deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Options {
-    /// The caller's distance and the host's lag are reckoned with; else only
+    /// Whether the measured round trip and scheduling delay are used; otherwise only
     /// `round_trip` is.
     pub on: bool,
-    /// The round trip to callers where the kernel tells none. A setting of callers.
+    /// Default round trip, if the kernel reports none. A setting of callers.
     #[serde(skip)]
     pub round_trip: Duration,
-    /// Whatever the distance and the lag, so much of the aim is used. An answer
-    /// that can hardly be in time is worth gathering all the same.
+    /// Minimum share of the target latency that is used, whatever the round trip and the
+    /// scheduling delay. An answer that is likely to be late is still worth gathering.
     pub least_share: f64,
-    /// The lag is reckoned with, for reading and sending, up to this share of the
-    /// aim: after a single long stop of the process, answers would else leave with
-    /// next to nothing.
+    /// Maximum share of the target latency that is reserved for the scheduling delay of reading
+    /// and sending. Without it, answers after one long pause of the process would be sent
+    /// almost empty.
     pub lag_share: f64,
-    /// Share of this host's lags that may be longer than the one reckoned with.
+    /// Share of this host's scheduling delays that may exceed the value used.
     pub late_share: f64,
-    /// Share of the aim by which an answer leaves earlier beside that, within `lag_share`. A
-    /// part that would come in it is worth its share of the answer, and being late nearly all.
+    /// Additional margin as a share of the target latency, within `lag_share`. A part that
+    /// arrives within the margin adds only its share of the answer, whereas a late answer loses
+    /// nearly all its value.
     pub margin_share: f64,
 }
 
@@ -48,103 +48,98 @@
     }
 }
 
-/// The way to a caller and back.
+/// Round-trip time to a caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallerRtt {
-    /// How long it takes.
+    /// The round-trip time.
     pub round_trip: Duration,
-    /// The mean deviation of that.
+    /// Its mean deviation.
     pub deviation: Duration,
 }
 
-/// What is known of a caller's clock when its request has come.
+/// How a request arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestArrival {
-    /// When the request came, read or not.
+    /// When the request arrived at the socket, possibly before it was read.
     pub arrived: Duration,
-    /// It is the first of its connection.
+    /// Whether it is the first request of its connection.
     pub new_connection: bool,
-    /// The way to the caller and back, if it is known.
+    /// The round-trip time to the caller, if known.
     pub rtt: Option<CallerRtt>,
 }
 
-/// Deviations of a round trip that an answer's own way may take longer: half of
-/// the four that retransmission timers reckon with for the way there and back.
-///
-/// Without them answers that were due are late as often as not. Callers 3 ms away,
-/// aims of 60 and 150 ms: 0.545 of worth with none, 0.693 with 3 ms, 0.687 with
-/// 8 ms, mean of five days with trouble and two seeds.
-const WAY_DEVIATIONS: u32 = 2;
+/// Number of mean deviations by which the answer's own latency may exceed half a round trip:
+/// half of the four that TCP retransmission timers allow for both directions. Without them,
+/// answers sent at the deadline are late half of the time.
+const RTT_DEVIATIONS: u32 = 2;
 
-/// How often the lag counts: a request is read as late as a timer fires, before its
-/// coming can be noted, and its answer is sent as late as that.
-///
-/// Counted once, answers of hosts of an eighth of a core were late by 1 to 2 ms, one
-/// in three of them: worth 0.630 with both, 0.537 with one, mean of three days with
-/// trouble and two seeds on 78 such hosts. On hosts of a quarter of a core no
-/// difference (0.744 and 0.746, five days, two seeds).
-const LAGS: u32 = 2;
-
-/// The latest time at which an answer leaves that is to be with its caller
-/// within the aim. `lag` is how late this host does what is due.
+/// Number of times that the scheduling delay is subtracted: the request is read late, before its
+/// arrival can be recorded, and its answer is sent late. Counted once, one in three answers of
+/// hosts with an eighth of a core is late by 1 to 2 ms; on a quarter of a core it makes no
+/// difference.
+const LAG_FACTOR: u32 = 2;
+
+/// The time by which an answer must be sent to reach its caller within the target latency. `lag`
+/// is the scheduling delay of this host.
 pub fn send_deadline(
-    clock: &RequestArrival,
-    aim: Duration,
+    arrival: &RequestArrival,
+    target_latency: Duration,
     lag: Duration,
     options: &Options,
 ) -> Duration {
     if !options.on {
-        return clock.arrived + aim.saturating_sub(options.round_trip);
+        return arrival.arrived + target_latency.saturating_sub(options.round_trip);
     }
-    let unknown = CallerRtt { round_trip: options.round_trip, deviation: Duration::ZERO };
-    let CallerRtt { round_trip, deviation } = clock.rtt.unwrap_or(unknown);
-    let ways = if clock.new_connection { round_trip * 2 } else { round_trip };
-    let margin = lag * LAGS + aim.mul_f64(options.margin_share);
-    let margin = margin.min(aim.mul_f64(options.lag_share));
-    let least = aim.mul_f64(options.least_share);
-    clock.arrived + aim.saturating_sub(ways + deviation * WAY_DEVIATIONS + margin).max(least)
+    let default_rtt = CallerRtt { round_trip: options.round_trip, deviation: Duration::ZERO };
+    let CallerRtt { round_trip, deviation } = arrival.rtt.unwrap_or(default_rtt);
+    let network = if arrival.new_connection { round_trip * 2 } else { round_trip };
+    let margin = lag * LAG_FACTOR + target_latency.mul_f64(options.margin_share);
+    let margin = margin.min(target_latency.mul_f64(options.lag_share));
+    let min = target_latency.mul_f64(options.least_share);
+    arrival.arrived
+        + target_latency.saturating_sub(network + deviation * RTT_DEVIATIONS + margin).max(min)
 }
 
-/// Round trips of one connection that count, the newest.
-const PATH_SAMPLES: usize = 8;
+/// Number of round-trip samples per connection, the newest.
+const RTT_SAMPLES: usize = 8;
 
-/// The round trip of one caller's connection.
+/// Measures the round-trip time of one caller's connection.
 ///
-/// The least of the last few: one that holds a caller's delayed acknowledgement
-/// is up to 40 ms too long, and the handshake's, which comes first, is not. After
-/// [`PATH_SAMPLES`] requests the caller has moved.
+/// Uses the minimum of the last samples: one that includes a delayed acknowledgement is up to
+/// 40 ms too long, and the handshake's, which comes first, is not. A caller whose latency has
+/// increased is detected after `RTT_SAMPLES` requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RttMeter {
-    samples: [Option<CallerRtt>; PATH_SAMPLES],
+    samples: [Option<CallerRtt>; RTT_SAMPLES],
     next: usize,
 }
 
 impl RttMeter {
-    /// The kernel told a round trip.
-    pub fn learn(&mut self, path: CallerRtt) {
-        self.samples[self.next] = Some(path);
-        self.next = (self.next + 1) % PATH_SAMPLES;
+    /// Records a sample reported by the kernel.
+    pub fn learn(&mut self, rtt: CallerRtt) {
+        self.samples[self.next] = Some(rtt);
+        self.next = (self.next + 1) % RTT_SAMPLES;
     }
 
-    /// The way to the caller, once a round trip was told.
+    /// The round-trip time, once there is a sample.
     pub fn rtt(&self) -> Option<CallerRtt> {
-        self.samples.iter().flatten().min_by_key(|path| path.round_trip).copied()
+        self.samples.iter().flatten().min_by_key(|rtt| rtt.round_trip).copied()
     }
 }
 
-/// Observations of the lag that count, the newest: three seconds of the ten a
-/// second that a calm host makes.
+/// Number of scheduling delay samples, the newest: about three seconds at the ten samples a
+/// second that a host without overload takes.
 const LAG_SAMPLES: usize = 32;
-/// Share of these that may be longer than the lag reckoned with. A
-/// single long turn would else have every answer of three seconds leave early.
+/// Share of the samples that may exceed the reported scheduling delay. With the maximum, a single
+/// long delay would make all answers of three seconds leave early.
 const LAG_ABOVE: f64 = 0.1;
 
-/// How late a host does what is due: timers that fire late, as the loop is at
-/// other work or the system wakes it late, and the merging and writing after it.
+/// Measures the scheduling delay of a host: timers fire late because the event loop is busy or
+/// the operating system wakes it late, and merging and writing follow.
 ///
-/// Load: requests come faster than a small host takes them, and each turn of its
-/// loop is long. Nine in ten count and not the mean, as an answer that is a little
-/// early loses next to nothing, and one that is late nearly all.
+/// Load: requests arrive faster than a small host handles them, and each iteration of its event
+/// loop is long. The 90th percentile is used instead of the mean, because an answer that is
+/// slightly early loses next to nothing, and one that is late nearly all its value.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LagMeter {
     samples: [Duration; LAG_SAMPLES],
@@ -153,7 +148,7 @@
 }
 
 impl LagMeter {
-    /// Something that was due happened so much later.
+    /// Records that something due happened late by `late`.
     pub fn learn(&mut self, late: Duration) {
         self.samples[self.next] = late;
         self.next = (self.next + 1) % LAG_SAMPLES;
@@ -161,13 +156,13 @@
         self.sorted.sort_unstable();
     }
 
-    /// The lag to be reckoned with.
+    /// The 90th percentile of the scheduling delay.
     pub fn lag(&self) -> Duration {
         self.lag_within(LAG_ABOVE)
     }
 
-    /// The lag that a share of the observations may exceed, and one in any case: a single
-    /// stop of the process is no habit.
+    /// The scheduling delay that a share of the samples may exceed, and at least one: a single
+    /// pause of the process is ignored.
     pub fn lag_within(&self, late_share: f64) -> Duration {
         let above = (LAG_SAMPLES as f64 * late_share) as usize;
         self.sorted[LAG_SAMPLES - 1 - above.clamp(1, LAG_SAMPLES - 1)]
--- a/crates/hawthorn-route/src/table.rs
+++ b/crates/hawthorn-route/src/table.rs
@@ -1,4 +1,4 @@
-//! One version of the routes, made for look-ups.
+//! One version of the routes, indexed for lookups.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -9,22 +9,22 @@
 use crate::document::RouteRule;
 use crate::document::ServiceRule;
 
-/// A version of the routes. A request keeps the one it began with.
+/// A version of the routes. A request uses the version with which it started.
 #[derive(Debug)]
 pub struct RouteTable {
     document: RouteDocument,
-    /// Of each host, its routes, the longest prefix first.
+    /// Routes by host, longest prefix first.
     by_host: HashMap<String, Vec<Rc<RouteRule>>>,
     by_name: HashMap<String, Rc<RouteRule>>,
-    /// Rank of the most urgent query over shards.
-    first_rank: Option<u32>,
+    /// Priority of the most urgent route over shards.
+    top_priority: Option<u32>,
     services: HashMap<String, ServiceRule>,
     /// Services that hold a shard of some route.
     shards: HashSet<String>,
 }
 
 impl RouteTable {
-    /// Sorts the document's routes for look-ups.
+    /// Indexes the document's routes.
     pub fn new(document: RouteDocument) -> Self {
         let mut by_host: HashMap<String, Vec<Rc<RouteRule>>> = HashMap::new();
         let mut by_name = HashMap::new();
@@ -43,9 +43,9 @@
             RouteDestination::Gather(rule) => Some((route, rule)),
             RouteDestination::Single(_) | RouteDestination::Weighted(_) => None,
         });
-        let first_rank = queries.clone().map(|(route, _)| route.priority).min();
+        let top_priority = queries.clone().map(|(route, _)| route.priority).min();
         let shards = queries.flat_map(|(_, rule)| rule.shards.iter().cloned()).collect();
-        Self { document, by_host, by_name, first_rank, services, shards }
+        Self { document, by_host, by_name, top_priority, services, shards }
     }
 
     /// Number of the version.
@@ -53,26 +53,26 @@
         self.document.version
     }
 
-    /// What operators wrote.
+    /// The configuration document.
     pub fn document(&self) -> &RouteDocument {
         &self.document
     }
 
-    /// The route of a request: of the host's routes, the longest whose prefix begins the path.
+    /// The route of a request: the one of its host with the longest matching prefix.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<RouteRule>> {
         let name = host_name(host).to_ascii_lowercase();
         let routes = self.by_host.get(&name)?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// The route that operators call so.
+    /// The route with a name.
     pub fn named(&self, name: &str) -> Option<&Rc<RouteRule>> {
         self.by_name.get(name)
     }
 
-    /// No query over shards is more urgent than the route's.
+    /// Whether no route over shards is more urgent than this one.
     pub fn is_urgent(&self, route: &RouteRule) -> bool {
-        self.first_rank.is_none_or(|first| route.priority <= first)
+        self.top_priority.is_none_or(|top| route.priority <= top)
     }
 
     /// Whether a service holds a shard of some route.
@@ -80,13 +80,13 @@
         self.shards.contains(service)
     }
 
-    /// What operators say of a service.
+    /// The configuration of a service.
     pub fn service(&self, name: &str) -> Option<&ServiceRule> {
         self.services.get(name)
     }
 }
 
-/// A host without its port: `shop.example:8080` is `shop.example`.
+/// Strips the port: `shop.example:8080` becomes `shop.example`.
 fn host_name(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
--- a/crates/hawthorn-route/src/target.rs
+++ b/crates/hawthorn-route/src/target.rs
@@ -1,4 +1,4 @@
-//! What is believed of one target: its entry, load, speed and failures.
+//! State of one target as this host knows it: registration, load, speed and failures.
 
 use std::time::Duration;
 
@@ -6,82 +6,82 @@
 use crate::document::TargetEntry;
 use crate::outcome::AttemptEnd;
 
-/// A load that a target told is worth this long; older, only own requests count.
-/// A slot of work takes 5 to 150 ms, so what was told is another load after 100 ms.
-const LOAD_LIFE: Duration = Duration::from_millis(100);
-/// A queue that a target told of is believed for so long: a full one of a dozen
-/// requests on two slots is worked off in about twice that.
-const QUEUE_LIFE: Duration = Duration::from_millis(300);
-/// Weight of the newest answer in the learnt speed: 10 answers follow a target
-/// that turned slow within about a second of its share of the traffic.
-const SPEED_WEIGHT: f64 = 0.15;
-/// First time a target is passed over after a failure; doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(150);
-/// Longest time a target is passed over before it is tried again.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
-/// A target whose connections ended may have crashed; it counts as down for so long, about
-/// as long as a restart takes, unless it answers.
-const CRASH_MEMORY: Duration = Duration::from_secs(3);
-/// Failures in a row after which the pause no longer grows.
-const MOST_DOUBLINGS: u32 = 4;
-
-/// How far the target is in its life.
+/// How long a reported load is valid; afterwards only this host's own requests count. A request
+/// takes 5 to 150 ms, so the load is a different one after 100 ms.
+const LOAD_VALIDITY: Duration = Duration::from_millis(100);
+/// How long a reported queue is assumed to last: a full queue of a dozen requests on two slots
+/// drains in about twice that time.
+const QUEUE_VALIDITY: Duration = Duration::from_millis(300);
+/// Weight of the newest sample in the moving averages of slowdown and failure rate. Ten answers
+/// reflect a target that became slow, within about a second of its share of the traffic.
+const SAMPLE_WEIGHT: f64 = 0.15;
+/// Backoff after the first failure; doubles with each further one.
+const MIN_BACKOFF: Duration = Duration::from_millis(150);
+/// Maximum backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
+/// A target whose connection closed while a request was in progress may have crashed. It counts
+/// as down for this long, about the time of a restart, unless it answers.
+const CRASH_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum number of times that the backoff doubles.
+const MAX_DOUBLINGS: u32 = 4;
+
+/// Life cycle of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetPhase {
-    /// Takes work.
+    /// Accepts requests.
     Ready,
-    /// Leaves, or its entry is gone: takes work only while nobody else does,
-    /// until the time given.
+    /// Draining, or its entry was removed: receives requests only while no other target of its
+    /// service is available.
     Leaving {
-        /// Time after which nothing is sent.
+        /// Time after which it receives no more requests.
         until: Duration,
     },
-    /// Takes nothing more.
+    /// Accepts no requests.
     Gone,
 }
 
-/// One target and what is believed of it.
+/// One target and its state.
 #[derive(Clone, Debug)]
 pub struct TargetState {
-    /// As it registered.
+    /// Registration of the target.
     pub entry: TargetEntry,
-    /// How far it is in its life.
+    /// Life cycle phase.
     pub phase: TargetPhase,
     /// Revision of the store at which the entry was written.
     pub revision: u64,
-    /// When the entry was last heard of.
+    /// When the entry was last received.
     pub last_seen: Duration,
-    /// When it stops being slow after its start.
+    /// End of the cold phase after its start.
     pub cold_until: Duration,
-    /// Requests that this host sent it while it was cold.
+    /// Requests that this host sent while the target was cold.
     pub cold_sends: SendMeter,
-    /// Starts of own requests that it has not answered.
+    /// Send times of this host's requests in flight.
     pub in_flight: Vec<Duration>,
-    told: Option<ReportedLoad>,
-    speed: f64,
+    reported: Option<ReportedLoad>,
+    slowdown: f64,
     failures: u32,
-    paused_until: Duration,
-    /// Share of recent requests that it ran and failed, or that broke.
-    failing: f64,
-    /// When a request last ended with its connection, if nothing was answered since.
+    backoff_until: Duration,
+    /// Moving average of requests that failed, or whose connection broke.
+    failure_rate: f64,
+    /// When a connection last closed during a request, unless a request was answered since.
     crashed: Option<Duration>,
 }
 
-/// A load as the target told it.
+/// Load as reported by the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests it works on.
+    /// Requests being executed.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests in the queue.
     pub waiting: u32,
-    /// Requests it can work on at a time.
+    /// Maximum number of requests executed concurrently.
     pub slots: u32,
-    /// When it was told.
+    /// When the report was received.
     pub at: Duration,
 }
 
 impl TargetState {
-    /// A target that has just been heard of.
+    /// Creates the state of a newly registered target.
     pub fn new(entry: TargetEntry, revision: u64, now: Duration) -> Self {
         let cold_until = now + entry.cold;
         Self {
@@ -92,128 +92,130 @@
             cold_until,
             cold_sends: SendMeter::default(),
             in_flight: Vec::new(),
-            told: None,
-            speed: 1.0,
+            reported: None,
+            slowdown: 1.0,
             failures: 0,
-            paused_until: Duration::ZERO,
-            failing: 0.0,
+            backoff_until: Duration::ZERO,
+            failure_rate: 0.0,
             crashed: None,
         }
     }
 
-    /// A request was sent at `now`.
+    /// Records that a request was sent at `now`.
     pub fn send(&mut self, now: Duration) {
         self.in_flight.push(now);
     }
 
-    /// The target told its load.
+    /// Records a load reported by the target.
     pub fn report_load(&mut self, load: ReportedLoad) {
-        self.told = Some(load);
+        self.reported = Some(load);
     }
 
-    /// A request sent at `sent` ended. `usual` is the usual time of such a request.
-    pub fn end(&mut self, sent: Duration, now: Duration, end: AttemptEnd, usual: Duration) {
+    /// Records the end of a request that was sent at `sent`. `typical` is the typical latency of
+    /// such a request.
+    pub fn end(&mut self, sent: Duration, now: Duration, end: AttemptEnd, typical: Duration) {
         if let Some(index) = self.in_flight.iter().position(|at| *at == sent) {
             self.in_flight.swap_remove(index);
         }
         match end {
             AttemptEnd::Answered => {
-                self.learn(now.saturating_sub(sent), usual);
+                self.record_latency(now.saturating_sub(sent), typical);
                 self.failures = 0;
                 self.crashed = None;
-                self.paused_until = Duration::ZERO;
-                self.failing *= 1.0 - SPEED_WEIGHT;
+                self.backoff_until = Duration::ZERO;
+                self.failure_rate *= 1.0 - SAMPLE_WEIGHT;
             }
             AttemptEnd::Failed | AttemptEnd::Broken => {
-                self.failing += (1.0 - self.failing) * SPEED_WEIGHT;
+                self.failure_rate += (1.0 - self.failure_rate) * SAMPLE_WEIGHT;
             }
             AttemptEnd::NotRun => {
-                self.failing += (1.0 - self.failing) * SPEED_WEIGHT / 2.0;
+                self.failure_rate += (1.0 - self.failure_rate) * SAMPLE_WEIGHT / 2.0;
             }
-            AttemptEnd::NotSent | AttemptEnd::Silent => self.pause(now),
+            AttemptEnd::NotSent | AttemptEnd::Silent => self.back_off(now),
             AttemptEnd::Misdirected => self.phase = TargetPhase::Gone,
         }
     }
 
-    /// A connection ended while a request was in progress on it.
+    /// Records that a connection closed while a request was in progress on it.
     pub fn crash(&mut self, now: Duration) {
         self.crashed = Some(now);
     }
 
-    /// It takes work now, and has not crashed recently as far as this host knows.
+    /// Whether the target is available and is not known to have crashed recently.
     pub fn is_healthy(&self, now: Duration) -> bool {
-        self.is_available(now) && self.crashed.is_none_or(|at| now >= at + CRASH_MEMORY)
+        self.is_available(now) && self.crashed.is_none_or(|at| now >= at + CRASH_TIMEOUT)
     }
 
-    /// A request was let go unanswered after some time: the target is at least as slow.
-    pub fn abandon(&mut self, sent: Duration, now: Duration, usual: Duration) {
+    /// Records that this host gave up on a request. The time waited is a lower bound of its
+    /// latency.
+    pub fn abandon(&mut self, sent: Duration, now: Duration, typical: Duration) {
         if let Some(index) = self.in_flight.iter().position(|at| *at == sent) {
             self.in_flight.swap_remove(index);
         }
         let waited = now.saturating_sub(sent);
-        if waited > usual {
-            self.learn(waited, usual);
+        if waited > typical {
+            self.record_latency(waited, typical);
         }
     }
 
-    fn learn(&mut self, took: Duration, usual: Duration) {
-        let ratio = took.as_secs_f64() / usual.as_secs_f64().max(0.001);
-        self.speed += (ratio.min(20.0) - self.speed) * SPEED_WEIGHT;
+    fn record_latency(&mut self, latency: Duration, typical: Duration) {
+        let ratio = latency.as_secs_f64() / typical.as_secs_f64().max(0.001);
+        self.slowdown += (ratio.min(20.0) - self.slowdown) * SAMPLE_WEIGHT;
     }
 
-    fn pause(&mut self, now: Duration) {
-        let doublings = self.failures.min(MOST_DOUBLINGS);
+    fn back_off(&mut self, now: Duration) {
+        let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
-        self.paused_until = now + (FIRST_PAUSE * 2_u32.pow(doublings)).min(LONGEST_PAUSE);
+        self.backoff_until = now + (MIN_BACKOFF * 2_u32.pow(doublings)).min(MAX_BACKOFF);
     }
 
-    /// It takes work now: neither leaving nor passed over after failures.
+    /// Whether the target accepts requests: it is ready and not backed off after failures.
     pub fn is_available(&self, now: Duration) -> bool {
-        self.phase == TargetPhase::Ready && now >= self.paused_until
+        self.phase == TargetPhase::Ready && now >= self.backoff_until
     }
 
-    /// Passed over until then, after failures.
-    pub fn paused_until(&self) -> Duration {
-        self.paused_until
+    /// End of the backoff after failures.
+    pub fn backoff_until(&self) -> Duration {
+        self.backoff_until
     }
 
-    /// Share of its recent answers that were failures, 0 to 1.
+    /// Share of recent requests that failed, 0 to 1.
     pub fn failure_rate(&self) -> f64 {
-        self.failing
+        self.failure_rate
     }
 
-    /// How many times longer than usual it takes.
+    /// Ratio of the target's latency to the typical latency, a moving average.
     pub fn slowdown(&self) -> f64 {
-        self.speed
+        self.slowdown
     }
 
-    /// Requests that run or wait there, as far as is known.
+    /// Number of requests that the target executes or queues, as far as known.
     pub fn load(&self, now: Duration) -> u32 {
         let own = self.in_flight.len() as u32;
-        match self.told {
-            Some(told) if now.saturating_sub(told.at) < LOAD_LIFE => {
-                own.max(told.running + told.waiting)
+        match self.reported {
+            Some(reported) if now.saturating_sub(reported.at) < LOAD_VALIDITY => {
+                own.max(reported.running + reported.waiting)
             }
             _ => own,
         }
     }
 
-    /// A request sent now would be worked on at once, as far as is known.
+    /// Whether a request sent now would be executed without queueing, as far as known.
     pub fn has_free_slot(&self, now: Duration) -> bool {
         self.load(now) < self.entry.slots.max(1)
     }
 
-    /// Requests that wait there for each of its slots, as it told not long ago.
+    /// Queued requests per slot according to a recent report, otherwise 0.
     pub fn queue(&self, now: Duration) -> f64 {
-        match self.told {
-            Some(told) if now.saturating_sub(told.at) < QUEUE_LIFE => {
-                f64::from(told.waiting) / f64::from(told.slots.max(1))
+        match self.reported {
+            Some(reported) if now.saturating_sub(reported.at) < QUEUE_VALIDITY => {
+                f64::from(reported.waiting) / f64::from(reported.slots.max(1))
             }
             _ => 0.0,
         }
     }
 
-    /// How long the oldest own request has waited.
+    /// Age of this host's oldest request in flight.
     pub fn oldest_wait(&self, now: Duration) -> Duration {
         let oldest = self.in_flight.iter().min();
         oldest.map_or(Duration::ZERO, |sent| now.saturating_sub(*sent))
