--- a/crates/hawthorn-route/benches/query.rs
+++ b/crates/hawthorn-route/benches/query.rs
@@ -1,4 +1,4 @@
-//! Processor time of the decisions that one query over shards takes.
+//! Processor time of the decisions on one query over several shards.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -26,7 +26,7 @@
 const NOW: Duration = Duration::from_secs(10);
 const ZONES: [&str; 3] = ["east", "west", "south"];
 
-/// Shards with three targets each, one in each zone.
+/// Shards with one target in each of three zones.
 fn shards(count: usize) -> (TargetRegistry, GatherRule) {
     let mut registry = TargetRegistry::new(registry::Options::default(), "east");
     for shard in 0..count {
@@ -42,17 +42,17 @@
 fn queries(criterion: &mut Criterion) {
     for count in [20, 90, 270] {
         let (registry, rule) = shards(count);
-        let usual = Duration::from_millis(15);
-        let aim = Duration::from_millis(120);
-        let view = support::view(&registry, usual, aim, NOW);
-        let mut lots = StdRng::seed_from_u64(1);
+        let service_time = Duration::from_millis(15);
+        let target_latency = Duration::from_millis(120);
+        let view = support::view(&registry, service_time, target_latency, NOW);
+        let mut rng = StdRng::seed_from_u64(1);
         let options = placement::Options::default();
         criterion.bench_function(&format!("spread of {count} shards"), |bench| {
-            bench.iter(|| black_box(scatter::plan(view, &rule, &mut lots, &options)));
+            bench.iter(|| black_box(scatter::plan(view, &rule, &mut rng, &options)));
         });
-        let spread = scatter::plan(view, &rule, &mut lots, &options);
+        let plan = scatter::plan(view, &rule, &mut rng, &options);
         criterion.bench_function(&format!("hand over of {count} shards"), |bench| {
-            bench.iter(|| black_box(spread.delegate(|_| true, &scatter::Options::default())));
+            bench.iter(|| black_box(plan.delegate(|_| true, &scatter::Options::default())));
         });
         let body: Vec<u8> = (0..160_u32).map(|byte| (byte * 37) as u8).collect();
         criterion.bench_function(&format!("merge of {count} parts"), |bench| {
@@ -64,12 +64,18 @@
         });
         let waits = vec![Duration::from_millis(3); count];
         criterion.bench_function(&format!("door for {count} shards"), |bench| {
-            let mut door = QueryAdmission::default();
+            let mut query_admission = QueryAdmission::default();
             let waits = waits.clone();
             let load = QueryLoad { waits, shards: count, max_missing: 2, ..QueryLoad::default() };
             bench.iter(|| {
-                if door.admit(NOW, true, &admission::Options::default()) {
-                    door.finish(NOW, usual, aim, Some(&load), &admission::Options::default());
+                if query_admission.admit(NOW, true, &admission::Options::default()) {
+                    query_admission.finish(
+                        NOW,
+                        service_time,
+                        target_latency,
+                        Some(&load),
+                        &admission::Options::default(),
+                    );
                 }
             });
         });
