--- a/crates/hawthorn-route/tests/goodput/fleet.rs
+++ b/crates/hawthorn-route/tests/goodput/fleet.rs
@@ -1,5 +1,5 @@
-//! A small fleet in virtual time: hosts with the decisions of this crate, targets
-//! with slots and queues, callers who come back when they are refused.
+//! Simulation of a small fleet in virtual time: hosts that use this crate's decisions, targets with
+//! slots and queues, and callers that retry refused queries.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -35,52 +35,54 @@
 
 use crate::support;
 
-/// One way between a host and a target.
-const WAY: Duration = Duration::from_micros(500);
-/// An attempt that is out when its caller has its answer may go on for so long.
-const LINGER: Duration = Duration::from_millis(300);
-/// Queries before this are the fleet's warming up and not counted.
-const WARM: Duration = Duration::from_secs(2);
-/// What operators allow: a fifth more attempts, and a few.
+/// One-way latency between a host and a target.
+const NETWORK_LATENCY: Duration = Duration::from_micros(500);
+/// How long attempts may continue after their query has ended.
+const ABANDON_DELAY: Duration = Duration::from_millis(300);
+/// Queries before this time are not counted.
+const WARM_UP: Duration = Duration::from_secs(2);
+/// The configured budget for extra attempts: a fifth of the requests, and a fixed allowance.
 const BUDGET: FleetBudget =
     FleetBudget { window: Duration::from_secs(10), share: 0.2, allowance: 56.0 };
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
-pub struct Scene {
+pub struct Scenario {
     pub hosts: usize,
-    /// Shards of each query; of the first `halved` one of the two targets is gone.
+    /// Shards of each query. The first `halved` of them have one target, the others two.
     pub shards: usize,
     pub halved: usize,
-    /// Requests that a target works on at a time, and that wait there at the most.
+    /// Maximum number of requests that a target executes concurrently.
     pub slots: u32,
+    /// Maximum number of requests in the queue of a target.
     pub queue: u32,
-    /// How long it works on one, mean.
-    pub work: Duration,
-    pub aim: Duration,
+    /// Mean service time.
+    pub service_time: Duration,
+    pub target_latency: Duration,
     pub deadline: Duration,
-    pub least_share: f64,
-    /// Share of the queries that are urgent.
+    /// Minimum share of the shards that an answer must cover.
+    pub min_share: f64,
+    /// Share of urgent queries.
     pub urgent_share: f64,
-    /// Queries a second, of all callers.
+    /// Queries per second, without retries.
     pub rate: f64,
-    /// How often a caller asks again.
-    pub again: u32,
-    pub span: Duration,
+    /// Maximum number of retries of a query.
+    pub max_retries: u32,
+    pub duration: Duration,
     pub policy: RoutePolicy,
 }
 
-/// What callers got, of queries asked for the first time.
+/// Outcomes of queries; retries are not counted separately.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    pub asked: u32,
+    pub requested: u32,
     pub in_time: u32,
     pub late: u32,
     pub refused: u32,
     pub failed: u32,
 }
 
-/// The tallies of the urgent and the other queries.
+/// The tallies of urgent and other queries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outcome {
     pub urgent: Tally,
@@ -88,41 +90,47 @@
 }
 
 impl Outcome {
-    /// Queries asked for the first time, a second.
-    pub fn offered(&self, scene: &Scene) -> f64 {
-        f64::from(self.urgent.asked + self.ordinary.asked) / (scene.span - WARM).as_secs_f64()
+    /// Queries per second, without retries.
+    pub fn offered(&self, scenario: &Scenario) -> f64 {
+        f64::from(self.urgent.requested + self.ordinary.requested)
+            / (scenario.duration - WARM_UP).as_secs_f64()
     }
 
-    /// Queries in time a second.
-    pub fn goodput(&self, scene: &Scene) -> f64 {
-        f64::from(self.urgent.in_time + self.ordinary.in_time) / (scene.span - WARM).as_secs_f64()
+    /// Queries answered in time per second.
+    pub fn goodput(&self, scenario: &Scenario) -> f64 {
+        f64::from(self.urgent.in_time + self.ordinary.in_time)
+            / (scenario.duration - WARM_UP).as_secs_f64()
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Ask { caller: usize },
+    Request { caller: usize },
     Arrive { attempt: usize },
-    Worked { attempt: usize },
+    Executed { attempt: usize },
     Reply { attempt: usize },
-    Late { query: usize, shard: usize },
-    Aim { query: usize },
-    End { query: usize },
+    AttemptLate { query: usize, shard: usize },
+    SoftDeadline { query: usize },
+    Deadline { query: usize },
 }
 
-/// A caller with one question, asked until it is answered or given up.
+/// A caller with one query, retried until it is answered or the retries are used up.
 struct Caller {
-    first: Duration,
+    /// When the caller first sent its query.
+    started: Duration,
     urgent: bool,
-    asked: u32,
+    /// Number of times that the query was sent.
+    tries: u32,
     settled: bool,
 }
 
-struct Race {
+/// The attempts at one shard of a query.
+struct ShardAttempts {
     tried: TargetKeys,
-    flying: usize,
+    in_flight: usize,
     settled: bool,
-    hedging: bool,
+    /// Whether a hedge may still be sent.
+    may_hedge: bool,
 }
 
 struct Query {
@@ -130,7 +138,7 @@
     host: usize,
     started: Duration,
     state: GatherState,
-    races: Vec<Race>,
+    shards: Vec<ShardAttempts>,
     load: QueryLoad,
     ended: Option<Duration>,
 }
@@ -142,7 +150,7 @@
     target: usize,
     sent: Duration,
     end: AttemptEnd,
-    told: Option<ReportedLoad>,
+    reported: Option<ReportedLoad>,
 }
 
 #[derive(Default)]
@@ -153,111 +161,114 @@
 
 struct Host {
     registry: TargetRegistry,
-    /// The target that each key names.
-    numbers: HashMap<TargetKey, usize>,
+    /// The index of the target of each key.
+    target_indexes: HashMap<TargetKey, usize>,
+    /// Latencies of all answered attempts.
     times: ServiceTimes,
-    works: ServiceTimes,
+    /// Latencies of attempts at targets with a free slot.
+    unqueued_times: ServiceTimes,
     budgets: Vec<RetryBudget>,
-    door: QueryAdmission,
+    admission: QueryAdmission,
 }
 
 struct Fleet<'a> {
-    scene: &'a Scene,
+    scenario: &'a Scenario,
     now: Duration,
-    heap: BinaryHeap<Reverse<(Duration, u64, Event)>>,
-    number: u64,
-    lots: StdRng,
+    events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
+    sequence: u64,
+    rng: StdRng,
     callers: Vec<Caller>,
     queries: Vec<Query>,
     attempts: Vec<Attempt>,
     targets: Vec<Target>,
     hosts: Vec<Host>,
-    names: Vec<String>,
+    shard_names: Vec<String>,
     outcome: Outcome,
 }
 
-/// Plays a scene; the same for the same seed.
-pub fn play(scene: &Scene, seed: u64) -> Outcome {
-    let mut fleet = Fleet::new(scene, seed);
-    while let Some(Reverse((at, _, event))) = fleet.heap.pop() {
+/// Runs a simulation; the outcome is determined by the scenario and the seed.
+pub fn simulate(scenario: &Scenario, seed: u64) -> Outcome {
+    let mut fleet = Fleet::new(scenario, seed);
+    while let Some(Reverse((at, _, event))) = fleet.events.pop() {
         fleet.now = at;
-        fleet.take(event);
+        fleet.handle(event);
     }
     fleet.outcome
 }
 
 impl<'a> Fleet<'a> {
-    fn new(scene: &'a Scene, seed: u64) -> Self {
-        let names: Vec<String> = (0..scene.shards).map(|shard| format!("s{shard}")).collect();
+    fn new(scenario: &'a Scenario, seed: u64) -> Self {
+        let shard_names: Vec<String> =
+            (0..scenario.shards).map(|shard| format!("s{shard}")).collect();
         let host = || {
-            let mut registry = TargetRegistry::new(scene.policy.targets, "east");
-            let mut numbers = HashMap::new();
-            for (shard, name) in names.iter().enumerate() {
-                for copy in 0..if shard < scene.halved { 1 } else { 2 } {
-                    let mut entry = support::entry(&format!("t{shard}-{copy}"), name, "east");
-                    entry.slots = scene.slots;
+            let mut registry = TargetRegistry::new(scenario.policy.targets, "east");
+            let mut target_indexes = HashMap::new();
+            for (shard, name) in shard_names.iter().enumerate() {
+                for replica in 0..if shard < scenario.halved { 1 } else { 2 } {
+                    let mut entry = support::entry(&format!("t{shard}-{replica}"), name, "east");
+                    entry.slots = scenario.slots;
                     registry.put(entry, 1, Duration::ZERO);
-                    let key = registry.of_service(name)[copy];
-                    numbers.insert(key, shard * 2 + copy);
+                    let key = registry.of_service(name)[replica];
+                    target_indexes.insert(key, shard * 2 + replica);
                 }
             }
-            let guess = (scene.aim / 8).as_micros() as u64;
+            let initial = (scenario.target_latency / 8).as_micros() as u64;
             Host {
                 registry,
-                numbers,
-                times: ServiceTimes::new(guess),
-                works: ServiceTimes::new(guess),
-                budgets: vec![RetryBudget::default(); scene.shards],
-                door: QueryAdmission::default(),
+                target_indexes,
+                times: ServiceTimes::new(initial),
+                unqueued_times: ServiceTimes::new(initial),
+                budgets: vec![RetryBudget::default(); scenario.shards],
+                admission: QueryAdmission::default(),
             }
         };
-        let hosts = (0..scene.hosts).map(|_| host()).collect();
-        let targets = (0..scene.shards * 2).map(|_| Target::default()).collect();
+        let hosts = (0..scenario.hosts).map(|_| host()).collect();
+        let targets = (0..scenario.shards * 2).map(|_| Target::default()).collect();
         let mut fleet = Self {
-            scene,
+            scenario,
             now: Duration::ZERO,
-            heap: BinaryHeap::new(),
-            number: 0,
-            lots: StdRng::seed_from_u64(seed),
+            events: BinaryHeap::new(),
+            sequence: 0,
+            rng: StdRng::seed_from_u64(seed),
             callers: Vec::new(),
             queries: Vec::new(),
             attempts: Vec::new(),
             targets,
             hosts,
-            names,
+            shard_names,
             outcome: Outcome::default(),
         };
         let mut at = Duration::ZERO;
-        while at < scene.span {
-            let gap: f64 = fleet.lots.random_range(f64::EPSILON..1.0);
-            at += Duration::from_secs_f64(-gap.ln() / scene.rate);
-            let urgent = fleet.lots.random_bool(scene.urgent_share);
-            fleet.callers.push(Caller { first: at, urgent, asked: 0, settled: false });
-            fleet.at(at, Event::Ask { caller: fleet.callers.len() - 1 });
+        while at < scenario.duration {
+            let uniform: f64 = fleet.rng.random_range(f64::EPSILON..1.0);
+            at += Duration::from_secs_f64(-uniform.ln() / scenario.rate);
+            let urgent = fleet.rng.random_bool(scenario.urgent_share);
+            fleet.callers.push(Caller { started: at, urgent, tries: 0, settled: false });
+            fleet.schedule(at, Event::Request { caller: fleet.callers.len() - 1 });
         }
         fleet
     }
 
-    fn at(&mut self, at: Duration, event: Event) {
-        self.number += 1;
-        self.heap.push(Reverse((at, self.number, event)));
+    fn schedule(&mut self, at: Duration, event: Event) {
+        self.sequence += 1;
+        self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Ask { caller } => self.ask(caller),
+            Event::Request { caller } => self.request(caller),
             Event::Arrive { attempt } => self.arrive(attempt),
-            Event::Worked { attempt } => self.worked(attempt),
+            Event::Executed { attempt } => self.executed(attempt),
             Event::Reply { attempt } => self.reply(attempt),
-            Event::Late { query, shard } => self.late(query, shard),
-            Event::Aim { query } => self.step(query),
-            Event::End { query } => self.give_up(query),
+            Event::AttemptLate { query, shard } => self.hedge(query, shard),
+            Event::SoftDeadline { query } => self.step(query),
+            Event::Deadline { query } => self.give_up(query),
         }
     }
 
     fn budget(&self) -> budget::Options {
         let running = self.now + Duration::from_secs(60);
-        let hosts = self.scene.hosts;
+        let hosts = self.scenario.hosts;
         let gathering = Some(running);
         let view = FleetView { hosts, running, gatherers: hosts, gathering, awaiting_peers: false };
         budget::host_share(&BUDGET, &view, ServiceUse::Shard)
@@ -265,139 +276,154 @@
 
     fn view<'h>(&self, host: &'h Host) -> PlacementView<'h> {
         let micros = Duration::from_micros;
-        let (usual, queued) = (micros(host.times.median()), micros(host.works.median()));
-        let (registry, aim, now) = (&host.registry, self.scene.aim, self.now);
-        PlacementView { queued_service_time: queued, ..support::view(registry, usual, aim, now) }
+        let (service_time, queued) =
+            (micros(host.times.median()), micros(host.unqueued_times.median()));
+        let (registry, target_latency, now) =
+            (&host.registry, self.scenario.target_latency, self.now);
+        PlacementView {
+            queued_service_time: queued,
+            ..support::view(registry, service_time, target_latency, now)
+        }
     }
 
-    fn ask(&mut self, caller: usize) {
-        let scene = self.scene;
-        let number = self.lots.random_range(0..scene.hosts);
+    fn request(&mut self, caller: usize) {
+        let scenario = self.scenario;
+        let host_index = self.rng.random_range(0..scenario.hosts);
         let urgent = self.callers[caller].urgent;
-        self.callers[caller].asked += 1;
-        if !self.hosts[number].door.admit(self.now, urgent, &scene.policy.admission) {
+        self.callers[caller].tries += 1;
+        if !self.hosts[host_index].admission.admit(self.now, urgent, &scenario.policy.admission) {
             return self.refuse(caller, RefusalReason::HostFull);
         }
-        let state =
-            GatherState { shards: scene.shards, parts: 0, lost: 0, min_share: scene.least_share };
-        let spare = state.max_missing();
+        let state = GatherState {
+            shards: scenario.shards,
+            parts: 0,
+            lost: 0,
+            min_share: scenario.min_share,
+        };
+        let max_missing = state.max_missing();
         let skipped = {
-            let host = &self.hosts[number];
-            let places = (0_u16..).zip(self.names.iter().map(String::as_str));
-            if host.door.is_overloaded(self.now) {
-                skip::skip(self.view(host), places, spare, scene.aim, &scene.policy.skipping)
+            let host = &self.hosts[host_index];
+            let numbered = (0_u16..).zip(self.shard_names.iter().map(String::as_str));
+            if host.admission.is_overloaded(self.now) {
+                skip::skip(
+                    self.view(host),
+                    numbered,
+                    max_missing,
+                    scenario.target_latency,
+                    &scenario.policy.skipping,
+                )
             } else {
                 Vec::new()
             }
         };
-        let race = |_| Race {
+        let shard = |_| ShardAttempts {
             tried: TargetKeys::new(),
-            flying: 0,
+            in_flight: 0,
             settled: false,
-            hedging: scene.policy.second_attempts.on,
+            may_hedge: scenario.policy.second_attempts.on,
         };
         let query = self.queries.len();
         self.queries.push(Query {
             caller,
-            host: number,
+            host: host_index,
             started: self.now,
             state: GatherState { lost: skipped.len(), ..state },
-            races: (0..scene.shards).map(race).collect(),
+            shards: (0..scenario.shards).map(shard).collect(),
             load: QueryLoad {
                 waits: Vec::new(),
                 rejected: 0,
-                shards: scene.shards,
-                max_missing: spare - skipped.len(),
+                shards: scenario.shards,
+                max_missing: max_missing - skipped.len(),
                 failed: false,
             },
             ended: None,
         });
-        for shard in 0..scene.shards {
+        for shard in 0..scenario.shards {
             if skipped.contains(&(shard as u16)) {
-                self.queries[query].races[shard].settled = true;
+                self.queries[query].shards[shard].settled = true;
                 continue;
             }
             let options = self.budget();
             let now = self.now;
-            self.hosts[number].budgets[shard].earn(now, &options);
+            self.hosts[host_index].budgets[shard].earn(now, &options);
             self.launch(query, shard, false);
-            self.await_late(query, shard);
+            self.schedule_hedge(query, shard);
         }
-        self.at(self.now + scene.aim, Event::Aim { query });
-        self.at(self.now + scene.deadline, Event::End { query });
+        self.schedule(self.now + scenario.target_latency, Event::SoftDeadline { query });
+        self.schedule(self.now + scenario.deadline, Event::Deadline { query });
     }
 
-    fn await_late(&mut self, query: usize, shard: usize) {
+    fn schedule_hedge(&mut self, query: usize, shard: usize) {
         let options = self.budget();
         let host = &self.hosts[self.queries[query].host];
         let fullness = host.budgets[shard].fullness(&options);
-        let second = &self.scene.policy.second_attempts;
-        let delay = hedge::delay(&host.times, self.scene.aim, fullness, second);
-        self.at(self.now + delay, Event::Late { query, shard });
+        let second = &self.scenario.policy.second_attempts;
+        let delay = hedge::delay(&host.times, self.scenario.target_latency, fullness, second);
+        self.schedule(self.now + delay, Event::AttemptLate { query, shard });
     }
 
     fn launch(&mut self, query: usize, shard: usize, extra: bool) -> bool {
-        let number = self.queries[query].host;
-        let (options, now, scene) = (self.budget(), self.now, self.scene);
-        let mut lots = StdRng::from_rng(&mut self.lots);
-        let host = &self.hosts[number];
-        let tried = &self.queries[query].races[shard].tried;
-        let placing = &scene.policy.placing;
+        let host_index = self.queries[query].host;
+        let (options, now, scenario) = (self.budget(), self.now, self.scenario);
+        let mut rng = StdRng::from_rng(&mut self.rng);
+        let host = &self.hosts[host_index];
+        let tried = &self.queries[query].shards[shard].tried;
+        let placing = &scenario.policy.placing;
         let key = placement::select_target(
             self.view(host),
-            &self.names[shard],
+            &self.shard_names[shard],
             tried,
-            &mut lots,
+            &mut rng,
             placing,
         );
         let Some(key) = key else { return false };
-        if extra && !self.hosts[number].budgets[shard].spend(now, &options) {
+        if extra && !self.hosts[host_index].budgets[shard].spend(now, &options) {
             return false;
         }
-        let host = &mut self.hosts[number];
-        host.registry.get_mut(key).expect("it was placed just now").send(now);
-        let target = host.numbers[&key];
-        let race = &mut self.queries[query].races[shard];
-        race.tried.push(key);
-        race.flying += 1;
+        let host = &mut self.hosts[host_index];
+        host.registry.get_mut(key).expect("the target was just selected").send(now);
+        let target = host.target_indexes[&key];
+        let attempts = &mut self.queries[query].shards[shard];
+        attempts.tried.push(key);
+        attempts.in_flight += 1;
         let (sent, end) = (now, AttemptEnd::Answered);
-        self.attempts.push(Attempt { query, shard, key, target, sent, end, told: None });
-        self.at(now + WAY, Event::Arrive { attempt: self.attempts.len() - 1 });
+        self.attempts.push(Attempt { query, shard, key, target, sent, end, reported: None });
+        self.schedule(now + NETWORK_LATENCY, Event::Arrive { attempt: self.attempts.len() - 1 });
         true
     }
 
     fn arrive(&mut self, attempt: usize) {
         let target = self.attempts[attempt].target;
-        let place = &mut self.targets[target];
-        if place.running < self.scene.slots {
-            place.running += 1;
-            self.work(attempt);
-        } else if place.waiting.len() < self.scene.queue as usize {
-            place.waiting.push_back(attempt);
+        let queue = &mut self.targets[target];
+        if queue.running < self.scenario.slots {
+            queue.running += 1;
+            self.execute(attempt);
+        } else if queue.waiting.len() < self.scenario.queue as usize {
+            queue.waiting.push_back(attempt);
         } else {
             self.answer(attempt, AttemptEnd::NotRun);
         }
     }
 
-    fn work(&mut self, attempt: usize) {
-        let factor = self.lots.random_range(0.5..1.5);
-        let tail = if self.lots.random_bool(0.01) { 5.0 } else { 1.0 };
-        let time = self.scene.work.mul_f64(factor * tail);
-        self.at(self.now + time, Event::Worked { attempt });
+    fn execute(&mut self, attempt: usize) {
+        let factor = self.rng.random_range(0.5..1.5);
+        let tail = if self.rng.random_bool(0.01) { 5.0 } else { 1.0 };
+        let duration = self.scenario.service_time.mul_f64(factor * tail);
+        self.schedule(self.now + duration, Event::Executed { attempt });
     }
 
-    fn worked(&mut self, attempt: usize) {
+    fn executed(&mut self, attempt: usize) {
         let target = self.attempts[attempt].target;
         self.targets[target].running -= 1;
         while let Some(next) = self.targets[target].waiting.pop_front() {
             let ended = self.queries[self.attempts[next].query].ended;
-            // Its connection was closed meanwhile.
-            if ended.is_some_and(|ended| self.now > ended + LINGER) {
+            // The host has closed the connection.
+            if ended.is_some_and(|ended| self.now > ended + ABANDON_DELAY) {
                 self.answer(next, AttemptEnd::Silent);
                 continue;
             }
             self.targets[target].running += 1;
-            self.work(next);
+            self.execute(next);
             break;
         }
         self.answer(attempt, AttemptEnd::Answered);
@@ -406,52 +432,52 @@
     fn answer(&mut self, attempt: usize, end: AttemptEnd) {
         let Target { running, waiting } = &self.targets[self.attempts[attempt].target];
         let (running, waiting) = (*running, waiting.len() as u32);
-        let told = ReportedLoad { running, waiting, slots: self.scene.slots, at: self.now };
+        let load = ReportedLoad { running, waiting, slots: self.scenario.slots, at: self.now };
         let record = &mut self.attempts[attempt];
         record.end = end;
-        record.told = (end != AttemptEnd::Silent).then_some(told);
-        self.at(self.now + WAY, Event::Reply { attempt });
+        record.reported = (end != AttemptEnd::Silent).then_some(load);
+        self.schedule(self.now + NETWORK_LATENCY, Event::Reply { attempt });
     }
 
     fn reply(&mut self, attempt: usize) {
-        let Attempt { query, shard, key, sent, end, told, .. } = self.attempts[attempt];
+        let Attempt { query, shard, key, sent, end, reported, .. } = self.attempts[attempt];
         let now = self.now;
         let host = &mut self.hosts[self.queries[query].host];
-        let usual = Duration::from_micros(host.times.median());
-        let state = host.registry.get_mut(key).expect("targets stay");
-        let free = state.has_free_slot(sent);
-        if let Some(told) = told {
-            state.report_load(ReportedLoad { at: now, ..told });
+        let service_time = Duration::from_micros(host.times.median());
+        let state = host.registry.get_mut(key).expect("targets are never removed");
+        let was_free = state.has_free_slot(sent);
+        if let Some(load) = reported {
+            state.report_load(ReportedLoad { at: now, ..load });
         }
         if end == AttemptEnd::Silent {
-            state.abandon(sent, now, usual);
+            state.abandon(sent, now, service_time);
         } else {
-            state.end(sent, now, end, usual);
+            state.end(sent, now, end, service_time);
         }
         if end == AttemptEnd::Answered {
             let micros = now.saturating_sub(sent).as_micros() as u64;
             host.times.record(micros);
-            if free {
-                host.works.record(micros);
+            if was_free {
+                host.unqueued_times.record(micros);
             }
         }
         let record = &mut self.queries[query];
-        let race = &mut record.races[shard];
-        race.flying -= 1;
-        if record.ended.is_some() || race.settled {
+        let attempts = &mut record.shards[shard];
+        attempts.in_flight -= 1;
+        if record.ended.is_some() || attempts.settled {
             return;
         }
         match end {
             AttemptEnd::Answered => {
-                race.settled = true;
+                attempts.settled = true;
                 record.state.parts += 1;
             }
             _ => {
                 record.load.rejected += usize::from(end == AttemptEnd::NotRun);
-                let alone = race.flying == 0;
-                if alone && !self.launch(query, shard, true) {
+                let is_last = attempts.in_flight == 0;
+                if is_last && !self.launch(query, shard, true) {
                     let record = &mut self.queries[query];
-                    record.races[shard].settled = true;
+                    record.shards[shard].settled = true;
                     record.state.lost += 1;
                 }
             }
@@ -459,26 +485,32 @@
         self.step(query);
     }
 
-    fn late(&mut self, query: usize, shard: usize) {
+    fn hedge(&mut self, query: usize, shard: usize) {
         let record = &self.queries[query];
-        let race = &record.races[shard];
-        if record.ended.is_some() || race.settled || !race.hedging {
+        let attempts = &record.shards[shard];
+        if record.ended.is_some() || attempts.settled || !attempts.may_hedge {
             return;
         }
         let host = &self.hosts[record.host];
-        let mut lots = StdRng::from_rng(&mut self.lots);
-        let placing = &self.scene.policy.placing;
-        let name = &self.names[shard];
-        let next = placement::select_target(self.view(host), name, &race.tried, &mut lots, placing);
-        let room = next.and_then(|key| host.registry.get(key));
-        let needs_room = self.scene.policy.second_attempts.needs_room;
-        if needs_room && room.is_some_and(|state| !hedge::has_capacity(state, self.now)) {
-            if self.now + hedge::CAPACITY_POLL_INTERVAL < record.started + self.scene.aim {
-                self.at(self.now + hedge::CAPACITY_POLL_INTERVAL, Event::Late { query, shard });
+        let mut rng = StdRng::from_rng(&mut self.rng);
+        let placing = &self.scenario.policy.placing;
+        let name = &self.shard_names[shard];
+        let next =
+            placement::select_target(self.view(host), name, &attempts.tried, &mut rng, placing);
+        let state = next.and_then(|key| host.registry.get(key));
+        let needs_room = self.scenario.policy.second_attempts.needs_room;
+        if needs_room && state.is_some_and(|state| !hedge::has_capacity(state, self.now)) {
+            if self.now + hedge::CAPACITY_POLL_INTERVAL
+                < record.started + self.scenario.target_latency
+            {
+                self.schedule(
+                    self.now + hedge::CAPACITY_POLL_INTERVAL,
+                    Event::AttemptLate { query, shard },
+                );
             }
             return;
         }
-        self.queries[query].races[shard].hedging = false;
+        self.queries[query].shards[shard].may_hedge = false;
         self.launch(query, shard, true);
     }
 
@@ -487,12 +519,12 @@
         if record.ended.is_some() {
             return;
         }
-        let due = record.started + self.scene.aim;
-        let aim_left = due.saturating_sub(self.now);
-        match record.state.step(aim_left, &self.scene.policy.gathering) {
+        let soft_deadline = record.started + self.scenario.target_latency;
+        let soft_time_left = soft_deadline.saturating_sub(self.now);
+        match record.state.step(soft_time_left, &self.scenario.policy.gathering) {
             GatherStep::Wait => {}
             GatherStep::Answer => {
-                let in_time = self.now <= due;
+                let in_time = self.now <= soft_deadline;
                 self.end(query);
                 let caller = self.queries[query].caller;
                 self.settle(caller, |tally| {
@@ -504,7 +536,7 @@
         }
     }
 
-    /// Too few parts can come, or the time is over.
+    /// Fails a query because too few parts can arrive, or its deadline has passed.
     fn give_up(&mut self, query: usize) {
         if self.queries[query].ended.is_some() {
             return;
@@ -512,46 +544,54 @@
         self.queries[query].load.failed = true;
         self.end(query);
         let caller = self.queries[query].caller;
-        self.come_back(caller, Duration::from_millis(20), |tally| tally.failed += 1);
+        self.retry(caller, Duration::from_millis(20), |tally| tally.failed += 1);
     }
 
-    /// The query is over; the door hears of the load that it met.
+    /// Ends a query and reports the load that it observed to admission control.
     fn end(&mut self, query: usize) {
         self.queries[query].ended = Some(self.now);
         let record = &self.queries[query];
         let host = &self.hosts[record.host];
         let view = self.view(host);
-        let asked = (0..self.scene.shards).filter(|shard| !record.races[*shard].tried.is_empty());
-        let waits = asked.filter_map(|shard| view.queue_wait(&self.names[shard])).collect();
+        let requested =
+            (0..self.scenario.shards).filter(|shard| !record.shards[*shard].tried.is_empty());
+        let waits =
+            requested.filter_map(|shard| view.queue_wait(&self.shard_names[shard])).collect();
         let load = QueryLoad { waits, ..record.load.clone() };
-        let took = self.now.saturating_sub(record.started);
-        let (number, now, scene) = (record.host, self.now, self.scene);
-        let door = &mut self.hosts[number].door;
-        door.finish(now, took, scene.aim, Some(&load), &scene.policy.admission);
+        let elapsed = self.now.saturating_sub(record.started);
+        let (host_index, now, scenario) = (record.host, self.now, self.scenario);
+        let admission = &mut self.hosts[host_index].admission;
+        admission.finish(
+            now,
+            elapsed,
+            scenario.target_latency,
+            Some(&load),
+            &scenario.policy.admission,
+        );
     }
 
     fn refuse(&mut self, caller: usize, reason: RefusalReason) {
-        let after = retry_after(reason, None, &mut self.lots);
-        self.come_back(caller, after, |tally| tally.refused += 1);
+        let delay = retry_after(reason, None, &mut self.rng);
+        self.retry(caller, delay, |tally| tally.refused += 1);
     }
 
-    /// The caller asks again after some time, or gives up.
-    fn come_back(&mut self, caller: usize, after: Duration, end: impl FnOnce(&mut Tally)) {
-        if self.callers[caller].asked <= self.scene.again {
-            self.at(self.now + after, Event::Ask { caller });
+    /// Retries the caller's query after a delay, or settles it if the retries are used up.
+    fn retry(&mut self, caller: usize, delay: Duration, end: impl FnOnce(&mut Tally)) {
+        if self.callers[caller].tries <= self.scenario.max_retries {
+            self.schedule(self.now + delay, Event::Request { caller });
         } else {
             self.settle(caller, end);
         }
     }
 
     fn settle(&mut self, caller: usize, count: impl FnOnce(&mut Tally)) {
-        let Caller { first, urgent, settled, .. } = &mut self.callers[caller];
-        assert!(!std::mem::replace(settled, true), "a caller's question ends once");
-        if *first < WARM {
+        let Caller { started, urgent, settled, .. } = &mut self.callers[caller];
+        assert!(!std::mem::replace(settled, true), "a query ends once");
+        if *started < WARM_UP {
             return;
         }
         let tally = if *urgent { &mut self.outcome.urgent } else { &mut self.outcome.ordinary };
-        tally.asked += 1;
+        tally.requested += 1;
         count(tally);
     }
 }
--- a/crates/hawthorn-route/tests/support/mod.rs
+++ b/crates/hawthorn-route/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Targets as they register, and the view of a host in the east.
+//! Shared fixtures: target entries, and the view of a host in zone `east`.
 
 use std::sync::LazyLock;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 
 static NO_REGIONS: LazyLock<RegionMap> = LazyLock::new(RegionMap::default);
 
-/// An entry of two slots that has been warm for long.
+/// The entry of a warm target with two slots.
 pub fn entry(id: &str, service: &str, zone: &str) -> TargetEntry {
     TargetEntry {
         id: id.into(),
@@ -25,11 +25,11 @@
     }
 }
 
-/// What a host in the east knows that reaches every zone; requests of one kind.
+/// The view of a host in zone `east` that reaches every zone.
 pub fn view(
     registry: &TargetRegistry,
-    usual: Duration,
-    aim: Duration,
+    service_time: Duration,
+    target_latency: Duration,
     now: Duration,
 ) -> PlacementView<'_> {
     let homes = HomeZones::new(&NO_REGIONS, None);
@@ -38,9 +38,9 @@
         zone: "east",
         unreachable_zones: &[],
         homes,
-        service_time: usual,
-        queued_service_time: usual,
-        target_latency: aim,
+        service_time,
+        queued_service_time: service_time,
+        target_latency,
         now,
     }
 }
