--- a/crates/hawthorn-route/tests/budget.rs
+++ b/crates/hawthorn-route/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Extra attempts stay within their share of requests, over all hosts together.
+//! Retry budgets: extra attempts stay within the configured limit, summed over all hosts.
 
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
 const WINDOW: Duration = Duration::from_secs(10);
 const OPTIONS: Options = Options { window: WINDOW, share: 0.16, allowance: 4.0 };
 
-/// A target pauses, every request is late, and each would be sent twice. The
-/// targets must not get twice the work because they are slow.
+/// Guards against doubling the load of slow targets: while a target is paused, every request is
+/// late and would be sent twice.
 #[test]
-fn a_service_that_is_always_late_gets_only_its_share_again() {
+fn extra_attempts_stay_within_the_share_if_every_request_is_late() {
     let mut budget = RetryBudget::default();
     let mut extras = 0;
     for step in 0..1000 {
@@ -31,9 +31,10 @@
     assert!((160..=165).contains(&extras), "{extras} extra attempts of 1000 requests");
 }
 
-/// A host was idle for a minute: what it did not spend then is not saved up.
+/// Guards against a burst of extra attempts from a host that was idle for a minute: unspent
+/// budget must not accumulate.
 #[test]
-fn what_was_not_spent_is_forgotten_with_its_window() {
+fn unspent_budget_expires_with_its_window() {
     let mut budget = RetryBudget::default();
     for step in 0..100 {
         budget.earn(Duration::from_millis(step * 10), &OPTIONS);
@@ -46,11 +47,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// Hosts come and go, each with bursts of its own; in no window do all of
-    /// them together make more extra attempts than the share of the requests
-    /// that they counted in it and a window's tenth before, and the allowances.
+    /// Hosts have independent bursts. In any window, the sum of their extra attempts is at most
+    /// the share of the requests counted in it, including the span of a tenth of a window
+    /// before it, plus their allowances.
     #[test]
-    fn all_hosts_together_stay_within_the_whole(
+    fn hosts_together_stay_within_the_fleet_budget(
         steps in proptest::collection::vec((0_usize..8, 0_u64..120, 0_u8..4), 1..600),
     ) {
         let mut budgets: Vec<RetryBudget> = (0..8).map(|_| RetryBudget::default()).collect();
@@ -75,37 +76,38 @@
     }
 }
 
-/// All of a fleet's hosts together, in steps of a tenth of a second.
+/// The hosts of a fleet, simulated in steps of a tenth of a second.
 struct BudgetFleet {
-    whole: FleetBudget,
-    /// Each with the step of its start.
+    budget: FleetBudget,
+    /// The budget of each host, and the step at which the host started.
     hosts: Vec<(RetryBudget, u32)>,
-    /// By step.
+    /// Requests of all hosts by step.
     requests: Vec<u32>,
+    /// Extra attempts of all hosts by step.
     extras: Vec<u32>,
 }
 
 const STEP: Duration = Duration::from_millis(100);
-/// Steps of a window.
+/// Number of steps in a window.
 const WINDOW_STEPS: usize = 100;
-/// Steps until a host that started knows the others: a second of heartbeats.
-const MEETING_STEPS: u32 = 10;
+/// Number of steps until a started host has discovered the others: a second of heartbeats.
+const DISCOVERY_STEPS: u32 = 10;
 
 impl BudgetFleet {
     fn new(hosts: usize, allowance: f64) -> Self {
-        let whole = FleetBudget { window: WINDOW, share: 0.2, allowance };
+        let budget = FleetBudget { window: WINDOW, share: 0.2, allowance };
         let hosts = (0..hosts).map(|_| (RetryBudget::default(), 0)).collect();
-        Self { whole, hosts, requests: Vec::new(), extras: Vec::new() }
+        Self { budget, hosts, requests: Vec::new(), extras: Vec::new() }
     }
 
-    /// Kills a share of the hosts and starts them again.
+    /// Restarts a share of the hosts.
     fn restart(&mut self, share: f64) {
         let step = self.requests.len() as u32;
         let count = (self.hosts.len() as f64 * share).ceil() as usize;
         self.hosts.iter_mut().take(count).for_each(|host| *host = (RetryBudget::default(), step));
     }
 
-    /// Each host has so many requests, and makes every extra attempt that it may.
+    /// Each host handles `requests` requests and makes every extra attempt that its budget permits.
     fn step(&mut self, requests: u32) {
         let step = self.requests.len() as u32;
         let now = STEP * step;
@@ -113,8 +115,8 @@
         let mut extras = 0;
         for (host, started) in &mut self.hosts {
             let running = step - *started;
-            // Nobody but itself, at first.
-            let hosts = if running < MEETING_STEPS { 1 } else { live };
+            // A started host knows only itself at first.
+            let hosts = if running < DISCOVERY_STEPS { 1 } else { live };
             let running = STEP * running;
             let view = FleetView {
                 hosts,
@@ -123,7 +125,7 @@
                 gathering: Some(running),
                 awaiting_peers: false,
             };
-            let options = budget::host_share(&self.whole, &view, ServiceUse::Single);
+            let options = budget::host_share(&self.budget, &view, ServiceUse::Single);
             (0..requests).for_each(|_| host.earn(now, &options));
             while host.spend(now, &options) {
                 extras += 1;
@@ -133,27 +135,28 @@
         self.extras.push(extras);
     }
 
-    /// What was spent in the window that ends now, and what operators allow in it.
+    /// The extra attempts in the window that ends now, and the configured limit for it.
     fn window(&self) -> (f64, f64) {
-        let sum = |counts: &[u32], back: usize| -> f64 {
-            let end = counts.len().saturating_sub(back);
+        let sum = |counts: &[u32], offset: usize| -> f64 {
+            let end = counts.len().saturating_sub(offset);
             counts[end.saturating_sub(WINDOW_STEPS)..end].iter().copied().map(f64::from).sum()
         };
-        let backs = [0, WINDOW_STEPS / 2, WINDOW_STEPS];
-        let requests = backs.iter().map(|back| sum(&self.requests, *back)).fold(0.0, f64::max);
-        (sum(&self.extras, 0), self.whole.share * requests + self.whole.allowance)
+        let offsets = [0, WINDOW_STEPS / 2, WINDOW_STEPS];
+        let requests =
+            offsets.iter().map(|offset| sum(&self.requests, *offset)).fold(0.0, f64::max);
+        (sum(&self.extras, 0), self.budget.share * requests + self.budget.allowance)
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, ..ProptestConfig::default() })]
 
-    /// Targets fail all the while, so that every host makes each extra attempt that
-    /// it may, through bursts and calm. Now and then some hosts or all are killed,
-    /// twice in a window too, and begin knowing nobody and nothing of what they
-    /// spent. Together they stay within what operators allow in any window.
+    /// Targets fail continuously, so that every host makes each extra attempt that its budget
+    /// permits. Some or all hosts are restarted, sometimes twice in a window, and lose their
+    /// counts and their knowledge of other hosts. In any window, the sum of their extra
+    /// attempts stays within the configured limit.
     #[test]
-    fn hosts_that_start_again_stay_within_the_whole(
+    fn restarted_hosts_stay_within_the_fleet_budget(
         hosts in 1_usize..80,
         steps in proptest::collection::vec((0_u32..4, 0_u32..60, 0.0_f64..1.0), 1..400),
         allowance in 20.0_f64..200.0,
@@ -170,52 +173,53 @@
     }
 }
 
-/// A fleet whose few hosts that gather make nearly all attempts at shards.
+/// A fleet in which a few gatherers make nearly all attempts at shards.
 struct GatherFleet {
-    whole: FleetBudget,
-    hosts: Vec<GatherHost>,
+    budget: FleetBudget,
+    hosts: Vec<SimHost>,
     gatherers: usize,
     step: u32,
     extras: Vec<u32>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct GatherHost {
+struct SimHost {
     budget: RetryBudget,
     started: u32,
-    /// The step since which it gathers.
-    gathers: Option<u32>,
-    /// Steps until it is there again.
+    /// The step since which the host has been gathering, if it is.
+    gathering_since: Option<u32>,
+    /// Number of steps until the host is up again.
     down: u32,
 }
 
 impl GatherFleet {
     fn new(hosts: usize, gatherers: usize, allowance: f64) -> Self {
-        let whole = FleetBudget { window: WINDOW, share: 0.2, allowance };
-        let hosts = vec![GatherHost::default(); hosts];
-        Self { whole, hosts, gatherers, step: 0, extras: Vec::new() }
+        let budget = FleetBudget { window: WINDOW, share: 0.2, allowance };
+        let hosts = vec![SimHost::default(); hosts];
+        Self { budget, hosts, gatherers, step: 0, extras: Vec::new() }
     }
 
-    /// Kills hosts, those that gather first, which are back after some steps.
+    /// Kills `count` hosts, gatherers first, and restarts them after `down` steps.
     fn kill(&mut self, count: usize, down: u32) {
         let step = self.step;
         let mut order: Vec<usize> = (0..self.hosts.len()).collect();
-        order.sort_by_key(|host| self.hosts[*host].gathers.is_none());
+        order.sort_by_key(|host| self.hosts[*host].gathering_since.is_none());
         for host in order.into_iter().take(count) {
-            // It gathers until it knows others.
+            // A started host gathers until it has discovered others.
             let started = step + down;
             self.hosts[host] =
-                GatherHost { started, gathers: Some(started), down, ..GatherHost::default() };
+                SimHost { started, gathering_since: Some(started), down, ..SimHost::default() };
         }
     }
 
-    /// Every host makes each extra attempt that it may, on its own view of the fleet:
-    /// one that has just started knows nobody, and in a cut each side knows its part.
-    fn step(&mut self, cut: bool) {
+    /// Every host makes each extra attempt that its budget permits, by its own view of the
+    /// fleet: a host that has just started knows only itself, and during a partition each host
+    /// knows only the hosts of its side.
+    fn step(&mut self, partitioned: bool) {
         let now = STEP * self.step;
         let step = self.step;
         let live = self.hosts.iter().filter(|host| host.down == 0).count();
-        let mut places = self.gatherers;
+        let mut vacancies = self.gatherers;
         let mut extras = 0;
         for host in &mut self.hosts {
             if host.down > 0 {
@@ -223,23 +227,23 @@
                 continue;
             }
             let running = step - host.started;
-            let chosen = places > 0;
-            places -= usize::from(chosen);
-            let alone = running < MEETING_STEPS && host.started > 0;
-            match (chosen || alone, host.gathers) {
-                (true, None) => host.gathers = Some(step),
-                (false, Some(_)) => host.gathers = None,
+            let selected = vacancies > 0;
+            vacancies -= usize::from(selected);
+            let discovering = running < DISCOVERY_STEPS && host.started > 0;
+            match (selected || discovering, host.gathering_since) {
+                (true, None) => host.gathering_since = Some(step),
+                (false, Some(_)) => host.gathering_since = None,
                 _ => {}
             }
-            let known = if cut { live / 2 } else { live };
+            let known = if partitioned { live / 2 } else { live };
             let view = FleetView {
-                hosts: if alone { 1 } else { known },
+                hosts: if discovering { 1 } else { known },
                 running: STEP * running,
-                gatherers: if alone { 1 } else { self.gatherers.min(known) },
-                gathering: host.gathers.map(|since| STEP * (step - since)),
-                awaiting_peers: alone,
+                gatherers: if discovering { 1 } else { self.gatherers.min(known) },
+                gathering: host.gathering_since.map(|since| STEP * (step - since)),
+                awaiting_peers: discovering,
             };
-            let options = budget::host_share(&self.whole, &view, ServiceUse::Shard);
+            let options = budget::host_share(&self.budget, &view, ServiceUse::Shard);
             while host.budget.spend(now, &options) {
                 extras += 1;
             }
@@ -248,7 +252,7 @@
         self.step += 1;
     }
 
-    /// What was spent in the window that ends now.
+    /// The extra attempts in the window that ends now.
     fn window(&self) -> u32 {
         self.extras.iter().rev().take(WINDOW_STEPS).sum()
     }
@@ -257,10 +261,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, ..ProptestConfig::default() })]
 
-    /// The hosts that gather change with kills, restarts and cuts, and each sees
-    /// another fleet for a while. Together they stay within what operators allow.
+    /// Gatherers change with kills, restarts and partitions, and hosts have different views of
+    /// the fleet. The sum of their extra attempts stays within the configured limit.
     #[test]
-    fn hosts_that_gather_stay_within_the_whole(
+    fn gatherers_stay_within_the_fleet_budget(
         fleet in 0_usize..3,
         steps in proptest::collection::vec((0_u32..40, 0.0_f64..1.0, 1_u32..30), 1..300),
         allowance in 20.0_f64..600.0,
@@ -278,11 +282,11 @@
     }
 }
 
-/// Fifteen hosts of 195 gathered all queries, with 1.1 extra attempts each of the 430
-/// that operators allow; the parts of the others were left unused.
+/// Guards against leaving most of a shard's allowance unused: if 15 hosts of 195 gather all
+/// queries, equal parts would give each of them 1.1 of the 430 extra attempts allowed.
 #[test]
-fn hosts_that_gather_have_most_of_a_shards_allowance() {
-    let whole = FleetBudget { window: WINDOW, share: 0.2, allowance: 430.0 };
+fn gatherers_have_most_of_a_shards_allowance() {
+    let fleet = FleetBudget { window: WINDOW, share: 0.2, allowance: 430.0 };
     let view = |gathering| FleetView {
         hosts: 195,
         running: WINDOW * 2,
@@ -290,12 +294,13 @@
         gathering,
         awaiting_peers: false,
     };
-    let part = |gathering, service| budget::host_share(&whole, &view(gathering), service).allowance;
-    let gatherer = part(Some(WINDOW), ServiceUse::Shard);
+    let allowance =
+        |gathering, service| budget::host_share(&fleet, &view(gathering), service).allowance;
+    let gatherer = allowance(Some(WINDOW), ServiceUse::Shard);
     assert!((11.0..12.0).contains(&gatherer), "{gatherer}");
-    assert_eq!(part(Some(WINDOW / 2), ServiceUse::Shard), gatherer / 2.0);
-    let (other, single) = (part(None, ServiceUse::Shard), part(None, ServiceUse::Single));
+    assert_eq!(allowance(Some(WINDOW / 2), ServiceUse::Shard), gatherer / 2.0);
+    let (other, single) = (allowance(None, ServiceUse::Shard), allowance(None, ServiceUse::Single));
     assert!(other < 0.3 && (1.0..1.2).contains(&single), "{other}, {single}");
-    let all = 15.0 * gatherer + 180.0 * other;
-    assert!(all <= 430.0 * 0.5 + 0.1, "{all}");
+    let total = 15.0 * gatherer + 180.0 * other;
+    assert!(total <= 430.0 * 0.5 + 0.1, "{total}");
 }
--- a/crates/hawthorn-route/tests/cold.rs
+++ b/crates/hawthorn-route/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Cold targets: what all hosts together send them, and when they are used at all.
+//! Cold targets: the rate limit over all hosts together, and when cold targets are selected.
 
 mod support;
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// Targets of service `s`: their zones, and whether each is cold for three seconds.
+/// Targets of service `s`, given their zones and whether each is cold for three seconds.
 fn registry(targets: &[(&str, bool)], rate: Option<f64>) -> TargetRegistry {
     let mut registry = TargetRegistry::new(registry::Options::default(), "east");
     for (number, (zone, cold)) in targets.iter().enumerate() {
@@ -49,7 +49,7 @@
     registry
 }
 
-fn place_one(registry: &TargetRegistry, now: Duration) -> Option<registry::TargetKey> {
+fn select_one(registry: &TargetRegistry, now: Duration) -> Option<registry::TargetKey> {
     let view = support::view(registry, ms(15), ms(120), now);
     let mut rng = StdRng::seed_from_u64(3);
     placement::select_target(view, "s", &[], &mut rng, &placement::Options::default())
@@ -59,81 +59,83 @@
     SlotRight { slot, until: NOW + ms(60_000) }
 }
 
-/// Guards against a cold target that receives requests which it cannot bear.
+/// Guards against overloading a cold target.
 #[test]
-fn a_cold_target_is_used_only_with_a_right_and_where_no_warm_one_is() {
+fn cold_targets_are_selected_only_with_a_slot_and_without_warm_ones() {
     struct Case {
         name: &'static str,
         targets: &'static [(&'static str, bool)],
         rate: Option<f64>,
         right: bool,
-        /// The target chosen.
-        chosen: Option<&'static str>,
+        /// The selected target.
+        selected: Option<&'static str>,
         wanted: bool,
     }
     let cases = [
         Case {
-            name: "a warm one elsewhere goes first",
+            name: "warm target in another zone preferred",
             targets: &[("east", true), ("west", false)],
             rate: Some(12.0),
             right: true,
-            chosen: Some("t1"),
+            selected: Some("t1"),
             wanted: false,
         },
         Case {
-            name: "no right yet",
+            name: "no slot held",
             targets: &[("east", true)],
             rate: Some(12.0),
             right: false,
-            chosen: None,
+            selected: None,
             wanted: true,
         },
         Case {
-            name: "with a right",
+            name: "slot held",
             targets: &[("east", true)],
             rate: Some(12.0),
             right: true,
-            chosen: Some("t0"),
+            selected: Some("t0"),
             wanted: true,
         },
         Case {
-            name: "a right holds for the own zone only",
+            name: "slot valid only for the own zone",
             targets: &[("west", true)],
             rate: Some(12.0),
             right: true,
-            chosen: None,
+            selected: None,
             wanted: false,
         },
         Case {
-            name: "no limit stated",
+            name: "no limit configured",
             targets: &[("west", true)],
             rate: None,
             right: false,
-            chosen: Some("t0"),
+            selected: Some("t0"),
             wanted: false,
         },
         Case {
-            name: "a rate of 0 is none",
+            name: "rate of 0 is no limit",
             targets: &[("west", true)],
             rate: Some(0.0),
             right: false,
-            chosen: Some("t0"),
+            selected: Some("t0"),
             wanted: false,
         },
     ];
     for case in cases {
         let mut registry = registry(case.targets, case.rate);
         registry.set_cold_right(case.right.then_some(right(0)));
-        let key = place_one(&registry, NOW);
-        let chosen = key.and_then(|key| registry.get(key)).map(|state| state.entry.id.to_string());
-        assert_eq!(chosen.as_deref(), case.chosen, "{}", case.name);
+        let key = select_one(&registry, NOW);
+        let selected =
+            key.and_then(|key| registry.get(key)).map(|state| state.entry.id.to_string());
+        assert_eq!(selected.as_deref(), case.selected, "{}", case.name);
         assert_eq!(registry.cold().is_wanted(NOW), case.wanted, "{}", case.name);
     }
 }
 
-/// Guards against a limit that is forgotten with an edit, or never known.
+/// Guards against losing a limit through an invalid configuration, and against sending without
+/// a limit to a service that the configuration does not name.
 #[test]
-fn a_rate_that_makes_no_sense_leaves_the_one_before() {
+fn an_invalid_rate_leaves_the_previous_limit_in_force() {
     struct Case {
         name: &'static str,
         rate: Option<f64>,
@@ -144,8 +146,8 @@
         Case { name: "0", rate: Some(0.0), kept: 1, limit: Some(23) },
         Case { name: "negative", rate: Some(-1.0), kept: 1, limit: Some(23) },
         Case { name: "not a number", rate: Some(f64::NAN), kept: 1, limit: Some(23) },
-        Case { name: "another", rate: Some(3.0), kept: 0, limit: Some(9) },
-        Case { name: "none", rate: None, kept: 0, limit: None },
+        Case { name: "different rate", rate: Some(3.0), kept: 0, limit: Some(9) },
+        Case { name: "removed", rate: None, kept: 0, limit: None },
     ];
     for case in cases {
         let mut registry = registry(&[("east", true)], Some(12.0));
@@ -157,15 +159,15 @@
     let mut registry = registry(&[("east", true)], Some(12.0));
     registry.limit_cold(&[service("other", Some(12.0))], &OPTIONS);
     let (_, state) = registry.iter().next().expect("one target");
-    assert_eq!(registry.cold().limit(state, NOW), Some(0), "a service that is not named");
+    assert_eq!(registry.cold().limit(state, NOW), Some(0), "service not in the configuration");
 }
 
-/// Guards against more requests in one second than this host's part.
+/// Guards against sending more requests in a second than the part of the held slot.
 #[test]
-fn a_slot_is_worth_its_part_in_any_second() {
+fn a_slot_permits_its_part_of_the_limit_in_any_second() {
     let limit = OPTIONS.limit(12.0);
     let parts: u32 = (0..SLOTS).map(|slot| cold::part(limit, slot)).sum();
-    assert_eq!((limit, parts), (23, 23), "the parts of all slots are the whole");
+    assert_eq!((limit, parts), (23, 23), "the parts of all slots add up to the limit");
     let mut registry = registry(&[("east", true)], Some(12.0));
     let mut right = right(1);
     right.until = NOW + ms(2500);
@@ -176,31 +178,31 @@
         let now = NOW + ms(step * 10);
         match registry.admit(key, now) {
             Ok(()) => sent.push(now),
-            Err(bar) => assert_eq!(bar, SendRejection::Cold),
+            Err(rejection) => assert_eq!(rejection, SendRejection::Cold),
         }
     }
-    let most = cold::part(limit, 1) as usize;
-    for (place, at) in sent.iter().enumerate() {
-        let within = sent[place..].iter().filter(|other| **other < *at + ms(1000)).count();
-        assert!(within <= most, "{within} requests in the second from {at:?}");
+    let max = cold::part(limit, 1) as usize;
+    for (index, at) in sent.iter().enumerate() {
+        let within = sent[index..].iter().filter(|other| **other < *at + ms(1000)).count();
+        assert!(within <= max, "{within} requests in the second from {at:?}");
     }
-    assert!(sent.len() > most, "the next second has its own part");
-    assert!(sent.iter().all(|at| *at < right.until), "nothing after the right's end");
+    assert!(sent.len() > max, "the part is available again in the next second");
+    assert!(sent.iter().all(|at| *at < right.until), "no request after the slot expired");
 }
 
-/// Guards against a zone's targets that are cold when its evacuation ends, and unknown to be.
+/// Guards against treating the targets of a zone as warm when its evacuation ends.
 #[test]
 fn targets_of_a_zone_are_presumed_cold_after_its_evacuation() {
     struct Case {
         name: &'static str,
-        /// The rates that successive versions state.
+        /// Rates in successive versions of the configuration.
         rates: &'static [Option<f64>],
         cold: &'static [&'static str],
     }
     let cases = [
         Case { name: "limited", rates: &[Some(12.0)], cold: &["t1"] },
         Case {
-            name: "a bad rate after a good one",
+            name: "invalid rate after a valid one",
             rates: &[Some(12.0), Some(0.0)],
             cold: &["t1"],
         },
@@ -225,14 +227,14 @@
     }
 }
 
-/// A write on its way to the store, or its answer on the way back.
-struct Flight {
+/// A write in flight to the store, or its answer.
+struct InFlightWrite {
     host: usize,
-    /// Which process of the host sent it.
+    /// The process of the host that sent the write.
     process: u32,
     write: SlotWrite,
     executes: Duration,
-    /// When the answer arrives; `None` if it is lost.
+    /// When the answer arrives; `None` if the answer is lost.
     answered: Option<Duration>,
     outcome: Option<WriteOutcome>,
 }
@@ -241,22 +243,24 @@
     claim: SlotClaim,
     process: u32,
     waiting: bool,
-    /// The process stands still until then; its clock goes on.
-    frozen_until: Duration,
-    /// Nothing reaches it from the store until then.
-    cut_until: Duration,
-    /// How old the news is that reaches it.
-    lag: Duration,
+    /// The process is suspended until then; its clock advances.
+    suspended_until: Duration,
+    /// The host is partitioned from the store until then.
+    partitioned_until: Duration,
+    /// Delay with which changes in the store are received.
+    watch_delay: Duration,
     sent: cold::SendMeter,
 }
 
-/// One zone's hosts, its slots in the store, and one cold target.
+/// Simulates the hosts of one zone, the zone's slots in the store, and one cold target.
 struct Zone {
     hosts: Vec<SimHost>,
     revision: u64,
     slots: [u64; SLOTS as usize],
+    /// Time, slot and revision of each write.
     history: Vec<(Duration, u32, u64)>,
-    flights: Vec<Flight>,
+    in_flight: Vec<InFlightWrite>,
+    /// Times at which the cold target received requests.
     arrivals: Vec<Duration>,
     rng: StdRng,
 }
@@ -272,7 +276,7 @@
             revision: 1,
             slots: [0; SLOTS as usize],
             history: Vec::new(),
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             arrivals: Vec::new(),
             rng,
         }
@@ -281,22 +285,22 @@
     fn step(&mut self, now: Duration, limit: u32, faults: bool) {
         self.execute(now);
         if faults {
-            self.break_something(now);
+            self.inject_fault(now);
         }
         for index in 0..self.hosts.len() {
             self.run(index, now, limit, faults);
         }
     }
 
-    /// Executes writes that have reached the store, in any order.
+    /// Executes the writes that have reached the store.
     fn execute(&mut self, now: Duration) {
-        for flight in &mut self.flights {
-            if flight.outcome.is_none() && flight.executes <= now {
-                let slot = &mut self.slots[flight.write.slot as usize];
-                flight.outcome = Some(if *slot == flight.write.revision {
+        for pending in &mut self.in_flight {
+            if pending.outcome.is_none() && pending.executes <= now {
+                let slot = &mut self.slots[pending.write.slot as usize];
+                pending.outcome = Some(if *slot == pending.write.revision {
                     self.revision += 1;
                     *slot = self.revision;
-                    self.history.push((now, flight.write.slot, self.revision));
+                    self.history.push((now, pending.write.slot, self.revision));
                     WriteOutcome::Done(self.revision)
                 } else {
                     WriteOutcome::NotDone
@@ -305,16 +309,16 @@
         }
     }
 
-    fn break_something(&mut self, now: Duration) {
+    fn inject_fault(&mut self, now: Duration) {
         let Self { hosts, rng, .. } = self;
         let index = rng.random_range(0..hosts.len());
         let host = &mut hosts[index];
-        let span = ms(rng.random_range(100..4000));
+        let duration = ms(rng.random_range(100..4000));
         match rng.random_range(0..40) {
             0 => *host = SimHost::start(now, host.process + 1, rng),
-            1 => host.frozen_until = now + span,
-            2 => host.cut_until = now + span,
-            // All processes are killed at the same moment.
+            1 => host.suspended_until = now + duration,
+            2 => host.partitioned_until = now + duration,
+            // All hosts are restarted at once.
             3 if rng.random_range(0..10) == 0 => {
                 for host in hosts.iter_mut() {
                     *host = SimHost::start(now, host.process + 1, rng);
@@ -325,45 +329,45 @@
     }
 
     fn run(&mut self, index: usize, now: Duration, limit: u32, faults: bool) {
-        let Self { hosts, flights, history, rng, arrivals, .. } = self;
+        let Self { hosts, in_flight, history, rng, arrivals, .. } = self;
         let host = &mut hosts[index];
-        if now < host.frozen_until {
+        if now < host.suspended_until {
             return;
         }
-        if now >= host.cut_until {
-            let heard = now.saturating_sub(host.lag);
-            let news = history.iter().rev().skip_while(|(at, ..)| *at > heard);
-            for (_, slot, revision) in news.take(SLOTS as usize * 4) {
+        if now >= host.partitioned_until {
+            let visible_until = now.saturating_sub(host.watch_delay);
+            let changes = history.iter().rev().skip_while(|(at, ..)| *at > visible_until);
+            for (_, slot, revision) in changes.take(SLOTS as usize * 4) {
                 host.claim.note(*slot, *revision, now);
             }
         }
-        flights.retain(|flight| {
-            if flight.host != index {
+        in_flight.retain(|pending| {
+            if pending.host != index {
                 return true;
             }
-            if flight.process != host.process {
-                return flight.outcome.is_none();
+            if pending.process != host.process {
+                return pending.outcome.is_none();
             }
-            let Some(at) = flight.answered else {
-                // No answer: the call is given up after its time-out.
-                if now >= flight.write.sent + ms(500) && host.waiting {
+            let Some(at) = pending.answered else {
+                // The answer was lost: the call times out.
+                if now >= pending.write.sent + ms(500) && host.waiting {
                     host.waiting = false;
-                    host.claim.record(flight.write, WriteOutcome::Unknown, now);
+                    host.claim.record(pending.write, WriteOutcome::Unknown, now);
                 }
-                return flight.outcome.is_none();
+                return pending.outcome.is_none();
             };
-            let Some(outcome) = flight.outcome.filter(|_| now >= at) else { return true };
+            let Some(outcome) = pending.outcome.filter(|_| now >= at) else { return true };
             host.waiting = false;
-            host.claim.record(flight.write, outcome, now);
+            host.claim.record(pending.write, outcome, now);
             false
         });
         if !host.waiting
             && let Some(write) = host.claim.due_write(now, rng)
         {
             host.waiting = true;
-            flights.push(flight(index, host, write, now, rng, faults));
+            in_flight.push(send_write(index, host, write, now, rng, faults));
         }
-        // The host sends as much as it may.
+        // The host sends as many requests as its slot permits.
         let right = host.claim.right().filter(|right| now < right.until);
         if let Some(right) = right {
             while host.sent.count(now) < cold::part(limit, right.slot) {
@@ -380,30 +384,30 @@
             claim: SlotClaim::new(now),
             process,
             waiting: false,
-            frozen_until: Duration::ZERO,
-            cut_until: Duration::ZERO,
-            lag: ms(rng.random_range(5..800)),
+            suspended_until: Duration::ZERO,
+            partitioned_until: Duration::ZERO,
+            watch_delay: ms(rng.random_range(5..800)),
             sent: cold::SendMeter::default(),
         }
     }
 }
 
-fn flight(
+fn send_write(
     index: usize,
     host: &SimHost,
     write: SlotWrite,
     now: Duration,
     rng: &mut impl Rng,
     faults: bool,
-) -> Flight {
+) -> InFlightWrite {
     let (mut executes, mut answered) = (now + ms(4), Some(now + ms(8)));
-    if now < host.cut_until {
+    if now < host.partitioned_until {
         (executes, answered) = (Duration::MAX, None);
     } else if faults {
         match rng.random_range(0..12) {
-            // The answer is lost, and the write may be executed seconds later.
+            // The answer is lost, and the write may be executed up to six seconds later.
             0 => (executes, answered) = (now + ms(rng.random_range(0..6000)), None),
-            // The store is slow.
+            // The store is slow to execute and to answer.
             1 | 2 => {
                 let executed = rng.random_range(4..450);
                 executes = now + ms(executed);
@@ -412,26 +416,27 @@
             _ => {}
         }
     }
-    Flight { host: index, process: host.process, write, executes, answered, outcome: None }
+    InFlightWrite { host: index, process: host.process, write, executes, answered, outcome: None }
 }
 
-/// Most arrivals within any second.
-fn busiest_second(arrivals: &[Duration]) -> usize {
+/// The maximum number of arrivals within any second.
+fn max_per_second(arrivals: &[Duration]) -> usize {
     let mut first = 0;
-    let mut most = 0;
-    for (place, at) in arrivals.iter().enumerate() {
+    let mut max = 0;
+    for (index, at) in arrivals.iter().enumerate() {
         while arrivals[first] + ms(1000) <= *at {
             first += 1;
         }
-        most = most.max(place + 1 - first);
+        max = max.max(index + 1 - first);
     }
-    most
+    max
 }
 
-/// Guards against hosts that together send a cold target more than it bears, while hosts
-/// are killed, frozen and cut off and the store is slow, loses answers or acts late.
+/// Guards against exceeding the limit of a cold target over all hosts together, while hosts are
+/// restarted, suspended and partitioned, and the store is slow, loses answers or executes writes
+/// late.
 #[test]
-fn all_hosts_together_keep_within_the_limit() {
+fn all_hosts_together_stay_within_the_limit() {
     struct Case {
         hosts: usize,
         rate: f64,
@@ -450,14 +455,14 @@
             for step in 0..2000 {
                 zone.step(NOW + STEP * step, limit, true);
             }
-            let most = busiest_second(&zone.arrivals);
+            let max = max_per_second(&zone.arrivals);
             let Case { hosts, rate, .. } = case;
-            assert!(most <= limit as usize, "{hosts} hosts, rate {rate}, seed {seed}: {most}");
+            assert!(max <= limit as usize, "{hosts} hosts, rate {rate}, seed {seed}: {max}");
         }
     }
 }
 
-/// Guards against a limit that is kept because cold targets are hardly ever used.
+/// Guards against staying within the limit only because cold targets are rarely used.
 #[test]
 fn most_of_the_limit_is_used_once_slots_are_claimed() {
     for hosts in [8, 200] {
@@ -466,10 +471,13 @@
         for step in 0..1000 {
             zone.step(NOW + STEP * step, limit, false);
         }
-        let begun = zone.arrivals.first().map(|at| *at - NOW);
-        assert!(begun.is_some_and(|after| after < ms(2500)), "{hosts} hosts begin after {begun:?}");
-        let late = zone.arrivals.iter().filter(|at| **at >= NOW + ms(7000)).count();
-        let used = late as f64 / (3.0 * f64::from(limit));
+        let first = zone.arrivals.first().map(|at| *at - NOW);
+        assert!(
+            first.is_some_and(|after| after < ms(2500)),
+            "{hosts} hosts: first after {first:?}"
+        );
+        let recent = zone.arrivals.iter().filter(|at| **at >= NOW + ms(7000)).count();
+        let used = recent as f64 / (3.0 * f64::from(limit));
         assert!(used > 0.9, "{hosts} hosts use {used:.2} of the limit");
     }
 }
--- a/crates/hawthorn-route/tests/evacuation.rs
+++ b/crates/hawthorn-route/tests/evacuation.rs
@@ -48,24 +48,24 @@
         evacuated: &'static [&'static str],
     }
     let cases = [
-        Case { name: "begun", changes: &[("east", true, 5, Begun)], evacuated: &["east"] },
+        Case { name: "started", changes: &[("east", true, 5, Begun)], evacuated: &["east"] },
         Case {
-            name: "written and taken back",
+            name: "started and ended",
             changes: &[("east", true, 5, Begun), ("east", false, 6, Ended)],
             evacuated: &[],
         },
         Case {
-            name: "taken back, then the earlier change",
+            name: "ended, then the earlier start",
             changes: &[("east", false, 6, Unchanged), ("east", true, 5, Unchanged)],
             evacuated: &[],
         },
         Case {
-            name: "two at once",
+            name: "two zones",
             changes: &[("east", true, 5, Begun), ("west", true, 6, Begun)],
             evacuated: &["east", "west"],
         },
         Case {
-            name: "twice",
+            name: "started twice",
             changes: &[("east", true, 5, Begun), ("east", true, 7, Unchanged)],
             evacuated: &["east"],
         },
@@ -91,7 +91,7 @@
     struct Case {
         name: &'static str,
         evacuated: &'static [&'static str],
-        /// Targets that successive attempts of one request reach.
+        /// Number of targets available to successive attempts of one request.
         attempts: usize,
     }
     let cases = [
@@ -100,7 +100,7 @@
         Case { name: "another zone", evacuated: &["west"], attempts: 2 },
         Case { name: "all but one", evacuated: &["east", "west"], attempts: 1 },
         Case { name: "all", evacuated: &["east", "west", "south"], attempts: 0 },
-        Case { name: "a zone that is not there", evacuated: &["north"], attempts: 3 },
+        Case { name: "an unknown zone", evacuated: &["north"], attempts: 3 },
     ];
     for case in cases {
         let mut registry = registry(1);
@@ -123,10 +123,10 @@
     }
 }
 
-/// Guards against a request that waited for a connection and is sent after its target may
-/// no longer receive any.
+/// Guards against sending a request that waited for a connection to a target that meanwhile
+/// stopped accepting requests.
 #[test]
-fn a_request_that_waited_is_not_sent_to_a_barred_target() {
+fn a_delayed_request_is_not_sent_to_an_unavailable_target() {
     struct Case {
         name: &'static str,
         change: fn(&mut TargetRegistry),
@@ -135,35 +135,35 @@
     let cases = [
         Case { name: "unchanged", change: |_| {}, permit: Ok(()) },
         Case {
-            name: "its zone is evacuated",
+            name: "zone evacuated",
             change: |registry| {
                 registry.evacuate("east", true, 9);
             },
             permit: Err(SendRejection::Evacuated),
         },
         Case {
-            name: "another zone is evacuated",
+            name: "other zone evacuated",
             change: |registry| {
                 registry.evacuate("west", true, 9);
             },
             permit: Ok(()),
         },
         Case {
-            name: "it left",
+            name: "the target left",
             change: |registry| {
                 registry.remove("t0-east", 9, NOW - Duration::from_secs(5));
             },
             permit: Err(SendRejection::Gone),
         },
         Case {
-            name: "it leaves",
+            name: "the target is leaving",
             change: |registry| {
                 registry.remove("t0-east", 9, NOW);
             },
             permit: Ok(()),
         },
         Case {
-            name: "another incarnation has its id",
+            name: "id reused by another incarnation",
             change: |registry| {
                 registry.put(support::entry("t0-east", "other", "east"), 9, NOW);
             },
@@ -181,10 +181,10 @@
     }
 }
 
-/// Guards against flooding one zone with all shards of an evacuated one while another zone
-/// has as many targets.
+/// Guards against sending the load of an evacuated zone to one zone while another zone has as
+/// many targets.
 #[test]
-fn the_queries_of_an_evacuated_zone_are_divided_among_the_others() {
+fn queries_of_an_evacuated_zone_are_divided_among_the_others() {
     let mut registry = registry(90);
     registry.evacuate("east", true, 9);
     let shards = (0..90).map(|shard| format!("s{shard}")).collect();
@@ -193,19 +193,20 @@
     let mut rng = StdRng::seed_from_u64(7);
     let mut queries = [0; 2];
     for _ in 0..200 {
-        let spread = scatter::plan(view, &rule, &mut rng, &placement::Options::default());
-        assert!(spread.can_answer(&rule));
-        assert!(spread.sources.iter().all(|way| matches!(way, ShardSource::Remote(..))));
-        let parts = spread.delegate(|_| true, &scatter::Options::default());
+        let plan = scatter::plan(view, &rule, &mut rng, &placement::Options::default());
+        assert!(plan.can_answer(&rule));
+        assert!(plan.sources.iter().all(|source| matches!(source, ShardSource::Remote(..))));
+        let parts = plan.delegate(|_| true, &scatter::Options::default());
         for part in parts {
-            let place = ["west", "south"].iter().position(|zone| **zone == *part.zone);
-            queries[place.expect("no shard is handed to the evacuated zone")] += 1;
+            let index = ["west", "south"].iter().position(|zone| **zone == *part.zone);
+            queries[index.expect("no shard is delegated to the evacuated zone")] += 1;
         }
     }
     assert!(queries.iter().all(|count| *count >= 60), "{queries:?} queries by zone");
 }
 
-/// Guards against queries that work for nothing, or wait, while every zone is evacuated.
+/// Guards against requests to targets for queries that cannot be answered, and against callers
+/// that wait for them, while every zone is evacuated.
 #[test]
 fn a_query_cannot_be_answered_while_all_zones_are_evacuated() {
     let mut registry = registry(20);
@@ -216,6 +217,6 @@
     let rule = GatherRule { shards, top: 5, min_share: 0.5 };
     let view = support::view(&registry, Duration::from_millis(15), Duration::from_millis(120), NOW);
     let mut rng = StdRng::seed_from_u64(7);
-    let spread = scatter::plan(view, &rule, &mut rng, &placement::Options::default());
-    assert!(!spread.can_answer(&rule));
+    let plan = scatter::plan(view, &rule, &mut rng, &placement::Options::default());
+    assert!(!plan.can_answer(&rule));
 }
--- a/crates/hawthorn-route/tests/gather.rs
+++ b/crates/hawthorn-route/tests/gather.rs
@@ -1,4 +1,4 @@
-//! When a query over many shards is answered, and what its answer holds.
+//! When a query over several shards is answered, and which records its answer contains.
 
 use std::time::Duration;
 
@@ -8,59 +8,77 @@
 use hawthorn_route::merge::TopRecords;
 
 #[test]
-fn a_query_waits_for_all_until_its_aim_and_then_for_enough() {
+fn a_query_waits_for_all_parts_until_its_soft_deadline_and_then_for_enough() {
     struct Case {
         name: &'static str,
         parts: usize,
         lost: usize,
-        aim_left_ms: u64,
+        soft_time_left_ms: u64,
         step: GatherStep,
     }
     let cases = [
-        Case { name: "nothing yet", parts: 0, lost: 0, aim_left_ms: 50, step: GatherStep::Wait },
         Case {
-            name: "enough in time",
+            name: "no part yet",
+            parts: 0,
+            lost: 0,
+            soft_time_left_ms: 50,
+            step: GatherStep::Wait,
+        },
+        Case {
+            name: "sufficient before the deadline",
             parts: 19,
             lost: 0,
-            aim_left_ms: 50,
+            soft_time_left_ms: 50,
             step: GatherStep::Wait,
         },
-        Case { name: "all", parts: 20, lost: 0, aim_left_ms: 50, step: GatherStep::Answer },
         Case {
-            name: "all that can come",
+            name: "complete",
+            parts: 20,
+            lost: 0,
+            soft_time_left_ms: 50,
+            step: GatherStep::Answer,
+        },
+        Case {
+            name: "all available parts",
             parts: 18,
             lost: 2,
-            aim_left_ms: 50,
+            soft_time_left_ms: 50,
             step: GatherStep::Answer,
         },
         Case {
-            name: "enough at the aim",
+            name: "sufficient at the deadline",
             parts: 18,
             lost: 0,
-            aim_left_ms: 0,
+            soft_time_left_ms: 0,
             step: GatherStep::Answer,
         },
         Case {
-            name: "too few at the aim",
+            name: "insufficient at the deadline",
             parts: 17,
             lost: 0,
-            aim_left_ms: 0,
+            soft_time_left_ms: 0,
             step: GatherStep::Wait,
         },
         Case {
-            name: "too few can come",
+            name: "too many lost",
             parts: 10,
             lost: 3,
-            aim_left_ms: 50,
+            soft_time_left_ms: 50,
+            step: GatherStep::Fail,
+        },
+        Case {
+            name: "all lost",
+            parts: 0,
+            lost: 20,
+            soft_time_left_ms: 50,
             step: GatherStep::Fail,
         },
-        Case { name: "none came", parts: 0, lost: 20, aim_left_ms: 50, step: GatherStep::Fail },
     ];
     for case in cases {
         let Case { parts, lost, .. } = case;
         let state = GatherState { shards: 20, parts, lost, min_share: 0.89 };
         assert_eq!(
-            state.step(Duration::from_millis(case.aim_left_ms), &Options::default()),
+            state.step(Duration::from_millis(case.soft_time_left_ms), &Options::default()),
             case.step,
             "{}",
             case.name
@@ -69,7 +87,7 @@
 }
 
 #[test]
-fn an_answer_holds_the_greatest_records_falling() {
+fn an_answer_contains_the_greatest_records_in_descending_order() {
     let record = |byte: u8| [byte; 16];
     let mut top = TopRecords::new(3);
     top.add(&[record(1), record(9)].concat());
--- a/crates/hawthorn-route/tests/policy.rs
+++ b/crates/hawthorn-route/tests/policy.rs
@@ -1,69 +1,78 @@
-//! Policies that operators set, right and wrong.
+//! Parsing and validation of the policy that operators configure.
 
 use hawthorn_route::policy::RoutePolicy;
 
-fn read(text: &str) -> Result<RoutePolicy, String> {
+fn parse(text: &str) -> Result<RoutePolicy, String> {
     let policy: RoutePolicy = toml::from_str(text).map_err(|error| error.to_string())?;
     policy.check().map_err(|error| error.to_string())?;
     Ok(policy)
 }
 
-/// An operator mistypes a key or a value. Taken as the default without a word, the
-/// limit that was meant would hold nothing back when the load comes.
+/// Guards against silently using the default for a mistyped key or value: the intended limit
+/// would not apply under load.
 #[test]
-fn a_wrong_policy_is_refused_by_name() {
+fn an_invalid_policy_is_rejected_with_its_key() {
     struct Case {
         text: &'static str,
-        /// What the refusal says.
-        says: &'static [&'static str],
+        /// Texts that the error message contains.
+        messages: &'static [&'static str],
     }
     let cases = [
-        Case { text: "[skiping]\non = false", says: &["unknown field `skiping`", "skipping"] },
-        Case { text: "[skipping]\noff = true", says: &["unknown field `off`", "time_share"] },
-        Case { text: "[skipping]\non = 0", says: &["on = 0", "expected a boolean"] },
+        Case { text: "[skiping]\non = false", messages: &["unknown field `skiping`", "skipping"] },
+        Case { text: "[skipping]\noff = true", messages: &["unknown field `off`", "time_share"] },
+        Case { text: "[skipping]\non = 0", messages: &["on = 0", "expected a boolean"] },
         Case {
             text: "[placing]\nzone_cost_ms = \"30ms\"",
-            says: &["zone_cost_ms = ", "expected u64"],
+            messages: &["zone_cost_ms = ", "expected u64"],
+        },
+        Case {
+            text: "[placing]\nzone_cost_ms = -1",
+            messages: &["zone_cost_ms = -1", "expected u64"],
+        },
+        Case {
+            text: "[placing]\nzone_cost_ms = 70000",
+            messages: &["placing.zone_cost_ms", "60000"],
         },
-        Case { text: "[placing]\nzone_cost_ms = -1", says: &["zone_cost_ms = -1", "expected u64"] },
-        Case { text: "[placing]\nzone_cost_ms = 70000", says: &["placing.zone_cost_ms", "60000"] },
         Case {
             text: "[departure]\nlag_share = 1.2",
-            says: &["departure.lag_share: 1.2 is not within 0 to 1"],
+            messages: &["departure.lag_share: 1.2 is not within 0 to 1"],
+        },
+        Case { text: "[admission]\nfair_share = nan", messages: &["admission.fair_share: NaN"] },
+        Case {
+            text: "[admission]\nleast_window = 0",
+            messages: &["admission.least_window", "1 to"],
         },
-        Case { text: "[admission]\nfair_share = nan", says: &["admission.fair_share: NaN"] },
-        Case { text: "[admission]\nleast_window = 0", says: &["admission.least_window", "1 to"] },
         Case {
             text: "[admission]\nfirst_window = 4\nleast_window = 5",
-            says: &["admission.least_window: above policy.admission.first_window"],
+            messages: &["admission.least_window: above policy.admission.first_window"],
         },
         Case {
             text: "[second_attempts]\neager_factor = 3.0",
-            says: &["second_attempts.eager_factor: above"],
+            messages: &["second_attempts.eager_factor: above"],
         },
-        Case { text: "[gatherers]\nleast_shards = 0", says: &["gatherers.least_shards"] },
-        Case { text: "[answers]\nheld_kb = 0", says: &["answers.held_kb: 0 is not within 1"] },
-        Case { text: "gathering = 1", says: &["gathering = 1", "invalid type"] },
+        Case { text: "[gatherers]\nleast_shards = 0", messages: &["gatherers.least_shards"] },
+        Case { text: "[answers]\nheld_kb = 0", messages: &["answers.held_kb: 0 is not within 1"] },
+        Case { text: "gathering = 1", messages: &["gathering = 1", "invalid type"] },
     ];
     for case in cases {
-        let error = read(case.text).expect_err(case.text);
-        for part in case.says {
-            assert!(error.contains(part), "{}: no {part} in {error}", case.text);
+        let error = parse(case.text).expect_err(case.text);
+        for message in case.messages {
+            assert!(error.contains(message), "{}: no {message} in {error}", case.text);
         }
     }
 }
 
 #[test]
-fn a_policy_without_a_word_is_the_default() {
-    let policy = read("").expect("nothing is wrong with it");
+fn an_empty_policy_is_the_default() {
+    let policy = parse("").expect("an empty policy is valid");
     assert_eq!(policy, RoutePolicy::default());
     assert_eq!(policy.summary(), "default");
-    let changed = read("[skipping]\non = false\n[placing]\nzone_cost_ms = 5").expect("it is right");
+    let changed =
+        parse("[skipping]\non = false\n[placing]\nzone_cost_ms = 5").expect("the policy is valid");
     assert_eq!(changed.summary(), "placing.zone_cost_ms=5,skipping.on=0");
 }
 
-/// Operators look up what they may set. The page has every key with its default and
-/// its range, and no other.
+/// The operators' page lists exactly the existing keys, with their defaults and ranges.
 #[test]
 fn the_page_lists_every_key() {
     let page = include_str!("../../../docs/operators/policy.md");
--- a/crates/hawthorn-route/tests/quarantine.rs
+++ b/crates/hawthorn-route/tests/quarantine.rs
@@ -57,12 +57,12 @@
     fn crash_sequentially(
         &mut self,
         identity: &RequestIdentity,
-        most: usize,
+        max: usize,
         now: Duration,
     ) -> usize {
         self.exposure = Exposure::default();
         let mut sent = 0;
-        while sent < most && self.permit(identity, AttemptKind::First, now) == Permit::Send {
+        while sent < max && self.permit(identity, AttemptKind::First, now) == Permit::Send {
             self.exposure.send(false);
             self.end(identity, AttemptOutcome::Crashed, now);
             sent += 1;
@@ -75,7 +75,7 @@
     }
 }
 
-/// Guards against second attempts at all shards before any shard has answered.
+/// Guards against extra attempts at all shards before any shard has answered.
 #[test]
 fn a_fan_out_makes_few_extra_attempts_before_its_first_part() {
     let mut host = Host::default();
@@ -104,7 +104,7 @@
         let expected = if crashed < 20 { Permit::Hold } else { Permit::Send };
         assert_eq!(host.permit(&request, AttemptKind::Extra, at(5)), expected, "{crashed}");
     }
-    // The whole fan-out is one strike, and each attempt after it is another.
+    // The fan-out is one strike, and each attempt after it is another.
     assert_eq!(host.verdict(&request, at(5)), Verdict::Trial);
     for _ in 0..2 {
         assert_eq!(host.permit(&request, AttemptKind::Extra, at(6)), Permit::Send);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_request_is_tried_again_when_its_term_is_over_and_refused_for_longer() {
+fn a_request_is_tried_after_its_term_and_then_refused_for_longer() {
     let mut host = Host::default();
     let request = identity("/a", 1);
     let term = Options::default().term;
@@ -169,7 +169,7 @@
 
 /// Guards against a caller that avoids refusal by varying the content of its requests.
 #[test]
-fn a_caller_whose_requests_differ_is_refused_and_others_are_not() {
+fn a_caller_with_varying_requests_is_refused_and_others_are_not() {
     let mut host = Host::default();
     let mut crashed = 0;
     for number in 0..100 {
@@ -261,7 +261,7 @@
         host.exposure.send(false);
         host.end(&request, AttemptOutcome::Crashed, now);
         if number.is_multiple_of(20) {
-            // Each of another route, so that no caller is refused before.
+            // Each on a different route, so that the caller is not refused earlier.
             let request =
                 RequestIdentity::new(request.fingerprint, caller(250), &number.to_string());
             host.crash_sequentially(&request, 10, now);
--- a/crates/hawthorn-route/tests/quarantine_fleet.rs
+++ b/crates/hawthorn-route/tests/quarantine_fleet.rs
@@ -84,7 +84,7 @@
     shards: usize,
     /// Targets of each shard.
     replicas: usize,
-    /// Whether requests leave a shard's last target alone.
+    /// Whether suspected requests are not sent to the last target of a shard.
     spares_last: bool,
     zones: usize,
     hosts: Vec<QuarantineTable>,
@@ -102,8 +102,8 @@
     /// A zone that is partitioned from all others.
     partitioned: Option<usize>,
     messages: usize,
-    /// The greatest number of shards without a target at any moment.
-    most_bare: usize,
+    /// The maximum number of shards without a target at any time.
+    max_unavailable: usize,
 }
 
 fn crashing(from: u8) -> RequestIdentity {
@@ -134,7 +134,7 @@
             sent: Vec::new(),
             partitioned: None,
             messages: 0,
-            most_bare: 0,
+            max_unavailable: 0,
         };
         for host in 0..hosts {
             let first = fleet.rng.random_range(0..HEARTBEAT_PERIOD);
@@ -158,13 +158,13 @@
 
     fn send(&mut self, from: usize, to: usize, event: Event) {
         self.messages += 1;
-        let across = self.zone(from) != self.zone(to);
+        let cross_zone = self.zone(from) != self.zone(to);
         let partitioned = |zone| self.partitioned == Some(zone);
-        if across && (partitioned(self.zone(from)) || partitioned(self.zone(to))) {
+        if cross_zone && (partitioned(self.zone(from)) || partitioned(self.zone(to))) {
             return;
         }
         if !self.rng.random_bool(LOSS) {
-            self.push(if across { OTHER_ZONE_DELAY } else { SAME_ZONE_DELAY }, event);
+            self.push(if cross_zone { OTHER_ZONE_DELAY } else { SAME_ZONE_DELAY }, event);
         }
     }
 
@@ -196,32 +196,32 @@
         }
     }
 
-    /// Splits a query between hosts of several zones.
+    /// Splits a query among hosts of several zones.
     fn begin(&mut self, host: usize, number: usize) {
         let verdict = self.hosts[host].verdict(&crashing(1), self.clock(), &Options::default());
         let shards: Vec<usize> = (0..self.shards).collect();
-        let each = match verdict {
+        let chunk_size = match verdict {
             Verdict::Refuse(_) => return,
             Verdict::Trial => self.shards,
             Verdict::Send => self.shards.div_ceil(PARTS),
         };
-        for (place, chunk) in shards.chunks(each).enumerate() {
+        for (index, chunk) in shards.chunks(chunk_size).enumerate() {
             // Hosts in a partitioned zone receive no parts from peers.
-            let peer = (host + place) % self.hosts.len();
+            let peer = (host + index) % self.hosts.len();
             let host = if self.partitioned == Some(self.zone(peer)) { host } else { peer };
             let attempts = vec![0; chunk.len()];
             let exposure = Exposure::default();
             self.parts.push(Part { host, number, shards: chunk.to_vec(), attempts, exposure });
             let part = self.parts.len() - 1;
-            self.push(if place == 0 { 0 } else { OTHER_ZONE_DELAY }, Event::Poll { part });
+            self.push(if index == 0 { 0 } else { OTHER_ZONE_DELAY }, Event::Poll { part });
         }
     }
 
     /// Sends all attempts that are permitted now.
-    fn poll(&mut self, place: usize) {
+    fn poll(&mut self, part_id: usize) {
         let now = self.clock();
-        for index in 0..self.parts[place].shards.len() {
-            let part = &mut self.parts[place];
+        for index in 0..self.parts[part_id].shards.len() {
+            let part = &mut self.parts[part_id];
             let (shard, tries) = (part.shards[index], part.attempts[index]);
             let replicas = shard * self.replicas..(shard + 1) * self.replicas;
             let mut up = replicas.filter(|target| self.up_at[*target] <= self.now);
@@ -246,27 +246,27 @@
             part.exposure.send(tries > 0);
             part.attempts[index] += 1;
             self.sent.push((self.now, part.number));
-            self.push(CRASH_DELAY, Event::Crash { part: place, target });
+            self.push(CRASH_DELAY, Event::Crash { part: part_id, target });
         }
     }
 
-    fn crash(&mut self, place: usize, target: usize) {
+    fn crash(&mut self, part_id: usize, target: usize) {
         let outcome = if self.up_at[target] <= self.now {
             self.up_at[target] = self.now + DOWNTIME;
-            self.crashes.push((self.now, self.parts[place].number));
+            self.crashes.push((self.now, self.parts[part_id].number));
             AttemptOutcome::Crashed
         } else {
             AttemptOutcome::Other
         };
-        let part = &mut self.parts[place];
+        let part = &mut self.parts[part_id];
         let (host, struck) = (part.host, part.exposure.end(outcome));
-        self.most_bare = self.most_bare.max(self.bare());
+        self.max_unavailable = self.max_unavailable.max(self.unavailable());
         if struck {
             let now = self.clock();
             self.hosts[host].strike(&crashing(1), now, &Options::default());
             self.schedule_gossip(host);
         }
-        self.push(0, Event::Poll { part: place });
+        self.push(0, Event::Poll { part: part_id });
     }
 
     fn schedule_gossip(&mut self, host: usize) {
@@ -321,8 +321,9 @@
     /// Exchanges digests with a host of the own zone, and sometimes with any other host.
     fn heartbeat(&mut self, host: usize) {
         let own = self.hosts.len() / self.zones;
-        let near = (host + self.zones * self.rng.random_range(1..own.max(2))) % self.hosts.len();
-        let mut peers = vec![near];
+        let neighbor =
+            (host + self.zones * self.rng.random_range(1..own.max(2))) % self.hosts.len();
+        let mut peers = vec![neighbor];
         // Pings to other zones are shared between the hosts of a zone.
         if self.rng.random_bool(0.8 / own as f64) {
             peers.push(self.rng.random_range(0..self.hosts.len()));
@@ -336,8 +337,8 @@
         self.push(HEARTBEAT_PERIOD, Event::Heartbeat { host });
     }
 
-    /// The number of shards without a target now.
-    fn bare(&self) -> usize {
+    /// The number of shards that have no target now.
+    fn unavailable(&self) -> usize {
         let down = |targets: &&[u64]| targets.iter().all(|up_at| *up_at > self.now);
         self.up_at.chunks(self.replicas).filter(down).count()
     }
@@ -380,9 +381,12 @@
             assert!(early * 10 >= hosts * 9, "{hosts} hosts, seed {seed}: {early} at once");
             fleet.run_until(45_000_000);
             let crashes = fleet.crashes.len();
-            // The first attempts, and one for each of two trials.
+            // The first attempts at all shards, and one for each of two trials.
             assert!(crashes <= SHARDS + 2, "{hosts} hosts, seed {seed}: {crashes} crashes");
-            assert_eq!(fleet.most_bare, 0, "{hosts} hosts, seed {seed}: shards without a target");
+            assert_eq!(
+                fleet.max_unavailable, 0,
+                "{hosts} hosts, seed {seed}: shards without a target"
+            );
             let later = fleet.sent.iter().filter(|(_, number)| *number > 2).count();
             assert_eq!(later, 0, "{hosts} hosts, seed {seed}: attempts of later tries");
         }
@@ -457,16 +461,16 @@
     }
 }
 
-/// Guards against a request that crashes the last targets of shards, so that unrelated
-/// queries fail: eight tries of one content, at any host, seconds apart and at once.
+/// Guards against a request that crashes the last targets of shards, so that unrelated queries
+/// fail. The same content is tried eight times at random hosts, a second apart or concurrently.
 #[test]
-fn a_request_that_crashes_targets_leaves_each_shard_one() {
+fn a_request_that_crashes_targets_leaves_one_target_per_shard() {
     struct Case {
         hosts: usize,
         zones: usize,
         shards: usize,
         replicas: usize,
-        /// Microseconds between two tries.
+        /// Time between two tries, in microseconds.
         gap: u64,
     }
     let cases = [
@@ -478,8 +482,8 @@
         Case { hosts: 200, zones: 5, shards: 90, replicas: 3, gap: 90_000 },
     ];
     for Case { hosts, zones, shards, replicas, gap } in cases {
-        let mut bare = [0; 2];
-        for (spares_last, bare) in [false, true].into_iter().zip(&mut bare) {
+        let mut unavailable = [0; 2];
+        for (spares_last, max) in [false, true].into_iter().zip(&mut unavailable) {
             for seed in 0..5 {
                 let mut fleet = Fleet::with_shards(hosts, zones, seed, shards, replicas);
                 fleet.spares_last = spares_last;
@@ -489,10 +493,15 @@
                     fleet.push(1_000_000 + number * gap, event);
                 }
                 fleet.run_until(15_000_000);
-                *bare = (*bare).max(fleet.most_bare);
+                *max = (*max).max(fleet.max_unavailable);
             }
         }
-        println!("{hosts} hosts, {shards} x {replicas}, each {gap} us: {bare:?} shards bare");
-        assert_eq!(bare[1], 0, "{hosts} hosts, {shards} shards of {replicas}: {bare:?}");
+        println!(
+            "{hosts} hosts, {shards} x {replicas}, every {gap} us: {unavailable:?} unavailable"
+        );
+        assert_eq!(
+            unavailable[1], 0,
+            "{hosts} hosts, {shards} shards of {replicas}: {unavailable:?}"
+        );
     }
 }
--- a/crates/hawthorn-route/tests/retry_after.rs
+++ b/crates/hawthorn-route/tests/retry_after.rs
@@ -1,4 +1,4 @@
-//! When refused callers are told to come back.
+//! Delays after which refused callers should retry.
 
 use std::time::Duration;
 
@@ -12,70 +12,70 @@
     Duration::from_millis(millis)
 }
 
-/// A zone is cut off. Its hosts say at once that they take no callers, but the
-/// balancer believes it two seconds later; callers who come back before that come
-/// to the same zone, and have nothing left to try.
+/// Guards against retries in a partitioned zone: its hosts fail their readiness probes at once, but
+/// the load balancer acts on it two seconds later. A caller that retries earlier reaches the same
+/// zone, is refused again and has no attempt left.
 #[test]
-fn callers_of_a_zone_that_is_cut_off_come_back_when_others_serve_them() {
+fn callers_of_a_partitioned_zone_retry_after_the_balancer_has_reacted() {
     struct Case {
         name: &'static str,
         reason: RefusalReason,
-        /// How long the host has been telling the balancer, ms.
-        aside: Option<u64>,
-        /// Bounds of what callers are told, ms.
-        told: (u64, u64),
+        /// How long the host has been failing its readiness probe, ms.
+        not_ready_for: Option<u64>,
+        /// Bounds of the delay, ms.
+        bounds: (u64, u64),
     }
     let cases = [
         Case {
-            name: "just cut off",
+            name: "partitioned just now",
             reason: RefusalReason::NoTarget,
-            aside: Some(0),
-            told: (2400, 2550),
+            not_ready_for: Some(0),
+            bounds: (2400, 2550),
         },
         Case {
-            name: "a second ago",
+            name: "partitioned a second ago",
             reason: RefusalReason::Unreachable,
-            aside: Some(1000),
-            told: (1400, 1550),
+            not_ready_for: Some(1000),
+            bounds: (1400, 1550),
         },
         Case {
-            name: "long ago",
+            name: "partitioned long ago",
             reason: RefusalReason::NoTarget,
-            aside: Some(9000),
-            told: (200, 350),
+            not_ready_for: Some(9000),
+            bounds: (200, 350),
         },
         Case {
-            name: "not cut off",
+            name: "not partitioned",
             reason: RefusalReason::NoTarget,
-            aside: None,
-            told: (200, 350),
+            not_ready_for: None,
+            bounds: (200, 350),
         },
         Case {
-            name: "full, as ever",
+            name: "host full",
             reason: RefusalReason::HostFull,
-            aside: Some(0),
-            told: (50, 250),
+            not_ready_for: Some(0),
+            bounds: (50, 250),
         },
     ];
-    let mut lots = StdRng::seed_from_u64(7);
+    let mut rng = StdRng::seed_from_u64(7);
     for case in cases {
         for _ in 0..100 {
-            let told = retry_after(case.reason, case.aside.map(ms), &mut lots);
-            let (least, most) = case.told;
-            assert!((ms(least)..ms(most)).contains(&told), "{}: {told:?}", case.name);
+            let delay = retry_after(case.reason, case.not_ready_for.map(ms), &mut rng);
+            let (min, max) = case.bounds;
+            assert!((ms(min)..ms(max)).contains(&delay), "{}: {delay:?}", case.name);
         }
     }
 }
 
-/// Callers refused together return apart: what they are told differs by as much as
-/// the work of several queries.
+/// Guards against simultaneous retries of callers that were refused together: their delays differ
+/// by several service times.
 #[test]
-fn callers_refused_together_return_apart() {
-    let mut lots = StdRng::seed_from_u64(7);
+fn callers_refused_together_retry_at_different_times() {
+    let mut rng = StdRng::seed_from_u64(7);
     for reason in RefusalReason::iter() {
-        let told: Vec<Duration> = (0..100).map(|_| retry_after(reason, None, &mut lots)).collect();
-        let (least, most) = (told.iter().min(), told.iter().max());
-        let apart = most.zip(least).map_or(Duration::ZERO, |(most, least)| *most - *least);
-        assert!(apart >= ms(30), "{reason}: {apart:?}");
+        let delays: Vec<Duration> = (0..100).map(|_| retry_after(reason, None, &mut rng)).collect();
+        let (min, max) = (delays.iter().min(), delays.iter().max());
+        let range = max.zip(min).map_or(Duration::ZERO, |(max, min)| *max - *min);
+        assert!(range >= ms(30), "{reason}: {range:?}");
     }
 }
--- a/crates/hawthorn-route/tests/rollout.rs
+++ b/crates/hawthorn-route/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Versions of the routes that spread over a zone while its hosts answer queries.
+//! Rollout of route versions over a zone while its hosts answer queries.
 
 use std::time::Duration;
 
@@ -13,12 +13,12 @@
     Duration::from_millis(millis)
 }
 
-/// A host of the zone: the versions in force here, the newest last, and those held.
+/// A host of the zone, with its versions in force, newest last, and its pending versions.
 #[derive(Default)]
 struct ZoneHost {
     gathers: bool,
     in_force: Vec<u64>,
-    held: PendingVersions<u64>,
+    pending: PendingVersions<u64>,
     /// When each version arrives.
     arrivals: Vec<(Duration, u64)>,
 }
@@ -27,17 +27,21 @@
     fn run(&mut self, now: Duration, options: &Options) {
         while let Some((_, version)) = self.arrivals.pop_if(|(at, _)| *at <= now) {
             let delay = rollout::delay(self.gathers, !self.in_force.is_empty(), options);
-            self.held.push(now + delay, version);
+            self.pending.push(now + delay, version);
         }
-        for version in self.held.take_due(now) {
-            assert!(self.in_force.last().is_none_or(|last| *last < version), "no way back");
+        for version in self.pending.take_due(now) {
+            assert!(
+                self.in_force.last().is_none_or(|last| *last < version),
+                "versions are applied in order"
+            );
             self.in_force.push(version);
         }
     }
 }
 
-/// Queries that a gatherer could not read as it lacked their version, of all.
-fn refused(hold: Duration, versions: u64, gap: Duration, kept: usize) -> (usize, usize) {
+/// Returns the number of queries that were refused because the gatherer lacked their version, and
+/// the number of all queries.
+fn simulate(hold: Duration, versions: u64, gap: Duration, kept: usize) -> (usize, usize) {
     let options = Options { hold };
     let mut rng = StdRng::seed_from_u64(4);
     let mut hosts: Vec<ZoneHost> = (0..24)
@@ -46,32 +50,32 @@
     for host in &mut hosts {
         let mut at = Duration::ZERO;
         for version in 1..=versions {
-            // A version overtakes none on its way to a host.
+            // Versions reach a host in order.
             at = at.max(gap * version as u32 + ms(rng.random_range(10..400)));
             host.arrivals.push((at, version));
         }
         host.arrivals.reverse();
     }
-    let (mut asked, mut refused) = (0, 0);
+    let (mut total, mut refused) = (0, 0);
     for step in 0..400 {
         let now = ms(step * 10);
         hosts.iter_mut().for_each(|host| host.run(now, &options));
         for _ in 0..2 {
             let front = &hosts[rng.random_range(3..hosts.len())];
             let gatherer = &hosts[rng.random_range(0..3)];
-            let version = front.in_force.last().expect("one at least");
-            asked += 1;
+            let version = front.in_force.last().expect("each host has a version");
+            total += 1;
             let known = gatherer.in_force.iter().rev().take(kept);
-            refused += usize::from(!known.into_iter().any(|held| held == version));
+            refused += usize::from(!known.into_iter().any(|known| known == version));
         }
     }
-    (refused, asked)
+    (refused, total)
 }
 
-/// Guards against queries that are refused with each change of the routes, because their
-/// gatherers learn of it later.
+/// Guards against refusing queries at each change of the routes because gatherers receive the new
+/// version later than the hosts that delegate to them.
 #[test]
-fn no_query_is_refused_while_a_version_spreads() {
+fn no_query_is_refused_during_a_rollout() {
     struct Case {
         name: &'static str,
         versions: u64,
@@ -84,17 +88,20 @@
     ];
     let hold = Options::default().hold;
     for Case { name, versions, gap } in cases {
-        let (at_once, asked) = refused(Duration::ZERO, versions, gap, 16);
-        let (held, _) = refused(hold, versions, gap, 16);
-        assert!(at_once > 0, "{name}: the case is one");
-        assert_eq!(held, 0, "{name}: {held} of {asked} refused, {at_once} without the hold");
+        let (without_hold, total) = simulate(Duration::ZERO, versions, gap, 16);
+        let (with_hold, _) = simulate(hold, versions, gap, 16);
+        assert!(without_hold > 0, "{name}: no query refused without the hold");
+        assert_eq!(
+            with_hold, 0,
+            "{name}: {with_hold} of {total} refused, {without_hold} without the hold"
+        );
     }
 }
 
-/// Guards against a host that serves nobody although it knows the routes, and against a
-/// gatherer that lags behind its zone.
+/// Guards against delaying the first version of a starting host, which cannot serve callers
+/// without one, and against gatherers that lag behind their zone.
 #[test]
-fn first_versions_and_gatherers_do_not_wait() {
+fn first_versions_and_gatherers_are_not_delayed() {
     struct Case {
         gathers: bool,
         has_version: bool,
--- a/crates/hawthorn-route/tests/routes.rs
+++ b/crates/hawthorn-route/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Which route takes a request, and which part of a weighted one.
+//! Selection of the route of a request, and of a service of a weighted route.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_takes_a_request() {
+fn the_longest_matching_prefix_of_the_host_is_selected() {
     struct Case {
         host: &'static str,
         path: &'static str,
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn parts_get_their_shares_within_any_few_requests() {
+fn services_are_selected_in_proportion_to_their_weights() {
     struct Case {
         weights: &'static [f64],
         shares: &'static [usize],
@@ -61,15 +61,15 @@
         Case { weights: &[0.9, 0.1, 0.0], shares: &[90, 10, 0] },
     ];
     for case in cases {
-        let part = |weight: &f64| WeightedService { service: "s".to_owned(), weight: *weight };
-        let parts: Vec<WeightedService> = case.weights.iter().map(part).collect();
-        let mut dealer = WeightedRoundRobin::default();
-        let mut counts = vec![0; parts.len()];
+        let service = |weight: &f64| WeightedService { service: "s".to_owned(), weight: *weight };
+        let services: Vec<WeightedService> = case.weights.iter().map(service).collect();
+        let mut selector = WeightedRoundRobin::default();
+        let mut counts = vec![0; services.len()];
         for _ in 0..100 {
-            counts[dealer.select(&parts).expect("some weight is above zero")] += 1;
+            counts[selector.select(&services).expect("a weight is positive")] += 1;
         }
         assert_eq!(counts, case.shares);
     }
-    let none = [WeightedService { service: "s".to_owned(), weight: 0.0 }];
-    assert_eq!(WeightedRoundRobin::default().select(&none), None);
+    let zero = [WeightedService { service: "s".to_owned(), weight: 0.0 }];
+    assert_eq!(WeightedRoundRobin::default().select(&zero), None);
 }
--- a/crates/hawthorn-route/tests/targets.rs
+++ b/crates/hawthorn-route/tests/targets.rs
@@ -1,4 +1,4 @@
-//! What is believed of targets, and which one an attempt goes to.
+//! State of targets and zones, and selection of targets.
 
 mod support;
 
@@ -18,7 +18,7 @@
 use hawthorn_route::target::TargetPhase;
 use hawthorn_route::target::TargetState;
 
-const USUAL: Duration = Duration::from_millis(15);
+const SERVICE_TIME: Duration = Duration::from_millis(15);
 
 fn entry(id: &str, zone: &str) -> TargetEntry {
     support::entry(id, "s", zone)
@@ -30,73 +30,74 @@
 
 fn score(state: &TargetState, now: Duration) -> Option<f64> {
     let registry = TargetRegistry::new(registry::Options::default(), "east");
-    let aim = Duration::from_millis(120);
-    let view = support::view(&registry, USUAL, aim, now);
+    let target_latency = Duration::from_millis(120);
+    let view = support::view(&registry, SERVICE_TIME, target_latency, now);
     placement::score(view, state, &placement::Options::default())
 }
 
-/// Two targets hold a shard. One of them pauses, slows down, fails, fills up,
-/// or leaves; the other must be preferred from then on, and only where both are
-/// sound does the zone decide.
+/// Of two targets of a shard, the healthy one is preferred to one that pauses, slows down, fails,
+/// is full or leaves. Between two healthy targets the zone decides.
 #[test]
-fn the_sounder_target_is_preferred() {
+fn the_healthier_target_is_preferred() {
     struct Case {
         name: &'static str,
         zone: &'static str,
-        harm: fn(&mut TargetState),
+        impair: fn(&mut TargetState),
     }
     let cases = [
-        Case { name: "in another zone", zone: "west", harm: |_| {} },
+        Case { name: "in another zone", zone: "west", impair: |_| {} },
         Case {
-            name: "silent to an earlier request",
+            name: "earlier request unanswered",
             zone: "east",
-            harm: |state| state.send(ms(900)),
+            impair: |state| state.send(ms(900)),
         },
         Case {
-            name: "could not be reached",
+            name: "connection failed",
             zone: "east",
-            harm: |state| state.end(ms(990), ms(995), AttemptEnd::NotSent, USUAL),
+            impair: |state| state.end(ms(990), ms(995), AttemptEnd::NotSent, SERVICE_TIME),
         },
         Case {
             name: "slow",
             zone: "east",
-            harm: |state| {
-                (0..20).for_each(|_| state.end(ms(0), ms(150), AttemptEnd::Answered, USUAL))
+            impair: |state| {
+                (0..20).for_each(|_| state.end(ms(0), ms(150), AttemptEnd::Answered, SERVICE_TIME))
             },
         },
         Case {
-            name: "fails what it runs",
+            name: "failing requests",
             zone: "east",
-            harm: |state| (0..5).for_each(|_| state.end(ms(0), ms(5), AttemptEnd::Failed, USUAL)),
+            impair: |state| {
+                (0..5).for_each(|_| state.end(ms(0), ms(5), AttemptEnd::Failed, SERVICE_TIME))
+            },
         },
         Case {
-            name: "says it is full",
+            name: "reports a full queue",
             zone: "east",
-            harm: |state| {
+            impair: |state| {
                 state.report_load(ReportedLoad { running: 2, waiting: 5, slots: 2, at: ms(990) })
             },
         },
-        Case { name: "cold", zone: "east", harm: |state| state.cold_until = ms(2000) },
+        Case { name: "cold", zone: "east", impair: |state| state.cold_until = ms(2000) },
         Case {
             name: "leaving",
             zone: "east",
-            harm: |state| state.phase = TargetPhase::Leaving { until: ms(2000) },
+            impair: |state| state.phase = TargetPhase::Leaving { until: ms(2000) },
         },
     ];
     let now = ms(1000);
-    let sound = TargetState::new(entry("sound", "east"), 1, ms(0));
+    let healthy = TargetState::new(entry("healthy", "east"), 1, ms(0));
     for case in cases {
-        let mut harmed = TargetState::new(entry("harmed", case.zone), 1, ms(0));
-        (case.harm)(&mut harmed);
-        let (sound, harmed) = (score(&sound, now), score(&harmed, now));
-        assert!(sound < harmed, "{}: {sound:?} {harmed:?}", case.name);
+        let mut impaired = TargetState::new(entry("impaired", case.zone), 1, ms(0));
+        (case.impair)(&mut impaired);
+        let (healthy, impaired) = (score(&healthy, now), score(&impaired, now));
+        assert!(healthy < impaired, "{}: {healthy:?} {impaired:?}", case.name);
     }
 }
 
-/// A target says that it is leaving, and serves for three seconds more. New
-/// work goes there only while the service has nobody else, and soon not at all.
+/// A target that is leaving continues to serve for three seconds. It receives new requests only
+/// while its service has no other target, and only for the first part of that time.
 #[test]
-fn a_leaving_target_takes_work_only_for_a_short_time() {
+fn a_leaving_target_receives_requests_only_for_a_short_time() {
     let mut state = TargetState::new(entry("a", "east"), 1, ms(0));
     state.phase = TargetPhase::Leaving { until: ms(1500) };
     assert!(score(&state, ms(1400)).is_some());
@@ -106,10 +107,10 @@
 }
 
 #[test]
-fn news_of_a_target_is_taken_in_by_its_revision() {
+fn changes_of_a_target_are_applied_by_revision() {
     struct Case {
         name: &'static str,
-        news: fn(&mut TargetRegistry) -> TargetChange,
+        apply: fn(&mut TargetRegistry) -> TargetChange,
         change: TargetChange,
         ready: usize,
     }
@@ -121,235 +122,243 @@
     }
     let cases = [
         Case {
-            name: "the same again",
-            news: |targets| targets.put(with(|_| {}), 6, ms(10)),
+            name: "unchanged",
+            apply: |registry| registry.put(with(|_| {}), 6, ms(10)),
             change: TargetChange::None,
             ready: 1,
         },
         Case {
-            name: "an older word, read late",
-            news: |targets| targets.put(with(|entry| entry.draining = true), 4, ms(10)),
+            name: "older revision, read late",
+            apply: |registry| registry.put(with(|entry| entry.draining = true), 4, ms(10)),
             change: TargetChange::None,
             ready: 1,
         },
         Case {
             name: "leaving",
-            news: |targets| targets.put(with(|entry| entry.draining = true), 6, ms(10)),
+            apply: |registry| registry.put(with(|entry| entry.draining = true), 6, ms(10)),
             change: TargetChange::Draining,
             ready: 0,
         },
         Case {
-            name: "started again under its id",
-            news: |targets| targets.put(with(|entry| entry.born = Some(200)), 6, ms(10)),
+            name: "restarted with the same id",
+            apply: |registry| registry.put(with(|entry| entry.born = Some(200)), 6, ms(10)),
             change: TargetChange::Born,
             ready: 1,
         },
         Case {
             name: "moved to another service",
-            news: |targets| targets.put(with(|entry| entry.service = "t".into()), 6, ms(10)),
+            apply: |registry| registry.put(with(|entry| entry.service = "t".into()), 6, ms(10)),
             change: TargetChange::Born,
             ready: 0,
         },
         Case {
-            name: "its entry is gone",
-            news: |targets| targets.remove("a", 6, ms(10)),
+            name: "entry removed",
+            apply: |registry| registry.remove("a", 6, ms(10)),
             change: TargetChange::Removed,
             ready: 0,
         },
         Case {
-            name: "an older removal, read late",
-            news: |targets| targets.remove("a", 4, ms(10)),
+            name: "older removal, read late",
+            apply: |registry| registry.remove("a", 4, ms(10)),
             change: TargetChange::None,
             ready: 1,
         },
     ];
     for case in cases {
-        let mut targets = TargetRegistry::new(registry::Options::default(), "east");
-        targets.put(with(|_| {}), 5, ms(0));
-        assert_eq!((case.news)(&mut targets), case.change, "{}", case.name);
-        let ready = targets.of_service("s").iter().filter_map(|key| targets.get(*key));
+        let mut registry = TargetRegistry::new(registry::Options::default(), "east");
+        registry.put(with(|_| {}), 5, ms(0));
+        assert_eq!((case.apply)(&mut registry), case.change, "{}", case.name);
+        let ready = registry.of_service("s").iter().filter_map(|key| registry.get(*key));
         let ready = ready.filter(|state| state.phase == TargetPhase::Ready).count();
         assert_eq!(ready, case.ready, "{}", case.name);
     }
 }
 
-/// The store is down for a while and lets entries lapse; the target has been
-/// well all the time and its entry is back two seconds later.
+/// The store is unavailable and lets the entry of a healthy target expire. The target is used again
+/// when its entry returns two seconds later.
 #[test]
-fn a_target_whose_entry_lapsed_returns() {
-    let mut targets = TargetRegistry::new(registry::Options::default(), "east");
-    targets.put(entry("a", "east"), 5, ms(0));
-    targets.remove("a", 6, ms(1000));
-    assert_eq!(targets.put(entry("a", "east"), 7, ms(3000)), TargetChange::Returned);
+fn a_target_returns_after_its_entry_expired() {
+    let mut registry = TargetRegistry::new(registry::Options::default(), "east");
+    registry.put(entry("a", "east"), 5, ms(0));
+    registry.remove("a", 6, ms(1000));
+    assert_eq!(registry.put(entry("a", "east"), 7, ms(3000)), TargetChange::Returned);
 }
 
-/// An address was given to another service: its target answers that it is not
-/// the one that was meant. The old entry is forgotten once it is removed.
+/// An address is reassigned to another service, whose target answers that the request is
+/// misdirected. The old target accepts no requests, and is dropped once its entry is removed.
 #[test]
-fn a_target_that_another_took_the_place_of_is_forgotten() {
-    let mut targets = TargetRegistry::new(registry::Options::default(), "east");
-    targets.put(entry("a", "east"), 5, ms(0));
-    let key = targets.of_service("s")[0];
-    let state = targets.get_mut(key).expect("it was put");
-    state.end(ms(0), ms(1), AttemptEnd::Misdirected, USUAL);
-    assert!(score(targets.get(key).expect("it is there"), ms(2)).is_none());
-    targets.remove("a", 6, ms(10));
-    assert_eq!(targets.sweep(ms(60_000), ms(3000)), [key]);
-    assert!(targets.ids().is_empty());
+fn a_target_whose_address_was_reassigned_is_dropped() {
+    let mut registry = TargetRegistry::new(registry::Options::default(), "east");
+    registry.put(entry("a", "east"), 5, ms(0));
+    let key = registry.of_service("s")[0];
+    let state = registry.get_mut(key).expect("it was registered");
+    state.end(ms(0), ms(1), AttemptEnd::Misdirected, SERVICE_TIME);
+    assert!(score(registry.get(key).expect("it is known"), ms(2)).is_none());
+    registry.remove("a", 6, ms(10));
+    assert_eq!(registry.sweep(ms(60_000), ms(3000)), [key]);
+    assert!(registry.ids().is_empty());
 }
 
-/// A zone is cut off while callers still reach hosts on both sides. Requests
-/// there bring nothing; soon none is sent, and the first word ends it.
+/// A partition isolates a zone while callers still reach hosts on both sides. The zone becomes
+/// unreachable after several unanswered requests, and reachable with the first answer.
 #[test]
-fn a_zone_is_cut_off_after_several_silent_requests() {
+fn a_zone_is_unreachable_after_several_unanswered_requests() {
     struct Case {
         name: &'static str,
         sent: usize,
-        usual_ms: u64,
+        typical_ms: u64,
         now_ms: u64,
-        doubtful: bool,
-        cut: bool,
+        suspected: bool,
+        unreachable: bool,
     }
-    let case = |name, sent, usual_ms, now_ms, doubtful, cut| Case {
+    let case = |name, sent, typical_ms, now_ms, suspected, unreachable| Case {
         name,
         sent,
-        usual_ms,
+        typical_ms,
         now_ms,
-        doubtful,
-        cut,
+        suspected,
+        unreachable,
     };
     let cases = [
         case("nothing sent", 0, 10, 1000, false, false),
         case("one request", 1, 10, 1000, false, false),
-        case("many, just now", 20, 10, 70, false, false),
-        case("many, a while ago", 20, 10, 150, true, false),
-        case("long work", 20, 120, 200, false, false),
-        case("long work, late", 20, 120, 400, true, false),
-        case("many, for long", 6, 10, 200, true, true),
-        case("long work, overdue", 6, 120, 480, true, true),
+        case("many, recently", 20, 10, 70, false, false),
+        case("many, earlier", 20, 10, 150, true, false),
+        case("slow service", 20, 120, 200, false, false),
+        case("slow service, late", 20, 120, 400, true, false),
+        case("several, for long", 6, 10, 200, true, true),
+        case("slow service, overdue", 6, 120, 480, true, true),
     ];
     for case in cases {
-        let mut reach = ZoneReachability::default();
-        (0..case.sent).for_each(|_| reach.sent(ms(0), ms(case.usual_ms)));
-        assert_eq!(reach.is_suspected(ms(case.now_ms)), case.doubtful, "{}", case.name);
-        assert_eq!(reach.is_unreachable(ms(case.now_ms)), case.cut, "{}", case.name);
-        reach.answered();
-        assert!(!reach.is_suspected(ms(case.now_ms)), "{}", case.name);
-        assert!(!reach.is_unreachable(ms(case.now_ms)), "{}", case.name);
+        let mut reachability = ZoneReachability::default();
+        (0..case.sent).for_each(|_| reachability.sent(ms(0), ms(case.typical_ms)));
+        assert_eq!(reachability.is_suspected(ms(case.now_ms)), case.suspected, "{}", case.name);
+        assert_eq!(reachability.is_unreachable(ms(case.now_ms)), case.unreachable, "{}", case.name);
+        reachability.answered();
+        assert!(!reachability.is_suspected(ms(case.now_ms)), "{}", case.name);
+        assert!(!reachability.is_unreachable(ms(case.now_ms)), "{}", case.name);
     }
 }
 
-/// A few targets pause, and each query waits for the slowest of its shards. A
-/// second attempt is made beyond nearly all ordinary times, later when the
-/// budget runs out, and early enough to be in time itself.
+/// Each query waits for its slowest shard, so that a few paused targets delay most queries. An
+/// attempt is hedged if it takes longer than nearly all ordinary ones, later while the budget is
+/// nearly spent, and early enough for the hedge to be in time.
 #[test]
-fn an_attempt_is_late_beyond_ordinary_times() {
+fn attempts_are_hedged_beyond_ordinary_latencies() {
     let mut times = ServiceTimes::new(10_000);
     (0..100).for_each(|step| times.record(10_000 + step * 100));
     let options = hedge::Options::default();
-    let delay = |aim, fullness| hedge::delay(&times, ms(aim), fullness, &options);
+    let delay =
+        |target_latency, fullness| hedge::delay(&times, ms(target_latency), fullness, &options);
     assert!((ms(20)..ms(30)).contains(&delay(120, 1.0)));
     assert!(delay(120, 0.0) > delay(120, 1.0));
     assert!(delay(50, 0.0) <= ms(50).mul_f64(options.aim_share));
 }
 
-/// A zone is cut off and hosts on both sides see it. Only those of the smaller
-/// side may step aside, and only when much of what callers ask for cannot be
-/// answered there: once, a route hardly anybody used had all three zones step
-/// aside together.
+/// Guards against all hosts failing their readiness probes at once: hosts on both sides of a
+/// partition detect it, and a rarely used route could affect all three zones. Only the smaller side
+/// fails its probes, and only if a large share of its callers' requests cannot be answered there.
 #[test]
-fn only_the_smaller_side_of_a_cut_steps_aside() {
+fn only_the_smaller_side_of_a_partition_fails_readiness() {
     struct Case {
         name: &'static str,
         zones: usize,
-        cut: usize,
+        unreachable: usize,
         unanswerable: f64,
-        aside: bool,
+        fails: bool,
     }
     let cases = [
-        Case { name: "alone of three", zones: 3, cut: 2, unanswerable: 0.8, aside: true },
-        Case { name: "two of three", zones: 3, cut: 1, unanswerable: 0.8, aside: false },
-        Case { name: "halves", zones: 2, cut: 1, unanswerable: 0.8, aside: false },
-        Case { name: "a rare route", zones: 3, cut: 2, unanswerable: 0.05, aside: false },
-        Case { name: "no cut", zones: 3, cut: 0, unanswerable: 1.0, aside: false },
+        Case { name: "one of three", zones: 3, unreachable: 2, unanswerable: 0.8, fails: true },
+        Case { name: "two of three", zones: 3, unreachable: 1, unanswerable: 0.8, fails: false },
+        Case { name: "halves", zones: 2, unreachable: 1, unanswerable: 0.8, fails: false },
+        Case {
+            name: "rarely used route",
+            zones: 3,
+            unreachable: 2,
+            unanswerable: 0.05,
+            fails: false,
+        },
+        Case { name: "no partition", zones: 3, unreachable: 0, unanswerable: 1.0, fails: false },
     ];
     for case in cases {
-        let aside = reachability::should_fail_readiness(case.zones, case.cut, case.unanswerable);
-        assert_eq!(aside, case.aside, "{}", case.name);
+        let fails =
+            reachability::should_fail_readiness(case.zones, case.unreachable, case.unanswerable);
+        assert_eq!(fails, case.fails, "{}", case.name);
     }
 }
 
-/// Queues stand at some shards of every query, and a part is late at a shard whose
-/// other target is free: the first is paused or dark. Once, no second attempt was
-/// made anywhere while queues stood somewhere, and queries waited for the dark one.
+/// Guards against suppressing all hedges while some shards have standing queues: a late part of a
+/// shard whose other target is idle indicates a paused or unreachable target, and queries would
+/// wait for it.
 #[test]
-fn a_second_attempt_is_made_where_there_is_room() {
+fn hedges_are_sent_to_targets_with_capacity() {
     struct Case {
         name: &'static str,
         waiting: u32,
-        told: u64,
-        room: bool,
+        /// Age of the report, ms.
+        reported_ago: u64,
+        has_capacity: bool,
     }
     let cases = [
-        Case { name: "free", waiting: 0, told: 50, room: true },
-        Case { name: "a short queue", waiting: 2, told: 50, room: true },
-        Case { name: "a long one", waiting: 3, told: 50, room: false },
-        Case { name: "full", waiting: 12, told: 50, room: false },
-        Case { name: "full a while ago", waiting: 12, told: 400, room: true },
+        Case { name: "idle", waiting: 0, reported_ago: 50, has_capacity: true },
+        Case { name: "short queue", waiting: 2, reported_ago: 50, has_capacity: true },
+        Case { name: "long queue", waiting: 3, reported_ago: 50, has_capacity: false },
+        Case { name: "full", waiting: 12, reported_ago: 50, has_capacity: false },
+        Case { name: "full, outdated report", waiting: 12, reported_ago: 400, has_capacity: true },
     ];
     let now = Duration::from_secs(10);
     for case in cases {
         let mut state = TargetState::new(entry("t", "east"), 1, now);
-        let at = now - Duration::from_millis(case.told);
+        let at = now - Duration::from_millis(case.reported_ago);
         state.report_load(ReportedLoad { running: 2, waiting: case.waiting, slots: 2, at });
-        assert_eq!(hedge::has_capacity(&state, now), case.room, "{}", case.name);
+        assert_eq!(hedge::has_capacity(&state, now), case.has_capacity, "{}", case.name);
     }
 }
 
-/// Guards against a suspected request that reaches a shard's last target, and against one
-/// that is kept from a service which never had a second.
+/// Guards against sending a suspected request to a shard's last target, and against withholding it
+/// from a service that only ever had one.
 #[test]
-fn the_last_of_several_targets_is_known() {
+fn the_last_of_several_targets_is_detected() {
     struct Case {
         name: &'static str,
         targets: usize,
-        harm: fn(&mut TargetState),
+        impair: fn(&mut TargetState),
         last: bool,
     }
     let cases = [
-        Case { name: "one of one", targets: 1, harm: |_| {}, last: false },
-        Case { name: "one of two", targets: 2, harm: |_| {}, last: false },
+        Case { name: "one of one", targets: 1, impair: |_| {}, last: false },
+        Case { name: "one of two", targets: 2, impair: |_| {}, last: false },
         Case {
             name: "the other crashed",
             targets: 2,
-            harm: |state| state.crash(ms(900)),
+            impair: |state| state.crash(ms(900)),
             last: true,
         },
         Case {
             name: "the other crashed and answered since",
             targets: 2,
-            harm: |state| {
+            impair: |state| {
                 state.crash(ms(900));
-                state.end(ms(910), ms(920), AttemptEnd::Answered, USUAL);
+                state.end(ms(910), ms(920), AttemptEnd::Answered, SERVICE_TIME);
             },
             last: false,
         },
         Case {
-            name: "the other could not be reached",
+            name: "connection to the other failed",
             targets: 2,
-            harm: |state| state.end(ms(990), ms(995), AttemptEnd::NotSent, USUAL),
+            impair: |state| state.end(ms(990), ms(995), AttemptEnd::NotSent, SERVICE_TIME),
             last: true,
         },
         Case {
             name: "the other leaves",
             targets: 2,
-            harm: |state| state.phase = TargetPhase::Leaving { until: ms(2000) },
+            impair: |state| state.phase = TargetPhase::Leaving { until: ms(2000) },
             last: true,
         },
         Case {
             name: "one of two others crashed",
             targets: 3,
-            harm: |state| state.crash(ms(900)),
+            impair: |state| state.crash(ms(900)),
             last: false,
         },
     ];
@@ -360,9 +369,9 @@
         }
         let keys: Vec<_> = registry.of_service("s").to_vec();
         if let Some(other) = keys.get(1) {
-            (case.harm)(registry.get_mut(*other).expect("it is known"));
+            (case.impair)(registry.get_mut(*other).expect("it is known"));
         }
-        let view = support::view(&registry, USUAL, ms(120), ms(1000));
+        let view = support::view(&registry, SERVICE_TIME, ms(120), ms(1000));
         assert_eq!(view.is_last_target("s", keys[0], &[]), case.last, "{}", case.name);
     }
 }
