--- a/crates/hawthorn-daemon/src/process/daemon.rs
+++ b/crates/hawthorn-daemon/src/process/daemon.rs
@@ -335,7 +335,7 @@
 impl DaemonProcess<Serving> {
     /// The settings of this process with the addresses it really has, to start
     /// it again at the same place.
-    pub fn settings_at_its_addresses(&self) -> DaemonSettings {
+    pub fn settings_with_bound_addresses(&self) -> DaemonSettings {
         DaemonSettings {
             caller_address: self.caller_address,
             peer_address: self.peer_address,
--- a/examples/tier-load/main.rs
+++ b/examples/tier-load/main.rs
@@ -128,7 +128,7 @@
             let Some(index) = self.names.iter().position(|name| name == daemon) else { return };
             let Some(process) = self.take(index) else { return };
             let again = tokio::task::spawn_blocking(move || {
-                let settings = process.settings_at_its_addresses();
+                let settings = process.settings_with_bound_addresses();
                 process.drain().finish();
                 let process = daemon::start(settings).ok()?;
                 process.wait_until_ready(READY_LIMIT).then_some(process)
