--- a/crates/hawthorn-daemon/src/connection/message.rs
+++ b/crates/hawthorn-daemon/src/connection/message.rs
@@ -1,7 +1,6 @@
-//! Messages between daemons: what a front asks of an owner, and the answers.
+//! Messages between daemons: requests from a front to an owner, and the answers.
 //!
-//! They travel by tarpc with bincode, so they use no tagged or flattened
-//! serde shapes.
+//! Sent by tarpc with bincode, which supports neither tagged enums nor flattened fields of serde.
 
 use hawthorn_types::ConfigRevision;
 use hawthorn_types::FailureReason;
@@ -19,24 +18,24 @@
 use serde::Serialize;
 use smallvec::SmallVec;
 
-/// How far a batch has come from the caller's front. An owner that got a piece
-/// from another owner does not pass it on again, so pieces cannot circle.
+/// Sender of a batch. An owner does not relay a piece that it received from another owner, so
+/// pieces cannot loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BatchHop {
-    /// Sent by the front that holds the caller's request.
+    /// The front that received the caller's request.
     Front,
-    /// Sent by an owner whose own replica is late.
+    /// An owner that relays a piece because its own replica is slow.
     Owner,
 }
 
-/// One shard's share of a query.
+/// The part of a query that belongs to one shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BatchPiece {
-    /// The front's number for the piece, echoed.
+    /// Number of the piece, chosen by the front and echoed.
     pub number: u32,
     /// The shard.
     pub shard: ShardName,
-    /// The version to search.
+    /// Index version to search.
     pub version: IndexVersion,
     /// The keys to search.
     pub range: KeyRange,
@@ -49,94 +48,95 @@
     pub request: RequestId,
     /// The caller's name.
     pub caller: String,
-    /// Urgent or normal.
+    /// Urgency class.
     pub urgency: UrgencyClass,
-    /// Words to find.
+    /// Search text.
     pub text: String,
-    /// Matches wanted of each piece, at the most.
+    /// Maximum number of matches to return for each piece.
     pub limit: u32,
-    /// Microseconds left until the caller's deadline. A span and not a time,
-    /// as the clocks of hosts differ.
+    /// Time left until the caller's deadline, in microseconds. A duration and not a point in time,
+    /// because the clocks of hosts differ.
     pub left_us: u64,
-    /// Where it comes from.
+    /// Sender of the batch.
     pub hop: BatchHop,
-    /// The generation of the owner's view that the front has.
+    /// Generation of the owner's view that the front has.
     pub view: u64,
     /// The pieces.
     pub pieces: Vec<BatchPiece>,
 }
 
-/// What became of one piece.
+/// Outcome of one piece.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PieceOutcome {
     /// A target searched it.
     Answered {
-        /// The version searched.
+        /// Index version searched.
         version: IndexVersion,
-        /// The keys really searched.
+        /// Keys actually searched.
         searched: RangeSet,
-        /// Documents that matched.
+        /// Total number of matching documents.
         total: u64,
-        /// The best of them.
+        /// The best matches.
         matches: Vec<DocumentMatch>,
     },
-    /// It was not searched.
+    /// The piece was not searched.
     Missing(MissingReason),
-    /// No replica here holds the version; these are held.
+    /// No replica of this owner holds the version; the list holds the versions available.
     Retired(Vec<IndexVersion>),
     /// This host does not own the shard's targets.
     NotOwner,
 }
 
-/// The owner's answer to a batch: every piece once.
+/// Answer of an owner to a batch; contains every piece exactly once.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BatchAnswer {
-    /// Echo of the request.
+    /// Id of the request, echoed.
     pub request: RequestId,
-    /// Piece number and what became of it.
+    /// Number and outcome of each piece.
     pub parts: Vec<(u32, PieceOutcome)>,
-    /// The longest that one of them waited for a slot, in microseconds.
+    /// Longest time that a piece waited for a slot, in microseconds.
     pub queued_us: u64,
-    /// The owner's view, when newer than the front's.
+    /// The owner's view, if it differs from the front's.
     pub view: Option<OwnerView>,
 }
 
-/// What an owner says of one shard it owns targets of.
+/// An owner's view of one shard whose targets it owns.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardView {
     /// The shard.
     pub shard: ShardName,
-    /// Versions held by at least one usable replica.
+    /// Index versions held by at least one usable replica.
     pub versions: SmallVec<[IndexVersion; 2]>,
-    /// Keys that the replicas hold at the newest of them.
+    /// Keys that the replicas hold at the newest of these versions.
     pub held: RangeSet,
-    /// How long an urgent piece would wait for a slot, in microseconds.
+    /// Expected wait of an urgent piece for a slot, in microseconds.
     pub wait_us: u64,
-    /// How long the search then mostly takes, in microseconds.
+    /// Typical service time of a search once it has a slot, in microseconds.
     pub service_us: u64,
-    /// Replicas that are wanted to serve and have been ready for some seconds:
-    /// another zone may switch one of its own off for their sake.
+    /// Replicas that should serve and have been ready for several seconds. Another zone may switch
+    /// off a replica of its own because of them.
     pub ready: u32,
 }
 
-/// What an owner says of all its shards.
+/// An owner's view of all its shards.
 #[derive(Clone, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct OwnerView {
-    /// Grows with each change of versions; waits alone do not raise it.
+    /// Increases with each change of the view. Waits and service times are rounded, so that small
+    /// changes of them do not count.
     pub generation: u64,
-    /// The shards, in the order of their names.
+    /// The shards, sorted by name.
     pub shards: Vec<ShardView>,
 }
 
 impl OwnerView {
-    /// What is said of one shard. Shards are listed in the order of their names.
+    /// The view of one shard. Relies on the shards being sorted by name.
     pub fn shard(&self, name: &ShardName) -> Option<&ShardView> {
         let index = self.shards.binary_search_by(|view| view.shard.cmp(name)).ok()?;
         Some(&self.shards[index])
     }
 }
 
-/// A non-idempotent request on its way to the owner of its shard.
+/// A non-idempotent request, sent to the owner of its shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OnceBatch {
     /// The request, echoed.
@@ -149,36 +149,36 @@
     pub shard: ShardName,
     /// The key.
     pub key: u32,
-    /// What to do.
+    /// Body of the request.
     pub body: String,
-    /// Microseconds left until the caller's deadline.
+    /// Time left until the caller's deadline, in microseconds.
     pub left_us: u64,
-    /// Unix milliseconds from which on it must not be sent to a target: its
-    /// caller has given up, or its claim may be gone from the store. A time and
-    /// not a span, as a message can lie unread for seconds.
+    /// Unix time in milliseconds after which the request must not be sent to a target, because its
+    /// caller has given up or its claim may have expired in the store. A point in time and not a
+    /// duration, because a message can stay unread for seconds.
     pub not_after_ms: u64,
 }
 
-/// What became of a non-idempotent request.
+/// Outcome of a non-idempotent request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OnceOutcome {
-    /// It ran.
+    /// The request ran.
     Ran(String),
-    /// It did not run and will not.
+    /// The request did not run and will not.
     NotRun(RefusalReason),
-    /// It may have run.
+    /// The request may have run.
     Unknown(UnknownReason),
-    /// It ran and failed.
+    /// The request ran and failed.
     Failed(FailureReason),
 }
 
-/// A configuration document and its standing, passed on between daemons.
+/// A configuration document, as exchanged between daemons.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigCopy {
-    /// The revision, repeated so that it need not be parsed to be compared.
+    /// Revision of the document, repeated so that revisions are compared without parsing.
     pub revision: ConfigRevision,
-    /// The document as it stands in the store, JSON.
+    /// The document as stored, JSON.
     pub document: String,
-    /// Milliseconds since a daemon last read it from the store.
+    /// Time since a daemon last read it from the store, in milliseconds.
     pub age_ms: u64,
 }
--- a/crates/hawthorn-daemon/src/connection/mod.rs
+++ b/crates/hawthorn-daemon/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a connection: to targets and between daemons.
+//! State with the lifetime of a connection between daemons.
 
 pub mod message;
 pub mod peer;
--- a/crates/hawthorn-daemon/src/connection/peer.rs
+++ b/crates/hawthorn-daemon/src/connection/peer.rs
@@ -23,16 +23,16 @@
 use crate::connection::message::OwnerView;
 use crate::connection::message::SearchBatch;
 
-/// A message between daemons is at most so large: a configuration document of
-/// a megabyte, or the matches of a batch.
+/// Maximum size of a message between daemons. Accommodates a configuration document of a megabyte
+/// and the matches of a batch.
 pub(crate) const MAX_FRAME_BYTES: usize = 64 << 20;
 
-/// Opening a connection to a daemon takes at most so long: longer than any
-/// round trip in a region, far shorter than a caller waits.
+/// Timeout of a connect to another daemon: longer than any round trip within a region, far shorter
+/// than a caller waits.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// After a failed connect, calls fail at once for so long instead of each
-/// waiting for its own connect.
+/// Time after a failed connect during which calls fail at once, so that they do not each wait for a
+/// connect of their own.
 const CONNECT_BACKOFF: Duration = Duration::from_millis(250);
 
 #[allow(missing_docs)]
@@ -45,18 +45,19 @@
     use super::OwnerView;
     use super::SearchBatch;
 
-    /// What each daemon offers the others.
+    /// Calls that each daemon serves to the others.
     #[tarpc::service]
     pub trait PeerService {
         /// Searches the pieces at targets that this host owns.
         async fn search(batch: SearchBatch) -> BatchAnswer;
-        /// Runs a non-idempotent request, which its front has claimed, at a target that this host owns.
+        /// Runs a non-idempotent request, already claimed by its front, at a target that this host
+        /// owns.
         async fn run(batch: OnceBatch) -> OnceOutcome;
-        /// The owner's view of its shards.
+        /// Returns the owner's view of its shards.
         async fn view() -> OwnerView;
-        /// The configuration in force, when newer than `have`.
+        /// Returns the configuration in force if it is newer than `have`.
         async fn pull_config(have: ConfigRevision) -> Option<ConfigCopy>;
-        /// Offers a configuration; answers the revision in force afterwards.
+        /// Offers a configuration; returns the revision in force afterwards.
         async fn push_config(copy: ConfigCopy) -> ConfigRevision;
     }
 }
@@ -64,55 +65,55 @@
 pub use service::PeerServiceClient;
 
 quick_error! {
-    /// Why a call to a daemon brought no answer.
+    /// Reason why a call to a daemon got no answer.
     #[derive(Debug)]
     pub enum Error {
-        /// Nothing was sent: there is no connection.
+        /// Nothing was sent, because there is no connection.
         NotSent(text: String) {
             display("not sent: {text}")
         }
-        /// It may have been received, and no answer came in time.
-        Late {
+        /// The call may have been received, but no answer arrived in time.
+        TimedOut {
             display("no answer in time")
         }
-        /// It may have been received.
+        /// The connection failed; the call may have been received.
         Lost(text: String) {
             display("no answer: {text}")
         }
     }
 }
 
-/// One peer's connection, or when connecting to it last failed.
+/// Connection to one peer, or the time of the last failed connect.
 #[derive(Clone, Debug)]
 enum PeerLink {
     Open(PeerServiceClient),
     Failed(Instant),
 }
 
-/// Connections to other daemons, opened when first needed and kept.
+/// Connections to other daemons, opened on first use and kept open.
 #[derive(Debug)]
 pub struct PeerLinks {
-    /// Connections come from this host's own address and not from whichever
-    /// the system picks: on a host with several, others could not tell them apart.
+    /// Source address of all connections. Binding it explicitly lets peers recognise this host even
+    /// if it has several addresses.
     source: IpAddr,
     links: Mutex<HashMap<SocketAddr, PeerLink>>,
 }
 
 impl PeerLinks {
-    /// No connections yet; later ones come from `source`.
+    /// Creates an empty set; connections are opened from `source`.
     pub fn new(source: IpAddr) -> Self {
         Self { source, links: Mutex::default() }
     }
 
-    /// A client for the daemon at `address`.
+    /// Returns a client for the daemon at `address`.
     ///
     /// # Errors
-    /// [`Error::NotSent`] when it cannot be connected.
+    /// [`Error::NotSent`] if no connection can be opened.
     pub async fn client(&self, address: SocketAddr) -> Result<PeerServiceClient, Error> {
         match self.link(address) {
             Some(PeerLink::Open(client)) => return Ok(client),
             Some(PeerLink::Failed(at)) if at.elapsed() < CONNECT_BACKOFF => {
-                return Err(Error::NotSent("connecting failed a moment ago".into()));
+                return Err(Error::NotSent("the last connect failed recently".into()));
             }
             _ => {}
         }
@@ -136,26 +137,25 @@
         self.links.lock().expect("no holder of the lock panics").insert(address, link);
     }
 
-    /// Closes connections to all but those addresses.
+    /// Closes the connections to all addresses that `is_kept` rejects.
     ///
-    /// Failure: a host is cut off for minutes and comes back. The old connection
-    /// still stands, but its retransmissions are a minute apart by then, and
-    /// every call on it is lost meanwhile. A host that is not there any more
-    /// gets a new connection when it returns.
-    pub fn keep(&self, is_kept: impl Fn(SocketAddr) -> bool) {
+    /// Failure: a host is unreachable for minutes and then returns. The old TCP connection is still
+    /// open, but its retransmissions are a minute apart by then, so every call on it is lost.
+    /// Closing the connection to an unreachable host lets its return open a new one.
+    pub fn retain(&self, is_kept: impl Fn(SocketAddr) -> bool) {
         let mut links = self.links.lock().expect("no holder of the lock panics");
         links.retain(|&address, _| is_kept(address));
     }
 
-    /// Forgets the connection, so that the next call opens a new one.
-    pub fn forget(&self, address: SocketAddr) {
+    /// Drops the connection, so that the next call opens a new one.
+    pub fn remove(&self, address: SocketAddr) {
         self.links.lock().expect("no holder of the lock panics").remove(&address);
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<PeerServiceClient, Error> {
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, self.open(address))
             .await
-            .map_err(|_| Error::NotSent("connecting took too long".into()))?
+            .map_err(|_| Error::NotSent("connect timed out".into()))?
             .map_err(|error| Error::NotSent(error.to_string()))?;
         let framed =
             LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_framed(stream);
@@ -173,17 +173,17 @@
         Ok(stream)
     }
 
-    /// Reads what an error of a call means for whether it was received, and
-    /// forgets the connection when it is broken.
-    pub fn judge(&self, address: SocketAddr, error: client::RpcError) -> Error {
+    /// Maps an RPC error to whether the call may have been received, and drops the connection if it
+    /// is broken.
+    pub fn classify_error(&self, address: SocketAddr, error: client::RpcError) -> Error {
         match error {
-            client::RpcError::DeadlineExceeded => Error::Late,
+            client::RpcError::DeadlineExceeded => Error::TimedOut,
             client::RpcError::Shutdown => {
-                self.forget(address);
+                self.remove(address);
                 Error::Lost("connection closed".into())
             }
             client::RpcError::Channel(error) => {
-                self.forget(address);
+                self.remove(address);
                 Error::Lost(error.to_string())
             }
             other => Error::Lost(other.to_string()),
@@ -191,7 +191,7 @@
     }
 }
 
-/// The context of a call that is of use only for `left`.
+/// Context of a call whose answer is useful only within `left`.
 pub fn call_context(left: Duration) -> context::Context {
     let mut context = context::current();
     context.deadline = Instant::now() + left;
--- a/crates/hawthorn-daemon/src/connection/serve.rs
+++ b/crates/hawthorn-daemon/src/connection/serve.rs
@@ -31,33 +31,32 @@
 use crate::process::events::LogEvent;
 use crate::process::fleet::FleetHandle;
 
-/// How long after a connection could not be accepted the next is tried.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before the next accept after a failed one.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Serves other daemons. Cloned for each connection.
+/// Server side of the calls between daemons. Cloned for each connection.
 #[derive(Clone, Debug)]
 pub struct PeerServer {
-    /// The duty that holds targets.
+    /// Handle to the owner worker.
     pub owner: OwnerHandle,
-    /// The duty that holds the configuration.
+    /// Handle to the fleet worker.
     pub fleet: FleetHandle,
-    /// Set near the end of a planned stop.
-    pub closing: ClosingGate,
+    /// Closed near the end of a planned stop.
+    pub shutdown_gate: ShutdownGate,
 }
 
-/// Closed near the end of a planned stop.
+/// Rejects new calls near the end of a planned stop.
 ///
-/// Failure: another host that has not heard of the stop hands over a request in
-/// the last moment, and the process ends under it: a query waits for its
-/// fallback, a non-idempotent request ends as unknown. Once closed, new work
-/// is turned away at once, truthfully, and goes to the next owner.
+/// Failure: a host that does not know about the stop yet sends a request just before the process
+/// ends. A query then waits for its fallback, and a non-idempotent request ends as unknown. Once
+/// the gate is closed, new calls are rejected at once as not run and go to the next owner.
 #[derive(Clone, Debug, Default)]
-pub struct ClosingGate {
+pub struct ShutdownGate {
     closed: Arc<AtomicBool>,
 }
 
-impl ClosingGate {
-    /// Turns away everything from now on.
+impl ShutdownGate {
+    /// Rejects all calls from now on.
     pub fn close(&self) {
         self.closed.store(true, Ordering::Release);
     }
@@ -69,18 +68,18 @@
 
 impl PeerService for PeerServer {
     async fn search(self, _: Context, batch: SearchBatch) -> BatchAnswer {
-        if self.closing.is_closed() {
-            return turned_away(batch);
+        if self.shutdown_gate.is_closed() {
+            return reject(batch);
         }
         self.owner.search(batch).await
     }
 
     async fn run(self, _: Context, batch: OnceBatch) -> OnceOutcome {
-        if self.closing.is_closed() {
+        if self.shutdown_gate.is_closed() {
             return OnceOutcome::NotRun(RefusalReason::NoTarget);
         }
-        // In a task of its own: the call is dropped when its front goes away,
-        // but a request that is claimed has to be seen to its end.
+        // Runs in a separate task: the call is dropped if its front disconnects, but a claimed
+        // request must be tracked to its end.
         let running = tokio::spawn(async move { self.owner.run(batch).await });
         let lost = OnceOutcome::Unknown(hawthorn_types::UnknownReason::OwnerLost);
         running.await.unwrap_or(lost)
@@ -99,16 +98,16 @@
     }
 }
 
-fn turned_away(batch: SearchBatch) -> BatchAnswer {
+fn reject(batch: SearchBatch) -> BatchAnswer {
     let parts = batch.pieces.iter().map(|piece| (piece.number, PieceOutcome::NotOwner));
     BatchAnswer { request: batch.request, parts: parts.collect(), queued_us: 0, view: None }
 }
 
-/// Serves calls until cancelled. The process first waits for calls in flight
-/// (see the stop sequence), so that nothing is cut off.
+/// Serves calls until cancelled. The stop sequence of the process waits for calls in flight before
+/// it cancels.
 ///
 /// # Errors
-/// When the address cannot be bound.
+/// If the address cannot be bound.
 pub async fn start(
     address: SocketAddr,
     server: PeerServer,
@@ -125,9 +124,13 @@
                 Ok((stream, _)) => serve(stream, server.clone(), &stop),
                 Err(error) => {
                     let event = LogEvent::PeerMessageBad;
-                    crate::log_event!(log::Level::Warn, event, "accepting a peer: {error}");
-                    // Out of file handles, say: at once it would fail again.
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    crate::log_event!(
+                        log::Level::Warn,
+                        event,
+                        "cannot accept a connection: {error}"
+                    );
+                    // If file descriptors are exhausted, accepting again at once would fail again.
+                    tokio::time::sleep(ACCEPT_BACKOFF).await;
                 }
             }
         }
@@ -136,8 +139,8 @@
 }
 
 fn serve(stream: TcpStream, server: PeerServer, stop: &CancellationToken) {
-    // Failure: an answer of more than one segment waits for the other side's
-    // delayed acknowledgement, 40 ms, which shows as a second hump of latencies.
+    // Failure: with Nagle's algorithm, an answer of more than one segment waits for the peer's
+    // delayed acknowledgement (40 ms), which shows as a second peak in the latency distribution.
     let _unset = stream.set_nodelay(true);
     let framed =
         LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_framed(stream);
--- a/crates/hawthorn-daemon/src/lib.rs
+++ b/crates/hawthorn-daemon/src/lib.rs
@@ -1,7 +1,7 @@
-//! The process: threads, sockets and life spans around the decisions.
+//! The daemon process: the threads, sockets and state around the decision crates.
 //!
-//! Modules are laid out by life span: [`request`], [`connection`], [`version`],
-//! [`process`]; [`owner`] is the duty that holds targets.
+//! Modules are grouped by the lifetime of their state: [`request`], [`connection`], [`version`] and
+//! [`process`]. [`owner`] is the worker thread that holds the targets.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms)]
 
--- a/crates/hawthorn-daemon/src/owner/attempt.rs
+++ b/crates/hawthorn-daemon/src/owner/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one target: sent, answered, checked.
+//! Sends one attempt to one target and validates the answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,84 +20,83 @@
 use hawthorn_pool::PoolAnswer;
 use hawthorn_pool::TargetPool;
 
-/// A cancellation is worth waiting for only so long: the attempt it ends is
-/// closed soon after in any case.
+/// Timeout of a cancellation. The attempt that it cancels is closed soon after in any case.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a target said, checked to belong to its attempt.
+/// Answer of a target, validated to belong to its attempt.
 #[derive(Debug)]
 pub(crate) enum AttemptAnswer {
-    /// It searched.
+    /// The target searched.
     Search(ShardAnswer),
-    /// It ran and succeeded.
+    /// The request ran and succeeded.
     Ran(String),
-    /// It ran and failed.
+    /// The request ran and failed.
     RanAndFailed,
 }
 
-/// The end of an attempt.
+/// Completion of an attempt.
 #[derive(Debug)]
-pub(crate) struct AttemptEnd {
+pub(crate) struct AttemptCompletion {
     pub(crate) attempt: AttemptId,
     pub(crate) result: AttemptResult,
     pub(crate) answer: Option<AttemptAnswer>,
-    /// Versions a target named when it refused one.
+    /// Versions that the target holds, listed when it rejected the requested one.
     pub(crate) versions: Vec<hawthorn_types::IndexVersion>,
 }
 
-impl AttemptEnd {
-    fn bare(attempt: AttemptId, result: AttemptResult) -> Self {
+impl AttemptCompletion {
+    fn without_answer(attempt: AttemptId, result: AttemptResult) -> Self {
         Self { attempt, result, answer: None, versions: Vec::new() }
     }
 }
 
-/// Sends a search and waits for its end.
-pub(crate) async fn search(pool: Arc<TargetPool>, ask: ShardSearch) -> AttemptEnd {
-    let attempt = AttemptId(ask.attempt);
-    let body = serde_json::to_vec(&ask).expect("a search has no key that is not a string");
-    let left = Duration::from_millis(ask.deadline_ms);
+/// Sends a search and waits for its completion.
+pub(crate) async fn search(pool: Arc<TargetPool>, search: ShardSearch) -> AttemptCompletion {
+    let attempt = AttemptId(search.attempt);
+    let body = serde_json::to_vec(&search).expect("a search has no key that is not a string");
+    let left = Duration::from_millis(search.deadline_ms);
     let answer = match pool.exchange(Method::POST, "/search", body, left).await {
         Ok(answer) => answer,
-        Err(error) => return AttemptEnd::bare(attempt, failure(&error)),
+        Err(error) => return AttemptCompletion::without_answer(attempt, failure(&error)),
     };
     if answer.status != StatusCode::OK {
-        return refusal(attempt, &ask.request, &answer);
+        return refusal(attempt, &search.request, &answer);
     }
     match serde_json::from_slice::<ShardAnswer>(&answer.body) {
-        Ok(parsed) if belongs(&ask, &parsed) => AttemptEnd {
+        Ok(parsed) if matches_search(&search, &parsed) => AttemptCompletion {
             attempt,
             result: AttemptResult::Answered,
             answer: Some(AttemptAnswer::Search(parsed)),
             versions: Vec::new(),
         },
-        _ => AttemptEnd::bare(attempt, AttemptResult::Crossed),
+        _ => AttemptCompletion::without_answer(attempt, AttemptResult::Crossed),
     }
 }
 
-/// Whether the answer is the answer to this search.
+/// Whether the answer belongs to this search.
 ///
-/// Failure: a target or a proxy before it mixes up connections, or switches
-/// versions half way. A caller would see another's matches, or two snapshots
-/// in one answer. Every field that names the search must come back equal, and
-/// nothing outside the range asked may have been searched.
-fn belongs(ask: &ShardSearch, answer: &ShardAnswer) -> bool {
-    let beyond = answer.searched.difference(&RangeSet::from(ask.range));
-    answer.request == ask.request
-        && answer.attempt == ask.attempt
-        && answer.shard == ask.shard
-        && answer.version == ask.version
-        && beyond.is_empty()
+/// Failure: a target, or a proxy in front of it, mixes up connections or switches versions during a
+/// search. The caller would get another caller's matches, or two snapshots in one answer. Every
+/// field that identifies the search must be echoed unchanged, and nothing outside the requested
+/// range may have been searched.
+fn matches_search(search: &ShardSearch, answer: &ShardAnswer) -> bool {
+    let outside = answer.searched.difference(&RangeSet::from(search.range));
+    answer.request == search.request
+        && answer.attempt == search.attempt
+        && answer.shard == search.shard
+        && answer.version == search.version
+        && outside.is_empty()
         && answer.matches.iter().all(|found| answer.searched.contains(found.key))
 }
 
-/// Sends a non-idempotent request and waits for its end.
-pub(crate) async fn run(pool: Arc<TargetPool>, ask: TargetRun) -> AttemptEnd {
-    let attempt = AttemptId(ask.attempt);
-    let body = serde_json::to_vec(&ask).expect("a run has no key that is not a string");
-    let left = Duration::from_millis(ask.deadline_ms);
+/// Sends a non-idempotent request and waits for its completion.
+pub(crate) async fn run(pool: Arc<TargetPool>, run: TargetRun) -> AttemptCompletion {
+    let attempt = AttemptId(run.attempt);
+    let body = serde_json::to_vec(&run).expect("a run has no key that is not a string");
+    let left = Duration::from_millis(run.deadline_ms);
     let answer = match pool.exchange(Method::POST, "/run", body, left).await {
         Ok(answer) => answer,
-        Err(error) => return AttemptEnd::bare(attempt, failure(&error)),
+        Err(error) => return AttemptCompletion::without_answer(attempt, failure(&error)),
     };
     let ran = |parsed: RunAnswer| match answer.status {
         StatusCode::OK => AttemptAnswer::Ran(parsed.result),
@@ -106,18 +105,18 @@
     match answer.status {
         StatusCode::OK | StatusCode::INTERNAL_SERVER_ERROR => {
             match serde_json::from_slice::<RunAnswer>(&answer.body) {
-                Ok(parsed) if parsed.request == ask.request && parsed.attempt == ask.attempt => {
-                    AttemptEnd {
+                Ok(parsed) if parsed.request == run.request && parsed.attempt == run.attempt => {
+                    AttemptCompletion {
                         attempt,
                         result: AttemptResult::Answered,
                         answer: Some(ran(parsed)),
                         versions: Vec::new(),
                     }
                 }
-                _ => AttemptEnd::bare(attempt, AttemptResult::Crossed),
+                _ => AttemptCompletion::without_answer(attempt, AttemptResult::Crossed),
             }
         }
-        _ => refusal(attempt, &ask.request, &answer),
+        _ => refusal(attempt, &run.request, &answer),
     }
 }
 
@@ -130,25 +129,25 @@
     }
 }
 
-/// A refusal counts as one only when it names this attempt: "not run" must not
-/// rest on a message meant for another.
-fn refusal(attempt: AttemptId, request: &str, answer: &PoolAnswer) -> AttemptEnd {
+/// A refusal is accepted only if it names this attempt: "not run" must not be concluded from a
+/// message that belongs to another attempt.
+fn refusal(attempt: AttemptId, request: &str, answer: &PoolAnswer) -> AttemptCompletion {
     match serde_json::from_slice::<RefusedAttempt>(&answer.body) {
         Ok(refused) if refused.request == request && refused.attempt == attempt.0 => {
             let result = match refused.refusal {
                 TargetRefusal::Cancelled => AttemptResult::Cancelled,
                 other => AttemptResult::Refused(other),
             };
-            AttemptEnd { attempt, result, answer: None, versions: refused.versions }
+            AttemptCompletion { attempt, result, answer: None, versions: refused.versions }
         }
-        _ => AttemptEnd::bare(attempt, AttemptResult::Crossed),
+        _ => AttemptCompletion::without_answer(attempt, AttemptResult::Crossed),
     }
 }
 
-/// Tells the target that an attempt's answer is no longer wanted.
+/// Notifies the target that the answer of an attempt is no longer needed.
 pub(crate) async fn cancel(pool: Arc<TargetPool>, request: String, attempt: AttemptId) {
     let cancel = CancelAttempt { request, attempt: attempt.0 };
     let body = serde_json::to_vec(&cancel).expect("a cancellation has only string keys");
-    // Whether it arrived shows in how the attempt ends.
+    // The outcome of the cancellation shows in how the attempt ends.
     let _answer = pool.exchange(Method::POST, "/cancel", body, CANCEL_TIMEOUT).await;
 }
--- a/crates/hawthorn-daemon/src/owner/batch.rs
+++ b/crates/hawthorn-daemon/src/owner/batch.rs
@@ -1,4 +1,4 @@
-//! Batches and pieces while the duty works on them.
+//! Open batches and pieces of the owner worker.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -17,26 +17,26 @@
 use crate::connection::message::PieceOutcome;
 use crate::connection::message::SearchBatch;
 
-/// A batch of a query, open until each of its pieces has ended.
+/// A batch of a query, open until all its pieces have ended.
 pub(crate) struct OpenSearch {
     pub(crate) batch: SearchBatch,
     /// The request id as targets get it.
     pub(crate) request: String,
     pub(crate) parts: Vec<(u32, PieceOutcome)>,
-    pub(crate) left: usize,
-    /// The longest that a piece waited for its first slot.
+    pub(crate) remaining: usize,
+    /// Longest time that a piece waited for its first slot.
     pub(crate) queued: Duration,
     pub(crate) reply: oneshot::Sender<BatchAnswer>,
 }
 
-/// A non-idempotent request, open until its one attempt has ended.
+/// A non-idempotent request, open until its only attempt has ended.
 pub(crate) struct OpenRun {
     pub(crate) batch: OnceBatch,
     pub(crate) request: String,
     pub(crate) reply: oneshot::Sender<OnceOutcome>,
 }
 
-/// What the duty holds open.
+/// An open batch or request.
 pub(crate) enum OpenBatch {
     Search(OpenSearch),
     Run(OpenRun),
@@ -52,7 +52,7 @@
     }
 }
 
-/// One piece in the decisions' hands.
+/// One piece that the decision state machine is processing.
 pub(crate) struct OpenPiece {
     pub(crate) batch: BatchKey,
     pub(crate) number: u32,
@@ -60,8 +60,8 @@
     pub(crate) version: IndexVersion,
     pub(crate) range: KeyRange,
     pub(crate) deadline: TickTime,
-    /// When it came in; none once its wait for a slot is noted.
-    pub(crate) waits_since: Option<TickTime>,
+    /// Arrival time; `None` once its wait for a slot has been recorded.
+    pub(crate) queued_since: Option<TickTime>,
 }
 
 /// All open batches and their pieces.
@@ -73,7 +73,7 @@
 }
 
 impl BatchTable {
-    /// Adds a piece and names it.
+    /// Adds a piece and returns its key.
     pub(crate) fn add_piece(&mut self, piece: OpenPiece) -> PieceKey {
         self.next_piece += 1;
         let key = PieceKey(self.next_piece);
@@ -81,17 +81,17 @@
         key
     }
 
-    /// Notes that a piece waits for a slot no longer.
-    pub(crate) fn note_wait(&mut self, key: PieceKey, now: TickTime) {
+    /// Records the time that a piece waited for its first slot.
+    pub(crate) fn record_wait(&mut self, key: PieceKey, now: TickTime) {
         let Some(piece) = self.pieces.get_mut(&key) else { return };
-        let Some(since) = piece.waits_since.take() else { return };
+        let Some(since) = piece.queued_since.take() else { return };
         if let Some(OpenBatch::Search(open)) = self.batches.get_mut(&piece.batch) {
             open.queued = open.queued.max(now.since(since));
         }
     }
 
-    /// Takes a batch out with the keys of the pieces still open.
-    pub(crate) fn withdraw(&mut self, batch: BatchKey) -> Vec<PieceKey> {
+    /// Removes a batch and returns the keys of its open pieces.
+    pub(crate) fn remove_batch(&mut self, batch: BatchKey) -> Vec<PieceKey> {
         if self.batches.remove(&batch).is_none() {
             return Vec::new();
         }
@@ -99,15 +99,15 @@
         open.map(|(&key, _)| key).collect()
     }
 
-    /// Notes the end of a piece of a search; gives the batch once it was the last.
+    /// Records the outcome of a piece of a search; returns the batch if this was its last piece.
     pub(crate) fn end_piece(&mut self, key: PieceKey, outcome: PieceOutcome) -> Option<OpenSearch> {
         let piece = self.pieces.remove(&key)?;
         let Some(OpenBatch::Search(open)) = self.batches.get_mut(&piece.batch) else {
             return None;
         };
         open.parts.push((piece.number, outcome));
-        open.left -= 1;
-        if open.left > 0 {
+        open.remaining -= 1;
+        if open.remaining > 0 {
             return None;
         }
         match self.batches.remove(&piece.batch) {
--- a/crates/hawthorn-daemon/src/owner/finish.rs
+++ b/crates/hawthorn-daemon/src/owner/finish.rs
@@ -1,4 +1,4 @@
-//! Ends pieces and answers batches.
+//! Finishes pieces and answers batches.
 
 use std::collections::HashSet;
 
@@ -12,12 +12,12 @@
 use super::attempt::AttemptAnswer;
 use super::batch::OpenBatch;
 use super::batch::OpenSearch;
-use super::duty::OwnerDuty;
+use super::worker::OwnerWorker;
 use crate::connection::message::BatchAnswer;
 use crate::connection::message::OnceOutcome;
 use crate::connection::message::PieceOutcome;
 
-impl OwnerDuty {
+impl OwnerWorker {
     pub(super) fn finish(&mut self, piece: PieceKey, result: PieceResult) {
         let retired = self.retired.remove(&piece);
         match result {
@@ -36,10 +36,10 @@
         }
     }
 
-    /// Ends a piece of a search that has no answer here.
+    /// Finishes a piece of a search that has no answer from this owner.
     pub(super) fn end_missing(&mut self, piece: PieceKey, reason: MissingReason) {
-        self.table.note_wait(piece, self.now());
-        if !self.relay_instead(piece, reason) {
+        self.table.record_wait(piece, self.now());
+        if !self.defer_to_relay(piece, reason) {
             self.end_search_piece(piece, PieceOutcome::Missing(reason));
         }
     }
@@ -75,7 +75,7 @@
     }
 
     pub(super) fn end_search_piece(&mut self, piece: PieceKey, outcome: PieceOutcome) {
-        self.relays.forget(piece);
+        self.relays.remove(piece);
         if let Some(open) = self.table.end_piece(piece, outcome) {
             self.answer(open);
         }
@@ -87,7 +87,7 @@
         let queued_us = u64::try_from(open.queued.as_micros()).unwrap_or(u64::MAX);
         let answer =
             BatchAnswer { request: open.batch.request, parts: open.parts, queued_us, view };
-        // A front that no longer listens has its reason; nothing is owed to it.
+        // Sending fails if the front has stopped waiting, which needs no handling.
         let _gone = open.reply.send(answer);
     }
 
--- a/crates/hawthorn-daemon/src/owner/intent.rs
+++ b/crates/hawthorn-daemon/src/owner/intent.rs
@@ -1,5 +1,5 @@
-//! Follows the rounds of the reconciler: gives its orders to targets and uses
-//! those that it holds.
+//! Applies the rounds of the reconciler: sends orders to targets and keeps using the targets that
+//! it holds.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,87 +14,88 @@
 use hyper::StatusCode;
 use tokio::time::Instant;
 
-use super::duty::OwnedTarget;
-use super::duty::OwnerDuty;
-use super::duty::TaskEnd;
-use super::seen::IntentRound;
-use super::seen::SeenRecord;
-use super::seen::SeenReport;
-use super::seen::TargetOrder;
-use super::usage::HoldVerdict;
+use super::snapshot::IntentRound;
+use super::snapshot::OwnerSnapshot;
+use super::snapshot::TargetOrder;
+use super::snapshot::TargetSnapshot;
+use super::usage::HoldDecision;
 use super::usage::UsageInputs;
 use super::usage::usage;
+use super::worker::OwnedTarget;
+use super::worker::OwnerWorker;
+use super::worker::TaskCompletion;
 
-/// How often the reconciler gets a new picture: several times a round.
-const SEEN_INTERVAL: Duration = Duration::from_millis(250);
+/// Minimum interval between snapshots for the reconciler: several per round.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// An order that takes longer is given again by a later round.
+/// Timeout of an order; a later round repeats it.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A target counts as ready towards other zones once it has been used for so
-/// long. Load: the reconciler of another zone switches its replica off for this
-/// one's sake. Harm: this one's report was from before its last order, and the
-/// shard has no target. As long as that reconciler lets its own ones settle.
+/// Time for which a target must have been in use before it is reported as ready to other zones.
+///
+/// Failure: another zone's reconciler switches off its replica because of a report from before this
+/// target's last order, and the shard has no target left. Equal to the settling time that a
+/// reconciler grants its own targets.
 const READY_AFTER: Duration = Duration::from_secs(5);
 
-/// A target that is off on purpose is asked so seldom: one that was switched on
-/// by hand is seen soon enough, and hundreds that are off cost little.
+/// Probe interval of a target that is switched off intentionally. Short enough to detect one that
+/// was switched on by hand, and cheap for hundreds of targets that are off.
 const OFF_PROBE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What a target last showed of itself.
+/// State of a target according to its last probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct TargetSight {
-    /// None when it did not answer.
+pub(super) struct TargetStatus {
+    /// `None` if it did not answer.
     phase: Option<TargetPhase>,
-    /// It answers, but holds nothing and works on nothing.
-    is_bare: bool,
+    /// Whether it answers but holds nothing and has no requests in flight.
+    is_empty: bool,
 }
 
-impl TargetSight {
-    /// It did not answer.
-    pub(super) const LOST: Self = Self { phase: None, is_bare: false };
+impl TargetStatus {
+    /// The target did not answer.
+    pub(super) const UNREACHABLE: Self = Self { phase: None, is_empty: false };
 
-    /// It answered.
+    /// Status from a target's answer.
     pub(super) fn of(state: &TargetState) -> Self {
-        Self { phase: Some(state.phase), is_bare: state.held.is_empty() && state.busy == 0 }
+        Self { phase: Some(state.phase), is_empty: state.held.is_empty() && state.busy == 0 }
     }
 }
 
-/// What is wanted of a target, how it is used, and what it was told and showed.
+/// Desired state of a target, how it is used, and its last order and status.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct TargetUse {
-    /// What operators want.
+pub(super) struct TargetUsage {
+    /// State that operators want.
     pub(super) wanted: DesiredState,
     wanted_since: Instant,
-    /// How long the target takes to warm.
+    /// Time that the target takes to warm up.
     cold_start: Duration,
-    /// How it is used; none before it was decided for the first time.
-    used: Option<DesiredState>,
-    used_since: Instant,
-    /// None before it was asked for the first time.
-    sight: Option<TargetSight>,
+    /// How it is used; `None` before the first decision.
+    effective: Option<DesiredState>,
+    effective_since: Instant,
+    /// `None` before the first probe.
+    status: Option<TargetStatus>,
     /// The last order that it acknowledged.
-    told: Option<DesiredState>,
+    acknowledged: Option<DesiredState>,
     probed_at: Option<Instant>,
 }
 
-impl TargetUse {
+impl TargetUsage {
     pub(super) fn new(wanted: DesiredState, cold_start: Duration) -> Self {
         let now = Instant::now();
         Self {
             wanted,
             wanted_since: now,
             cold_start,
-            used: None,
-            used_since: now,
-            sight: None,
-            told: None,
+            effective: None,
+            effective_since: now,
+            status: None,
+            acknowledged: None,
             probed_at: None,
         }
     }
 
-    /// Notes what the revision in force wants.
-    pub(super) fn want(&mut self, wanted: DesiredState, cold_start: Duration) {
+    /// Sets the state wanted by the revision in force.
+    pub(super) fn set_wanted(&mut self, wanted: DesiredState, cold_start: Duration) {
         if self.wanted != wanted {
             self.wanted = wanted;
             self.wanted_since = Instant::now();
@@ -102,50 +103,52 @@
         self.cold_start = cold_start;
     }
 
-    /// Notes what a probe brought.
-    pub(super) fn see(&mut self, sight: TargetSight) {
-        self.sight = Some(sight);
+    /// Records the result of a probe.
+    pub(super) fn record_status(&mut self, status: TargetStatus) {
+        self.status = Some(status);
     }
 
-    fn decide(&self, verdict: HoldVerdict) -> DesiredState {
+    fn decide(&self, hold_decision: HoldDecision) -> DesiredState {
         usage(UsageInputs {
             wanted: self.wanted,
-            before: self.used,
+            previous: self.effective,
             phase: self.phase(),
-            verdict,
-            is_due: self.wanted_since.elapsed() >= self.cold_start,
+            hold_decision,
+            cold_start_elapsed: self.wanted_since.elapsed() >= self.cold_start,
         })
     }
 
     fn phase(&self) -> Option<TargetPhase> {
-        self.sight?.phase
+        self.status?.phase
     }
 
-    /// Whether fronts may count on it: it gets work and does not say it leaves.
+    /// Whether fronts may use it: it gets work and has not reported that it is draining.
     pub(super) fn is_usable(&self) -> bool {
-        self.used == Some(DesiredState::Serve) && self.phase() != Some(TargetPhase::Draining)
+        self.effective == Some(DesiredState::Serve) && self.phase() != Some(TargetPhase::Draining)
     }
 
-    /// Whether another zone may let its replica go for this one's sake.
+    /// Whether another zone may switch off its replica because of this one.
     pub(super) fn is_ready(&self) -> bool {
-        let is_used = self.wanted == DesiredState::Serve && self.used == Some(DesiredState::Serve);
+        let is_serving =
+            self.wanted == DesiredState::Serve && self.effective == Some(DesiredState::Serve);
         let is_warm = self.phase() == Some(TargetPhase::Ready);
-        is_used && is_warm && self.used_since.elapsed() >= READY_AFTER
+        is_serving && is_warm && self.effective_since.elapsed() >= READY_AFTER
     }
 
-    /// Whether it is switched off, as told. What still answers then, an agent
-    /// beside the target, reports that it drains and holds nothing.
+    /// Whether it is switched off as ordered. If something still answers then, such as an agent
+    /// beside the target, it reports that it is draining and holds nothing.
     fn is_off(&self) -> bool {
-        let was_told = self.wanted == DesiredState::Off && self.told == Some(DesiredState::Off);
-        was_told && self.phase() == Some(TargetPhase::Draining) && self.is_bare()
+        let is_acknowledged =
+            self.wanted == DesiredState::Off && self.acknowledged == Some(DesiredState::Off);
+        is_acknowledged && self.phase() == Some(TargetPhase::Draining) && self.is_empty()
     }
 
-    fn is_bare(&self) -> bool {
-        self.sight.is_some_and(|sight| sight.is_bare)
+    fn is_empty(&self) -> bool {
+        self.status.is_some_and(|status| status.is_empty)
     }
 
-    /// Whether to ask it now, when the decisions want to.
-    fn take_probe(&mut self) -> bool {
+    /// Whether a probe is due; records the time of the probe if so.
+    fn try_begin_probe(&mut self) -> bool {
         let is_off = self.wanted == DesiredState::Off && (self.phase().is_none() || self.is_off());
         let is_recent = self.probed_at.is_some_and(|at| at.elapsed() < OFF_PROBE_INTERVAL);
         if is_off && is_recent {
@@ -156,63 +159,68 @@
     }
 }
 
-/// The end of one order.
-pub(super) struct OrderEnd {
+/// Completion of one order.
+pub(super) struct OrderCompletion {
     target: TargetKey,
-    tell: DesiredState,
+    state: DesiredState,
     is_done: bool,
 }
 
-impl OwnerDuty {
-    /// Whether a probe that the decisions ask for is worth its cost.
-    pub(super) fn take_probe_due(&mut self, key: TargetKey) -> bool {
-        self.targets.get_mut(&key).is_some_and(|target| target.usage.take_probe())
+impl OwnerWorker {
+    /// Whether to send a probe that the decision state machine requests. Probes of targets that are
+    /// switched off are limited.
+    pub(super) fn try_begin_probe(&mut self, key: TargetKey) -> bool {
+        self.targets.get_mut(&key).is_some_and(|target| target.usage.try_begin_probe())
     }
 
-    /// How a target is used from now on.
-    pub(super) fn use_target(&mut self, key: TargetKey, revision: ConfigRevision) -> DesiredState {
-        let verdict = self.verdict(key, revision);
-        let target = self.targets.get_mut(&key).expect("kept just before it is used");
-        let used = target.usage.decide(verdict);
-        if target.usage.used != Some(used) {
-            target.usage.used = Some(used);
-            target.usage.used_since = Instant::now();
+    /// Decides and records how a target is used from now on.
+    pub(super) fn update_usage(
+        &mut self,
+        key: TargetKey,
+        revision: ConfigRevision,
+    ) -> DesiredState {
+        let hold_decision = self.hold_decision(key, revision);
+        let target = self.targets.get_mut(&key).expect("inserted before its usage is updated");
+        let effective = target.usage.decide(hold_decision);
+        if target.usage.effective != Some(effective) {
+            target.usage.effective = Some(effective);
+            target.usage.effective_since = Instant::now();
         }
-        used
+        effective
     }
 
-    fn verdict(&self, key: TargetKey, revision: ConfigRevision) -> HoldVerdict {
+    fn hold_decision(&self, key: TargetKey, revision: ConfigRevision) -> HoldDecision {
         if self.round.revision != revision {
-            return HoldVerdict::NotJudged;
+            return HoldDecision::Pending;
         }
         match self.round.held.contains(self.target_names.name(key.0)) {
-            true => HoldVerdict::Held,
-            false => HoldVerdict::Released,
+            true => HoldDecision::Held,
+            false => HoldDecision::Released,
         }
     }
 
-    /// Uses a target otherwise if what it showed calls for it.
-    pub(super) fn review_use(&mut self, key: TargetKey) {
+    /// Reapplies all targets if the last probe changes how this one is used.
+    pub(super) fn review_usage(&mut self, key: TargetKey) {
         let Some(revision) = self.revision() else { return };
-        let verdict = self.verdict(key, revision);
+        let hold_decision = self.hold_decision(key, revision);
         let Some(target) = self.targets.get(&key) else { return };
-        if target.usage.used != Some(target.usage.decide(verdict)) {
+        if target.usage.effective != Some(target.usage.decide(hold_decision)) {
             self.apply_targets();
         }
     }
 
-    /// Takes a round in: what is released gets no new work from here on, and
-    /// only then hears that it is to leave.
-    pub(super) fn take_round(&mut self, round: IntentRound) {
+    /// Applies a round. A released target first stops getting new work, and only then gets its
+    /// order to leave.
+    pub(super) fn apply_round(&mut self, round: IntentRound) {
         if Some(round.revision) < self.revision() {
-            // Worked out from a revision that is no longer in force here; the
-            // next round is under way.
+            // The round is based on an older revision than the one in force here; the next round
+            // follows.
             return;
         }
         let orders = round.orders.clone();
-        let is_same = self.round.revision == round.revision && self.round.held == round.held;
+        let is_unchanged = self.round.revision == round.revision && self.round.held == round.held;
         self.round = round;
-        if !is_same {
+        if !is_unchanged {
             self.apply_targets();
         }
         for order in orders {
@@ -224,41 +232,41 @@
         let Some(number) = self.target_names.number(&order.target) else { return };
         let key = TargetKey(number);
         let Some(target) = self.targets.get(&key) else { return };
-        let intent = TargetIntent { wanted: order.tell, revision: self.round.revision };
+        let intent = TargetIntent { wanted: order.state, revision: self.round.revision };
         let body = serde_json::to_vec(&intent).expect("an order has only string keys");
         let pool = Arc::clone(&target.pool);
-        let ends = self.ends.clone();
-        let tell = order.tell;
+        let completions = self.completions.clone();
+        let state = order.state;
         tokio::spawn(async move {
             let answer = pool.exchange(Method::POST, "/intent", body, ORDER_TIMEOUT).await;
             let is_done = answer.is_ok_and(|answer| answer.status == StatusCode::OK);
-            let end = OrderEnd { target: key, tell, is_done };
-            let _stopped = ends.send(TaskEnd::Order(end)).await;
+            let completion = OrderCompletion { target: key, state, is_done };
+            let _stopped = completions.send(TaskCompletion::Order(completion)).await;
         });
     }
 
-    pub(super) fn take_order_end(&mut self, end: &OrderEnd) {
-        if let Some(target) = self.targets.get_mut(&end.target)
-            && end.is_done
+    pub(super) fn handle_order(&mut self, completion: &OrderCompletion) {
+        if let Some(target) = self.targets.get_mut(&completion.target)
+            && completion.is_done
         {
-            target.usage.told = Some(end.tell);
+            target.usage.acknowledged = Some(completion.state);
         }
     }
 
-    /// Shows the reconciler all targets, at most every [`SEEN_INTERVAL`].
-    pub(super) fn show_targets(&mut self) {
-        if self.seen_at.elapsed() < SEEN_INTERVAL {
+    /// Publishes a snapshot of all targets, at most every [`SNAPSHOT_INTERVAL`].
+    pub(super) fn publish_snapshot(&mut self) {
+        if self.snapshot_at.elapsed() < SNAPSHOT_INTERVAL {
             return;
         }
-        self.seen_at = Instant::now();
-        let asked = self.targets.iter().filter(|(_, target)| target.usage.sight.is_some());
-        let targets = asked.map(|(&key, target)| self.seen_record(key, target)).collect();
-        self.seen.send_replace(Arc::new(SeenReport { targets }));
+        self.snapshot_at = Instant::now();
+        let observed = self.targets.iter().filter(|(_, target)| target.usage.status.is_some());
+        let targets = observed.map(|(&key, target)| self.target_snapshot(key, target)).collect();
+        self.snapshot.send_replace(Arc::new(OwnerSnapshot { targets }));
     }
 
-    fn seen_record(&self, key: TargetKey, target: &OwnedTarget) -> SeenRecord {
+    fn target_snapshot(&self, key: TargetKey, target: &OwnedTarget) -> TargetSnapshot {
         let phase = target.usage.phase().filter(|_| !target.usage.is_off());
-        SeenRecord {
+        TargetSnapshot {
             target: self.target_names.name(key.0).clone(),
             phase,
             in_flight: u32::from(self.state.slots_in_use(key)),
--- a/crates/hawthorn-daemon/src/owner/mod.rs
+++ b/crates/hawthorn-daemon/src/owner/mod.rs
@@ -1,24 +1,24 @@
-//! The owner's duty: one thread that alone holds the slots and connections of
-//! the targets this host owns, and drives the decisions of `hawthorn-decide`.
+//! The owner worker: one thread that exclusively holds the slots and connections of the targets
+//! that this host owns, and drives the decision state machine of `hawthorn-decide`.
 //!
-//! Commands come in over a bounded ring; a full ring refuses at once, so that
-//! an overloaded owner shows as a refusal and not as a growing queue.
+//! Commands arrive through a bounded channel. If it is full, new commands are rejected at once, so
+//! that overload leads to rejections and not to an unbounded queue.
 
 mod attempt;
 mod batch;
-mod duty;
 mod finish;
 mod intent;
-mod look;
 mod names;
+mod observe;
 mod probe;
+mod publish;
 mod relay;
 mod reload;
-pub mod seen;
-mod take;
-mod tell;
+pub mod snapshot;
+mod submit;
 pub mod usage;
 mod view;
+mod worker;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,13 +29,13 @@
 use tokio::sync::oneshot;
 use tokio::sync::watch;
 
-pub use self::duty::Options;
-pub use self::duty::OwnerInputs;
-pub use self::duty::start;
 pub use self::relay::RelayLinks;
-use self::seen::IntentRound;
-use self::seen::SeenReport;
+use self::snapshot::IntentRound;
+use self::snapshot::OwnerSnapshot;
 pub use self::view::OwnerGauges;
+pub use self::worker::Options;
+pub use self::worker::OwnerInputs;
+pub use self::worker::start;
 use crate::connection::message::BatchAnswer;
 use crate::connection::message::OnceBatch;
 use crate::connection::message::OnceOutcome;
@@ -43,11 +43,11 @@
 use crate::connection::message::PieceOutcome;
 use crate::connection::message::SearchBatch;
 
-/// Names a batch within the duty.
+/// Identifies a batch within the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct BatchKey(pub u64);
 
-/// What the duty is asked.
+/// Commands to the worker.
 pub(crate) enum OwnerCommand {
     Search {
         key: BatchKey,
@@ -59,38 +59,37 @@
         batch: OnceBatch,
         reply: oneshot::Sender<OnceOutcome>,
     },
-    /// Nobody waits for the batch any more.
-    Withdraw(BatchKey),
+    /// The batch is no longer needed.
+    Cancel(BatchKey),
     /// A round of the reconciler.
-    Intend(IntentRound),
+    ApplyRound(IntentRound),
 }
 
-/// The way into the owner's duty, for fronts of this host and, through the
-/// peer interface, of others.
+/// Handle to the owner worker, used by the front of this host and, through the peer interface, by
+/// fronts of other hosts.
 #[derive(Clone, Debug)]
 pub struct OwnerHandle {
     commands: mpsc::Sender<OwnerCommand>,
     view: watch::Receiver<Arc<OwnerView>>,
     gauges: watch::Receiver<OwnerGauges>,
-    seen: watch::Receiver<Arc<SeenReport>>,
+    snapshot: watch::Receiver<Arc<OwnerSnapshot>>,
     next_batch: Arc<std::sync::atomic::AtomicU64>,
 }
 
-/// Withdraws a batch whose asker went away: the caller hung up, its deadline
-/// passed, or another owner was quicker. Without it the pieces would go on
-/// holding slots for an answer nobody reads.
-struct WithdrawGuard<'a> {
+/// Cancels a batch on drop, unless it is done: the caller hung up, its deadline passed, or another
+/// owner answered first. Otherwise its pieces would hold slots for an answer that is discarded.
+struct CancelGuard<'a> {
     commands: &'a mpsc::Sender<OwnerCommand>,
     key: BatchKey,
     done: bool,
 }
 
-impl Drop for WithdrawGuard<'_> {
+impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
         if !self.done {
-            // With the ring full the withdrawal is lost; the pieces then end
-            // at their deadline, which bounds the harm.
-            let _sent = self.commands.try_send(OwnerCommand::Withdraw(self.key));
+            // If the channel is full, the cancellation is lost and the pieces end at their
+            // deadline.
+            let _sent = self.commands.try_send(OwnerCommand::Cancel(self.key));
         }
     }
 }
@@ -100,7 +99,7 @@
         BatchKey(self.next_batch.fetch_add(1, std::sync::atomic::Ordering::Relaxed))
     }
 
-    /// Searches the pieces of a batch. Dropping the future withdraws them.
+    /// Searches the pieces of a batch. Dropping the future cancels them.
     pub async fn search(&self, batch: SearchBatch) -> BatchAnswer {
         let key = self.next_key();
         let (reply, answer) = oneshot::channel();
@@ -117,13 +116,13 @@
         if self.commands.try_send(OwnerCommand::Search { key, batch, reply }).is_err() {
             return refused;
         }
-        let mut guard = WithdrawGuard { commands: &self.commands, key, done: false };
+        let mut guard = CancelGuard { commands: &self.commands, key, done: false };
         let answer = answer.await.unwrap_or(refused);
         guard.done = true;
         answer
     }
 
-    /// Runs a non-idempotent request, claimed by its front.
+    /// Runs a non-idempotent request that its front has claimed.
     pub async fn run(&self, batch: OnceBatch) -> OnceOutcome {
         let key = self.next_key();
         let (reply, answer) = oneshot::channel();
@@ -134,29 +133,29 @@
         answer.await.unwrap_or(lost)
     }
 
-    /// The view that fronts plan from.
+    /// Returns the view that fronts plan from.
     pub fn view(&self) -> Arc<OwnerView> {
         self.view.borrow().clone()
     }
 
-    /// What the duty holds now.
+    /// Returns the current gauges.
     pub fn gauges(&self) -> OwnerGauges {
         *self.gauges.borrow()
     }
 
-    /// What the duty sees of its targets.
-    pub fn seen(&self) -> Arc<SeenReport> {
-        self.seen.borrow().clone()
+    /// Returns the last snapshot of the owned targets.
+    pub fn snapshot(&self) -> Arc<OwnerSnapshot> {
+        self.snapshot.borrow().clone()
     }
 
-    /// Hands a round of the reconciler to the duty. With the ring full it is
-    /// lost: what is held stays so, and orders are given again by later rounds.
-    pub fn intend(&self, round: IntentRound) {
-        let _lost = self.commands.try_send(OwnerCommand::Intend(round));
+    /// Sends a round of the reconciler to the worker. If the channel is full, the round is lost:
+    /// held targets stay held, and later rounds repeat the orders.
+    pub fn apply_round(&self, round: IntentRound) {
+        let _lost = self.commands.try_send(OwnerCommand::ApplyRound(round));
     }
 
-    /// Resolves once the duty holds no batch, or after `grace`; tells whether
-    /// it was idle in time.
+    /// Resolves once the worker has no open batch, or after `grace`. Returns whether it became idle
+    /// in time.
     pub async fn idle(&mut self, grace: Duration) -> bool {
         let idle = self.gauges.wait_for(|gauges| gauges.batches == 0);
         matches!(tokio::time::timeout(grace, idle).await, Ok(Ok(_)))
--- a/crates/hawthorn-daemon/src/owner/names.rs
+++ b/crates/hawthorn-daemon/src/owner/names.rs
@@ -1,13 +1,12 @@
-//! Stable keys for the life of the owner's duty.
+//! Stable numeric keys for the lifetime of the owner worker.
 //!
-//! Keys of a catalog mean nothing in the next revision's catalog, but queues
-//! and slots live on across revisions. The duty therefore numbers names itself
-//! and never gives a number to a second name.
+//! A catalog's keys are valid for one revision only, but queues and slots persist across revisions.
+//! The worker therefore assigns its own numbers to names and never reuses a number.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Names and the numbers they were given, in order of first sight.
+/// Names and their numbers, in order of first use.
 #[derive(Clone, Debug)]
 pub(crate) struct NameTable<N> {
     numbers: HashMap<N, u32>,
@@ -19,7 +18,7 @@
         Self { numbers: HashMap::new(), names: Vec::new() }
     }
 
-    /// The number of `name`, given now if it has none.
+    /// Returns the number of `name`, assigning one if it has none.
     pub(crate) fn intern(&mut self, name: &N) -> u32 {
         if let Some(&number) = self.numbers.get(name) {
             return number;
@@ -30,7 +29,7 @@
         number
     }
 
-    /// The number of `name`, if it has one.
+    /// Returns the number of `name`, if it has one.
     pub(crate) fn number<Q>(&self, name: &Q) -> Option<u32>
     where
         N: std::borrow::Borrow<Q>,
@@ -39,7 +38,7 @@
         self.numbers.get(name).copied()
     }
 
-    /// The name behind a number.
+    /// Returns the name of a number.
     pub(crate) fn name(&self, number: u32) -> &N {
         &self.names[number as usize]
     }
--- a/crates/hawthorn-daemon/src/owner/probe.rs
+++ b/crates/hawthorn-daemon/src/owner/probe.rs
@@ -1,7 +1,7 @@
-//! Asking targets for their state.
+//! State probes of targets.
 //!
-//! What they say of their health and load is not believed for placing work;
-//! what they hold, and that they are leaving, is.
+//! A target's report of its health and load is not trusted for placement; its report of held
+//! versions and of draining is.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,21 +13,21 @@
 
 use hawthorn_pool::TargetPool;
 
-/// The end of one question to a target.
+/// Completion of one probe.
 #[derive(Debug)]
-pub(crate) struct ProbeEnd {
+pub(crate) struct ProbeCompletion {
     pub(crate) target: TargetKey,
-    /// None when it did not answer, or something else answers at its address.
+    /// `None` if it did not answer, or if another target answers at its address.
     pub(crate) state: Option<TargetState>,
 }
 
-/// Asks once.
+/// Sends one probe.
 pub(crate) async fn probe(
     target: TargetKey,
     name: String,
     pool: Arc<TargetPool>,
     timeout: Duration,
-) -> ProbeEnd {
+) -> ProbeCompletion {
     let answer = pool.exchange(Method::GET, "/state", Vec::new(), timeout).await;
     let state = match answer {
         Ok(answer) if answer.status == StatusCode::OK => {
@@ -35,7 +35,7 @@
         }
         _ => None,
     };
-    // An address given to another machine would otherwise answer for the old one.
+    // After an address is reassigned, the new target must not answer for the old one.
     let state = state.filter(|state| state.target == name);
-    ProbeEnd { target, state }
+    ProbeCompletion { target, state }
 }
--- a/crates/hawthorn-daemon/src/owner/tell.rs
+++ b/crates/hawthorn-daemon/src/owner/publish.rs
@@ -1,4 +1,4 @@
-//! Tells other duties, and through them other hosts, what is held here.
+//! Publishes the state of the owned targets to other workers, and through them to other hosts.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -10,19 +10,19 @@
 use hawthorn_types::ShardName;
 use hawthorn_types::UrgencyClass;
 
-use super::duty::OwnerDuty;
 use super::view;
 use super::view::OwnerGauges;
 use super::view::ShardTimes;
 use super::view::UsableReplica;
+use super::worker::OwnerWorker;
 
-impl OwnerDuty {
-    /// Tells fronts what can be searched here, and the process what is held.
-    pub(super) fn tell(&mut self) {
-        self.show_targets();
+impl OwnerWorker {
+    /// Publishes the view for fronts, the gauges and counters, and the busy buckets.
+    pub(super) fn publish(&mut self) {
+        self.publish_snapshot();
         let shards = self.shard_views();
-        let last = Arc::clone(&self.view.borrow());
-        if let Some(next) = view::next(&last, shards) {
+        let previous = Arc::clone(&self.view.borrow());
+        if let Some(next) = view::next(&previous, shards) {
             self.view.send_replace(Arc::new(next));
         }
         let counters = self.state.counters();
@@ -34,10 +34,10 @@
             attempts: counters.attempts,
             extra_attempts: extra_attempts(counters),
         };
-        self.gauges.send_if_modified(|last| std::mem::replace(last, gauges) != gauges);
+        self.gauges.send_if_modified(|previous| std::mem::replace(previous, gauges) != gauges);
         let counters = counters.clone();
-        self.metrics.count_owner(&self.counted, &counters);
-        self.counted = counters;
+        self.metrics.count_owner(&self.exported_counters, &counters);
+        self.exported_counters = counters;
         let running = self.buckets.iter().filter(|(key, _)| self.state.slots_in_use(**key) > 0);
         let busy: HashSet<u16> = running.map(|(_, &bucket)| bucket).collect();
         if **self.busy.borrow() != busy {
--- a/crates/hawthorn-daemon/src/owner/relay.rs
+++ b/crates/hawthorn-daemon/src/owner/relay.rs
@@ -1,9 +1,8 @@
-//! A piece's second chance at another zone's owner.
+//! Relays a piece to another zone's owner.
 //!
-//! The decisions when and whether are in [`hawthorn_decide::relay`]; here they
-//! meet the messages. A relay is one search of one piece, marked so that the
-//! other owner does not pass it on again. Whichever answers first wins; the
-//! other is withdrawn.
+//! [`hawthorn_decide::relay`] decides whether and when; this module sends the messages. A relay is
+//! a search of one piece, marked so that the other owner does not relay it again. The first answer
+//! wins and the other attempt is cancelled.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -23,8 +22,8 @@
 use tokio::sync::watch;
 
 use super::batch::OpenBatch;
-use super::duty::OwnerDuty;
-use super::duty::TaskEnd;
+use super::worker::OwnerWorker;
+use super::worker::TaskCompletion;
 use crate::connection::message::BatchAnswer;
 use crate::connection::message::BatchHop;
 use crate::connection::message::BatchPiece;
@@ -36,23 +35,23 @@
 use crate::version::fleet::FleetView;
 use crate::version::views::ViewTable;
 
-/// Kept back of a piece's time for the way back from the other zone.
+/// Time reserved for the answer's way back from the other zone.
 const RELAY_RESERVE: Duration = Duration::from_millis(3);
 
-/// The ways to other zones' owners.
+/// Links to owners in other zones.
 #[derive(Clone, Debug)]
 pub struct RelayLinks {
-    /// Who owns what.
+    /// The fleet, with the owner of each group.
     pub fleet: watch::Receiver<Arc<FleetView>>,
-    /// Connections to them.
+    /// Connections to other daemons.
     pub links: Arc<PeerLinks>,
-    /// What they last said they hold.
+    /// Last known views of the owners.
     pub views: Arc<ViewTable>,
     /// This host's zone.
     pub zone: String,
 }
 
-/// Relays due and on their way.
+/// Scheduled relays and relays in flight.
 pub(super) struct RelayTable {
     links: RelayLinks,
     options: relay::Options,
@@ -60,22 +59,22 @@
     sent: HashMap<PieceKey, RelaySent>,
 }
 
-/// One relay on its way.
+/// One relay in flight.
 struct RelaySent {
     task: tokio::task::AbortHandle,
-    /// How the piece ended here meanwhile, when it ended without an answer.
-    ended_here: Option<MissingReason>,
+    /// Reason why the piece got no answer from this owner, if it has ended here.
+    local_reason: Option<MissingReason>,
 }
 
 impl Drop for RelaySent {
     fn drop(&mut self) {
-        // Ends the call, with which the other owner withdraws the piece.
+        // Aborts the call, upon which the other owner cancels the piece.
         self.task.abort();
     }
 }
 
-/// The end of a relay.
-pub(super) struct RelayEnd {
+/// Completion of a relay.
+pub(super) struct RelayCompletion {
     piece: PieceKey,
     outcome: Option<PieceOutcome>,
 }
@@ -85,7 +84,7 @@
         Self { links, options, due: BinaryHeap::new(), sent: HashMap::new() }
     }
 
-    /// When the next relay is due.
+    /// Time at which the next relay is due.
     pub(super) fn next_wake(&self) -> Option<TickTime> {
         self.due.peek().map(|Reverse((at, _))| *at)
     }
@@ -99,13 +98,13 @@
         Some(piece)
     }
 
-    /// Forgets a piece that has its answer, or that nobody waits for.
-    pub(super) fn forget(&mut self, piece: PieceKey) {
+    /// Cancels the relay of a piece that is finished or no longer needed.
+    pub(super) fn remove(&mut self, piece: PieceKey) {
         self.sent.remove(&piece);
     }
 }
 
-impl OwnerDuty {
+impl OwnerWorker {
     /// Whether another zone holds replicas of the shard.
     pub(super) fn has_relay(&self, shard: &ShardName) -> bool {
         self.config
@@ -113,58 +112,58 @@
             .is_some_and(|config| !other_zones(config, shard, &self.relays.links).is_empty())
     }
 
-    /// What a search of the shard takes in the best other zone; zero when unknown.
-    fn time_elsewhere(&self, shard: &ShardName) -> Duration {
+    /// Service time of the shard in the fastest other zone; zero if unknown.
+    fn other_zone_service_time(&self, shard: &ShardName) -> Duration {
         let Some(config) = &self.config else { return Duration::ZERO };
         let views = &self.relays.links.views;
         let others = other_zones(config, shard, &self.relays.links);
         let times = others.iter().filter_map(|other| {
-            let heard = views.get(other.id)?;
-            Some(heard.view.shard(shard)?.service_us).filter(|&time| time > 0)
+            let cached = views.get(other.id)?;
+            Some(cached.view.shard(shard)?.service_us).filter(|&time| time > 0)
         });
         Duration::from_micros(times.min().unwrap_or(0))
     }
 
-    /// Sets when the piece is relayed unless it has ended by then.
-    pub(super) fn arm_relay(&mut self, piece: PieceKey, shard: ShardKey) {
-        let here = self.state.p90_service_time(shard);
-        let elsewhere = self.time_elsewhere(self.shard_names.name(shard.0));
-        let delay = relay::delay(here, elsewhere, &self.relays.options);
+    /// Schedules the relay of a piece, sent unless the piece has ended by then.
+    pub(super) fn schedule_relay(&mut self, piece: PieceKey, shard: ShardKey) {
+        let local = self.state.p90_service_time(shard);
+        let other_zone = self.other_zone_service_time(self.shard_names.name(shard.0));
+        let delay = relay::delay(local, other_zone, &self.relays.options);
         self.relays.due.push(Reverse((self.now().after(delay), piece)));
     }
 
-    /// Whether a piece that another owner relays may be worked on here.
-    pub(super) fn may_take_relayed(&self, shard: ShardKey) -> bool {
+    /// Whether to accept a piece that another owner relays.
+    pub(super) fn accepts_relayed(&self, shard: ShardKey) -> bool {
         relay::may_accept(self.state.expected_wait(shard, hawthorn_types::UrgencyClass::Normal))
     }
 
-    /// Relays what is due.
-    pub(super) fn relay_due(&mut self) {
+    /// Sends the relays that are due.
+    pub(super) fn send_due_relays(&mut self) {
         while let Some(piece) = self.relays.pop_due(self.now()) {
             self.relay(piece, RetryReason::Hedge);
         }
     }
 
-    /// Holds back how a piece ended here if another zone may yet answer it.
+    /// Defers the failure of a piece if another zone may still answer it.
     ///
-    /// Failure: the only replica of a zone dies while the other zone's lives.
-    /// Told at once, the front would ask there itself, a round trip later and
-    /// on another budget.
-    pub(super) fn relay_instead(&mut self, piece: PieceKey, reason: MissingReason) -> bool {
-        if !self.relays.sent.contains_key(&piece) && !self.relay(piece, retry_for(reason)) {
+    /// Failure: the only replica in this zone fails while another zone's works. If the failure were
+    /// reported at once, the front would retry there itself, a round trip later and from a
+    /// different budget.
+    pub(super) fn defer_to_relay(&mut self, piece: PieceKey, reason: MissingReason) -> bool {
+        if !self.relays.sent.contains_key(&piece) && !self.relay(piece, retry_reason(reason)) {
             return false;
         }
         match self.relays.sent.get_mut(&piece) {
             Some(sent) => {
-                sent.ended_here = Some(reason);
+                sent.local_reason = Some(reason);
                 true
             }
             None => false,
         }
     }
 
-    /// Sends the piece to another zone's owner; false when there is none that
-    /// holds the version, no time, or no budget.
+    /// Sends the piece to another zone's owner. Returns false if no such owner holds the version,
+    /// or if time or budget is exhausted.
     fn relay(&mut self, piece: PieceKey, reason: RetryReason) -> bool {
         if self.relays.sent.contains_key(&piece) {
             return false;
@@ -174,12 +173,13 @@
             return false;
         }
         let links = Arc::clone(&self.relays.links.links);
-        let ends = self.ends.clone();
+        let completions = self.completions.clone();
         let task = tokio::spawn(async move {
-            let outcome = ask(&links, peer, batch).await;
-            let _stopped = ends.send(TaskEnd::Relay(RelayEnd { piece, outcome })).await;
+            let outcome = send_relay(&links, peer, batch).await;
+            let _stopped =
+                completions.send(TaskCompletion::Relay(RelayCompletion { piece, outcome })).await;
         });
-        let sent = RelaySent { task: task.abort_handle(), ended_here: None };
+        let sent = RelaySent { task: task.abort_handle(), local_reason: None };
         self.relays.sent.insert(piece, sent);
         true
     }
@@ -195,7 +195,7 @@
         }
         let config = self.config.as_ref()?;
         let others = other_zones(config, &open.shard, &self.relays.links);
-        self.relays.links.views.want(others.iter().map(|other| other.id));
+        self.relays.links.views.mark_needed(others.iter().map(|other| other.id));
         let peer = others
             .into_iter()
             .find(|other| other.holds(&open.shard, open.version, &self.relays.links.views))?
@@ -203,7 +203,7 @@
         let batch = SearchBatch {
             left_us: u64::try_from(left.as_micros()).unwrap_or(u64::MAX),
             hop: BatchHop::Owner,
-            // No view is wanted with the answer: fronts hear it themselves.
+            // No view is needed with the answer: fronts receive views directly.
             view: u64::MAX,
             pieces: vec![BatchPiece {
                 number: 0,
@@ -216,21 +216,21 @@
         Some((peer, batch))
     }
 
-    /// Takes the end of a relay: an answer wins over what is still under way here.
-    pub(super) fn take_relay(&mut self, end: RelayEnd) {
-        let Some(sent) = self.relays.sent.remove(&end.piece) else { return };
-        let here = sent.ended_here;
-        match end.outcome {
+    /// Handles a completed relay: its answer takes precedence over attempts in flight here.
+    pub(super) fn handle_relay(&mut self, completion: RelayCompletion) {
+        let Some(sent) = self.relays.sent.remove(&completion.piece) else { return };
+        let local = sent.local_reason;
+        match completion.outcome {
             Some(outcome @ PieceOutcome::Answered { .. }) => {
                 let now = self.now();
-                self.end_search_piece(end.piece, outcome);
-                if here.is_none() {
-                    self.state.cancel(now, end.piece);
+                self.end_search_piece(completion.piece, outcome);
+                if local.is_none() {
+                    self.state.cancel(now, completion.piece);
                 }
             }
             _ => {
-                if let Some(reason) = here {
-                    self.end_search_piece(end.piece, PieceOutcome::Missing(reason));
+                if let Some(reason) = local {
+                    self.end_search_piece(completion.piece, PieceOutcome::Missing(reason));
                 }
             }
         }
@@ -250,8 +250,8 @@
         version: hawthorn_types::IndexVersion,
         views: &ViewTable,
     ) -> bool {
-        let Some(heard) = views.get(self.id) else { return false };
-        let shards = &heard.view.shards;
+        let Some(cached) = views.get(self.id) else { return false };
+        let shards = &cached.view.shards;
         let index = shards.binary_search_by(|view| view.shard.cmp(shard));
         index.is_ok_and(|index| shards[index].versions.contains(&version))
     }
@@ -279,30 +279,36 @@
         }
         let bucket = catalog.group(catalog.group_of(key, zone)?).bucket;
         let host = fleet.hosts.get(&fleet.owner_of(name, bucket)?)?;
-        // A zone whose targets are all on their way out counts as long as its
-        // owner still uses one.
+        // A zone in which no target should serve still counts while its owner uses one.
         let is_held =
-            || links.views.get(host.id).is_some_and(|heard| heard.view.shard(shard).is_some());
+            || links.views.get(host.id).is_some_and(|cached| cached.view.shard(shard).is_some());
         let is_usable = serving.contains(&zone) || is_held();
         is_usable.then_some(OtherOwner { id: host.id, peer: host.peer })
     });
     owners.collect()
 }
 
-async fn ask(links: &PeerLinks, peer: SocketAddr, batch: SearchBatch) -> Option<PieceOutcome> {
+async fn send_relay(
+    links: &PeerLinks,
+    peer: SocketAddr,
+    batch: SearchBatch,
+) -> Option<PieceOutcome> {
     let client = links.client(peer).await.ok()?;
     let request = batch.request;
     let context = peer::call_context(Duration::from_micros(batch.left_us));
-    let answer: BatchAnswer =
-        client.search(context, batch).await.map_err(|error| links.judge(peer, error)).ok()?;
+    let answer: BatchAnswer = client
+        .search(context, batch)
+        .await
+        .map_err(|error| links.classify_error(peer, error))
+        .ok()?;
     if answer.request != request {
         return None;
     }
     answer.parts.into_iter().next().map(|(_, outcome)| outcome)
 }
 
-/// What a piece's end here is counted as when it is tried elsewhere.
-fn retry_for(reason: MissingReason) -> RetryReason {
+/// Retry reason under which a relay is counted after a piece failed here.
+fn retry_reason(reason: MissingReason) -> RetryReason {
     match reason {
         MissingReason::Shedding => RetryReason::Shedding,
         MissingReason::BadAnswer => RetryReason::CrossedAnswer,
--- a/crates/hawthorn-daemon/src/owner/reload.rs
+++ b/crates/hawthorn-daemon/src/owner/reload.rs
@@ -1,4 +1,4 @@
-//! Takes in which targets this host owns and what is wanted of them.
+//! Applies changes of the configuration and of ownership.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -13,47 +13,47 @@
 use hawthorn_types::ShardName;
 use hawthorn_types::TargetKey;
 
-use super::duty::OwnedTarget;
-use super::duty::OwnerDuty;
-use super::duty::OwnerInputs;
-use super::intent::TargetUse;
+use super::intent::TargetUsage;
+use super::worker::OwnedTarget;
+use super::worker::OwnerInputs;
+use super::worker::OwnerWorker;
 use crate::version::config::ConfigInForce;
 use crate::version::owned::OwnedGroups;
 use hawthorn_pool as pool;
 use hawthorn_pool::TargetPool;
 
-impl OwnerDuty {
-    /// Takes in another configuration or ownership.
+impl OwnerWorker {
+    /// Applies a new configuration or ownership.
     pub(super) fn reload(&mut self, inputs: &mut OwnerInputs) {
         self.config = inputs.config.borrow_and_update().clone();
         self.owned = inputs.owned.borrow_and_update().clone();
-        let mine = self.config.as_deref().map(|config| mine(config, &self.owned));
-        self.mine = mine.unwrap_or_default();
+        let owned_keys = self.config.as_deref().map(|config| owned_keys(config, &self.owned));
+        self.owned_keys = owned_keys.unwrap_or_default();
         self.apply_targets();
     }
 
-    /// The revision that targets are used by.
+    /// Revision of the configuration in force.
     pub(super) fn revision(&self) -> Option<ConfigRevision> {
         self.config.as_ref().map(|config| config.catalog.revision())
     }
 
-    /// Tells the decisions which targets there are and how each is used.
+    /// Passes the owned targets and how each is used to the decision state machine.
     pub(super) fn apply_targets(&mut self) {
         let Some(config) = self.config.clone() else { return };
         let records = self.records(&config);
-        let kept: HashSet<TargetKey> = records.iter().map(|record| record.key).collect();
+        let current: HashSet<TargetKey> = records.iter().map(|record| record.key).collect();
         let now = self.now();
         self.state.set_targets(now, &records);
-        self.targets.retain(|key, _| kept.contains(key));
-        self.tell();
+        self.targets.retain(|key, _| current.contains(key));
+        self.publish();
     }
 
     fn records(&mut self, config: &ConfigInForce) -> Vec<TargetRecord> {
         let catalog = &config.catalog;
         let owned = Arc::clone(&self.owned);
-        let mine = std::mem::take(&mut self.mine);
-        let mut records = Vec::with_capacity(mine.len());
-        for &target in &mine {
+        let owned_keys = std::mem::take(&mut self.owned_keys);
+        let mut records = Vec::with_capacity(owned_keys.len());
+        for &target in &owned_keys {
             let target = catalog.target(target);
             let share = share(config, &owned, target);
             let names: Vec<ShardName> =
@@ -64,15 +64,15 @@
             }
             let shards = names.iter().map(|name| ShardKey(self.shard_names.intern(name))).collect();
             let slots = u16::try_from(share.slots(target.slots)).unwrap_or(u16::MAX);
-            self.keep_target(key, names, target, catalog.service(target.service).cold_start);
-            let wanted = self.use_target(key, catalog.revision());
+            self.ensure_target(key, names, target, catalog.service(target.service).cold_start);
+            let wanted = self.update_usage(key, catalog.revision());
             records.push(TargetRecord { key, slots, wanted, shards });
         }
-        self.mine = mine;
+        self.owned_keys = owned_keys;
         records
     }
 
-    fn keep_target(
+    fn ensure_target(
         &mut self,
         key: TargetKey,
         shards: Vec<ShardName>,
@@ -80,15 +80,15 @@
         cold_start: Duration,
     ) {
         let wanted = record.wanted();
-        let connections = slots_connections(record);
-        if let Some(known) = self.targets.get_mut(&key)
-            && known.pool.address() == record.address
+        let connections = max_connections(record);
+        if let Some(existing) = self.targets.get_mut(&key)
+            && existing.pool.address() == record.address
         {
-            known.shards = shards;
-            if known.usage.wanted == DesiredState::Off && wanted != DesiredState::Off {
-                warm(&known.pool, connections);
+            existing.shards = shards;
+            if existing.usage.wanted == DesiredState::Off && wanted != DesiredState::Off {
+                warm(&existing.pool, connections);
             }
-            known.usage.want(wanted, cold_start);
+            existing.usage.set_wanted(wanted, cold_start);
             return;
         }
         let options = pool::Options {
@@ -97,16 +97,16 @@
             connect_timeout: self.options.connect_timeout,
         };
         let pool = Arc::new(TargetPool::new(record.address, options));
-        // Switched off on purpose: nothing to connect to.
+        // A target that is switched off has nothing to connect to.
         if wanted != DesiredState::Off {
             warm(&pool, connections);
         }
-        let usage = TargetUse::new(wanted, cold_start);
+        let usage = TargetUsage::new(wanted, cold_start);
         let target =
             OwnedTarget { pool, shards, held: Vec::new(), reachable: false, missed: 0, usage };
         self.targets.insert(key, target);
-        // Failure: a group changes hands, and until the new owner's turn to probe
-        // comes, up to a second, fronts hear that nobody holds its shards.
+        // Failure: after a change of ownership, the new owner reports no replica until its first
+        // regular probe, up to a second later. It therefore probes the target at once.
         if wanted != DesiredState::Off {
             self.probe_now(key);
         }
@@ -118,15 +118,15 @@
     owned.share(zone, config.catalog.group(target.group).bucket)
 }
 
-/// The targets owned here, as keys of the catalog in force.
+/// Keys of the owned targets in the catalog in force.
 ///
-/// Load: of 73,000 targets a host owns some 20, and each that warms or leaves
-/// has the decisions told anew. Only a new revision or another ownership is
-/// worth a walk through all of them, on the thread that places every piece.
-fn mine(config: &ConfigInForce, owned: &OwnedGroups) -> Vec<TargetKey> {
+/// Of 73,000 targets a host owns about 20. All of them are scanned only after a new revision or a
+/// change of ownership, not each time that a target warms up or drains, because the scan runs on
+/// the thread that places every piece.
+fn owned_keys(config: &ConfigInForce, owned: &OwnedGroups) -> Vec<TargetKey> {
     let targets = config.catalog.targets();
-    let mine = targets.filter(|(_, target)| share(config, owned, target) != SlotShare::None);
-    mine.map(|(key, _)| key).collect()
+    let owned_keys = targets.filter(|(_, target)| share(config, owned, target) != SlotShare::None);
+    owned_keys.map(|(key, _)| key).collect()
 }
 
 fn warm(pool: &Arc<TargetPool>, connections: usize) {
@@ -134,13 +134,13 @@
     tokio::spawn(async move { pool.warm(connections / 2).await });
 }
 
-/// Connections of one owner to a target, at the most.
+/// Maximum number of connections from one owner to a target.
 ///
-/// Load: a group changes hands and for a moment two hosts own it. The harm is
-/// a target over its connection limit, which refuses both. No owner ever opens
-/// more than half of what the target takes; within that, room for every slot,
-/// as many cancellations beside them, one probe and one to spare.
-fn slots_connections(target: &catalog::TargetRecord) -> usize {
+/// Handles changes of ownership, during which two hosts briefly own a group: together they must not
+/// exceed the target's connection limit, or it rejects both. An owner therefore opens at most half
+/// of the limit. Within that, it needs a connection for every slot, as many for cancellations, one
+/// for a probe and one in reserve.
+fn max_connections(target: &catalog::TargetRecord) -> usize {
     let useful = target.slots as usize * 2 + 2;
     useful.min((target.connections / 2).max(1) as usize)
 }
--- a/crates/hawthorn-daemon/src/owner/take.rs
+++ b/crates/hawthorn-daemon/src/owner/submit.rs
@@ -1,4 +1,4 @@
-//! Takes in batches: each piece goes to the decisions or ends at once.
+//! Receives batches: submits each piece to the decision state machine or ends it at once.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 use super::batch::OpenPiece;
 use super::batch::OpenRun;
 use super::batch::OpenSearch;
-use super::duty::OwnerDuty;
+use super::worker::OwnerWorker;
 use crate::connection::message::BatchAnswer;
 use crate::connection::message::BatchHop;
 use crate::connection::message::OnceBatch;
@@ -26,8 +26,8 @@
 use crate::connection::message::PieceOutcome;
 use crate::connection::message::SearchBatch;
 
-impl OwnerDuty {
-    pub(super) fn take_search(
+impl OwnerWorker {
+    pub(super) fn handle_search(
         &mut self,
         key: BatchKey,
         batch: SearchBatch,
@@ -40,16 +40,16 @@
         let pieces = batch.pieces.clone();
         let hop = batch.hop;
         let request = batch.request.to_string();
-        let left = pieces.len();
+        let remaining = pieces.len();
         let open = OpenSearch {
             batch,
             request,
-            parts: Vec::with_capacity(left),
-            left,
+            parts: Vec::with_capacity(remaining),
+            remaining,
             queued: Duration::ZERO,
             reply,
         };
-        if left == 0 {
+        if remaining == 0 {
             return self.answer(open);
         }
         self.table.batches.insert(key, OpenBatch::Search(open));
@@ -63,7 +63,7 @@
                 version,
                 range: piece.range,
                 deadline,
-                waits_since: Some(now),
+                queued_since: Some(now),
             };
             let relayable = hop == BatchHop::Front && self.has_relay(&open.shard);
             let key = self.table.add_piece(open);
@@ -71,7 +71,7 @@
                 self.end_search_piece(key, PieceOutcome::NotOwner);
                 continue;
             };
-            if hop == BatchHop::Owner && !self.may_take_relayed(shard) {
+            if hop == BatchHop::Owner && !self.accepts_relayed(shard) {
                 self.end_search_piece(key, PieceOutcome::Missing(MissingReason::Shedding));
                 continue;
             }
@@ -95,11 +95,11 @@
         if let hawthorn_decide::admit::Outcome::Refused { reason, .. } = outcome {
             self.end_missing(queued.piece, missing_for(reason));
         } else if queued.relayable {
-            self.arm_relay(queued.piece, queued.shard);
+            self.schedule_relay(queued.piece, queued.shard);
         }
     }
 
-    pub(super) fn take_run(
+    pub(super) fn handle_run(
         &mut self,
         key: BatchKey,
         batch: OnceBatch,
@@ -120,7 +120,7 @@
             version,
             range: KeyRange::new(batch.key, batch.key + 1),
             deadline,
-            waits_since: None,
+            queued_since: None,
         });
         let request = batch.request.to_string();
         let open = OpenRun { batch, request, reply };
@@ -142,8 +142,8 @@
         }
     }
 
-    /// A run is not read at a version, but goes only to a target that holds
-    /// the key now: any holder of the newest version does.
+    /// Returns the shard's newest version. A non-idempotent request does not depend on the version,
+    /// but must go to a target that holds the key; every holder of the newest version does.
     fn newest_version(&self, shard: &ShardName) -> IndexVersion {
         let view = self.view.borrow();
         let known = view.shards.iter().find(|known| known.shard == *shard);
@@ -151,7 +151,7 @@
     }
 }
 
-/// The reason a refused piece of a search is missing for.
+/// Maps the refusal of a piece to the reason why it is missing.
 fn missing_for(reason: RefusalReason) -> MissingReason {
     match reason {
         RefusalReason::NoTarget => MissingReason::NoReplica,
--- a/crates/hawthorn-daemon/src/owner/usage.rs
+++ b/crates/hawthorn-daemon/src/owner/usage.rs
@@ -1,62 +1,59 @@
-//! How the owner uses a target while operators want something else of it than
-//! a moment ago.
+//! Decides how the owner uses a target after its desired state has changed.
 //!
-//! Without sockets or a clock: what is known of the target goes in, and how it
-//! is used comes out.
+//! Performs no I/O and uses no clock.
 
 use hawthorn_types::DesiredState;
 use hawthorn_types::TargetPhase;
 
-/// What the reconciler last said of a target that is not wanted to serve.
+/// Last decision of the reconciler about a target that should not serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HoldVerdict {
-    /// No round has run yet under the revision in force.
-    NotJudged,
-    /// It goes on serving until others can.
+pub enum HoldDecision {
+    /// No round has run under the revision in force.
+    Pending,
+    /// The target keeps serving until others can.
     Held,
-    /// It is not needed, or is leaving already.
+    /// The target is not needed, or is already leaving.
     Released,
 }
 
-/// What is known of one target.
+/// Inputs of the decision for one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageInputs {
-    /// What operators want of it.
+    /// State that operators want.
     pub wanted: DesiredState,
-    /// How it was used until now; none for one that was not owned here.
-    pub before: Option<DesiredState>,
-    /// The phase it last reported; none when it cannot be reached.
+    /// How it was used so far; `None` if it was not owned here.
+    pub previous: Option<DesiredState>,
+    /// Last reported phase; `None` if it is unreachable.
     pub phase: Option<TargetPhase>,
-    /// What the reconciler said.
-    pub verdict: HoldVerdict,
-    /// Whether it has been wanted to serve for as long as a cold start takes.
-    pub is_due: bool,
+    /// Decision of the reconciler.
+    pub hold_decision: HoldDecision,
+    /// Whether it should have been serving for at least the duration of a cold start.
+    pub cold_start_elapsed: bool,
 }
 
-/// How the target is used: it gets work only when the answer is
-/// [`DesiredState::Serve`].
+/// Decides how the target is used; it gets work only if the result is [`DesiredState::Serve`].
 ///
-/// Two failures are guarded against. A rule turns a shard's only target off,
-/// and until another is warm every answer has a hole: a target that serves is
-/// used on until a round of the reconciler, under the new revision, has
-/// released it. And a target that was off or standing by is sent work before it
-/// has heard that it is wanted: it refuses as leaving, and is then left alone
-/// for seconds by an owner that takes the refusal for news. So it gets none
-/// before it reports that it is ready; a report that never comes, as reports
-/// lag and mislead, is waited for no longer than a cold start takes.
+/// Failure: a rule switches off the only target of a shard, and every answer is incomplete until
+/// another one is warm. A serving target therefore stays in use until a reconciler round under the
+/// new revision has released it.
+///
+/// Failure: a target that was off or on standby gets work before it has received its order. It
+/// rejects the work as draining, and the owner then avoids it for seconds. It therefore gets no
+/// work until it reports that it is ready. As reports can be late or wrong, this wait is limited to
+/// the duration of a cold start.
 pub fn usage(inputs: UsageInputs) -> DesiredState {
-    let served = inputs.before == Some(DesiredState::Serve);
+    let was_serving = inputs.previous == Some(DesiredState::Serve);
     if inputs.wanted == DesiredState::Serve {
-        let is_new = inputs.before.is_none();
+        let is_new = inputs.previous.is_none();
         let is_ready = inputs.phase == Some(TargetPhase::Ready);
-        return match served || is_new || is_ready || inputs.is_due {
+        return match was_serving || is_new || is_ready || inputs.cold_start_elapsed {
             true => DesiredState::Serve,
             false => DesiredState::Standby,
         };
     }
-    match inputs.verdict {
-        HoldVerdict::Held => DesiredState::Serve,
-        HoldVerdict::NotJudged if served => DesiredState::Serve,
-        HoldVerdict::NotJudged | HoldVerdict::Released => inputs.wanted,
+    match inputs.hold_decision {
+        HoldDecision::Held => DesiredState::Serve,
+        HoldDecision::Pending if was_serving => DesiredState::Serve,
+        HoldDecision::Pending | HoldDecision::Released => inputs.wanted,
     }
 }
--- a/crates/hawthorn-daemon/src/owner/view.rs
+++ b/crates/hawthorn-daemon/src/owner/view.rs
@@ -1,4 +1,5 @@
-//! What an owner tells fronts: who can search what, and how long it waits.
+//! Builds the view that an owner publishes to fronts: the versions held by each shard and the
+//! expected waits.
 
 use std::collections::BTreeMap;
 
@@ -10,36 +11,36 @@
 use crate::connection::message::OwnerView;
 use crate::connection::message::ShardView;
 
-/// Waits below this many microseconds are told as none; above, the steps double.
-/// A smaller change is no reason to send the view again with the next answer.
+/// Waits below this value, in microseconds, are published as zero; above it, steps double. Smaller
+/// changes do not cause the view to be sent with the next answer.
 const WAIT_STEP_US: u64 = 1_000;
 
-/// The wait as it is told: 0, 1, 2, 4, 8 ms and so on, rounded down.
-fn told_wait(wait_us: u64) -> u64 {
+/// Rounds a wait down to 0, 1, 2, 4, 8 ms and so on.
+fn round_wait(wait_us: u64) -> u64 {
     match wait_us / WAIT_STEP_US {
         0 => 0,
         steps => WAIT_STEP_US << steps.ilog2(),
     }
 }
 
-/// What the duty holds at a moment.
+/// Gauges of the owner worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OwnerGauges {
-    /// Batches open.
+    /// Open batches.
     pub batches: u64,
-    /// Pieces queued.
+    /// Queued pieces.
     pub queued: u64,
     /// Slots in use.
     pub slots_in_use: u64,
-    /// Targets owned.
+    /// Owned targets.
     pub targets: u64,
-    /// Attempts sent, since the start.
+    /// Attempts sent since the process started.
     pub attempts: u64,
-    /// Of them hedges and retries.
+    /// Hedges and retries among them.
     pub extra_attempts: u64,
 }
 
-/// What a shard's pieces take, in microseconds.
+/// Expected wait and service time of a shard's pieces, in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ShardTimes {
     pub(crate) wait_us: u64,
@@ -50,18 +51,18 @@
 pub(crate) struct UsableReplica<'a> {
     pub(crate) shard: &'a ShardName,
     pub(crate) held: &'a [HeldRanges],
-    /// Wanted to serve and warm for a while.
+    /// Whether it should serve and has been warm for some time.
     pub(crate) is_ready: bool,
 }
 
-/// The replicas of one shard, put together.
+/// Aggregated replicas of one shard.
 #[derive(Default)]
 struct ShardReplicas {
     versions: BTreeMap<IndexVersion, RangeSet>,
     ready: u32,
 }
 
-/// Puts replicas together by shard.
+/// Aggregates replicas by shard.
 pub(crate) fn shards<'a>(
     replicas: impl Iterator<Item = UsableReplica<'a>>,
     times_us: impl Fn(&ShardName) -> ShardTimes,
@@ -77,8 +78,8 @@
     }
     let view = |(shard, ShardReplicas { versions, ready }): (&ShardName, _)| ShardView {
         shard: shard.clone(),
-        wait_us: told_wait(times_us(shard).wait_us),
-        service_us: told_wait(times_us(shard).service_us),
+        wait_us: round_wait(times_us(shard).wait_us),
+        service_us: round_wait(times_us(shard).service_us),
         held: versions.values().next_back().cloned().unwrap_or_default(),
         ready,
         versions: versions.into_keys().collect(),
@@ -86,7 +87,7 @@
     shards.into_iter().map(view).collect()
 }
 
-/// The next view, when it differs from the last.
+/// Returns the next view if it differs from the last.
 pub(crate) fn next(last: &OwnerView, shards: Vec<ShardView>) -> Option<OwnerView> {
     (last.shards != shards).then(|| OwnerView { generation: last.generation + 1, shards })
 }
--- a/crates/hawthorn-daemon/src/owner/duty.rs
+++ b/crates/hawthorn-daemon/src/owner/worker.rs
@@ -1,5 +1,5 @@
-//! The loop of the owner's thread: commands and ends of attempts in, the
-//! decisions' actions out.
+//! Event loop of the owner worker: processes commands and completed attempts, and executes the
+//! actions of the decision state machine.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -32,18 +32,18 @@
 use super::OwnerHandle;
 use super::attempt;
 use super::attempt::AttemptAnswer;
-use super::attempt::AttemptEnd;
+use super::attempt::AttemptCompletion;
 use super::batch::BatchTable;
 use super::batch::OpenBatch;
-use super::intent::OrderEnd;
-use super::intent::TargetUse;
+use super::intent::OrderCompletion;
+use super::intent::TargetUsage;
 use super::names::NameTable;
-use super::probe::ProbeEnd;
-use super::relay::RelayEnd;
+use super::probe::ProbeCompletion;
+use super::relay::RelayCompletion;
 use super::relay::RelayLinks;
 use super::relay::RelayTable;
-use super::seen::IntentRound;
-use super::seen::SeenReport;
+use super::snapshot::IntentRound;
+use super::snapshot::OwnerSnapshot;
 use super::view::OwnerGauges;
 use crate::connection::message::OwnerView;
 use crate::process::clock::unix_now;
@@ -53,60 +53,60 @@
 use crate::version::owned::OwnedGroups;
 use hawthorn_pool::TargetPool;
 
-/// How often waits and gauges are told, at most.
+/// Interval at which waits and gauges are published.
 const VIEW_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How often the loop takes in what is ready before it looks at the clock.
+/// Maximum number of ready messages processed before the loop checks its timers.
 const DRAIN_LIMIT: usize = 64;
 
-/// Limits of the duty.
+/// Limits of the owner worker.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Of the decisions.
+    /// Options of the decision state machine.
     pub decide: owner::Options,
-    /// Of second chances at other zones' owners.
+    /// Options of relays to owners in other zones.
     pub relay: relay_options::Options,
-    /// Commands waiting, at the most.
-    pub ring: usize,
-    /// Bytes of a target's answer, at the most.
+    /// Capacity of the command channel.
+    pub channel_capacity: usize,
+    /// Maximum size of a target's answer, in bytes.
     pub max_answer_bytes: usize,
-    /// How long a target may take to tell its state.
+    /// Timeout of a state probe.
     pub probe_timeout: Duration,
-    /// How long opening a connection may take.
+    /// Timeout of a connect to a target.
     pub connect_timeout: Duration,
-    /// Seeds the ties of the decisions.
+    /// Seed for random tie-breaking.
     pub seed: u64,
 }
 
-/// What other duties tell this one.
+/// Inputs from other workers.
 #[derive(Clone, Debug)]
 pub struct OwnerInputs {
     /// The configuration in force.
     pub config: watch::Receiver<Option<Arc<ConfigInForce>>>,
-    /// The groups owned.
+    /// Groups owned by this host.
     pub owned: watch::Receiver<Arc<OwnedGroups>>,
-    /// Where to tell the buckets whose requests still run here.
+    /// Publishes the buckets whose requests still run here.
     pub busy: watch::Sender<Arc<HashSet<u16>>>,
-    /// The ways to other zones' owners.
+    /// Links to owners in other zones.
     pub relays: RelayLinks,
-    /// Where refusals and retries are counted.
+    /// Counts refusals and retries.
     pub metrics: MetricSet,
 }
 
-/// Starts the duty on the current runtime, which its thread runs alone.
+/// Creates the worker and its handle. The returned future must run on a thread of its own.
 pub fn start(
     options: Options,
     inputs: OwnerInputs,
     stop: CancellationToken,
 ) -> (OwnerHandle, impl Future<Output = ()> + Send) {
-    let (commands, receiver) = mpsc::channel(options.ring);
+    let (commands, receiver) = mpsc::channel(options.channel_capacity);
     let (view_sender, view) = watch::channel(Arc::default());
     let (gauge_sender, gauges) = watch::channel(OwnerGauges::default());
-    let (seen_sender, seen) = watch::channel(Arc::default());
-    let handle = OwnerHandle { commands, view, gauges, seen, next_batch: Arc::default() };
-    let duty = async move {
-        let (ends, ended) = mpsc::channel(options.ring);
-        OwnerDuty {
+    let (snapshot_sender, snapshot) = watch::channel(Arc::default());
+    let handle = OwnerHandle { commands, view, gauges, snapshot, next_batch: Arc::default() };
+    let worker = async move {
+        let (completions, completed) = mpsc::channel(options.channel_capacity);
+        OwnerWorker {
             state: OwnerState::new(options.decide, options.seed),
             options,
             started: Instant::now(),
@@ -118,7 +118,7 @@
             attempts: HashMap::new(),
             answers: HashMap::new(),
             retired: HashMap::new(),
-            ends,
+            completions,
             view: view_sender,
             gauges: gauge_sender,
             busy: inputs.busy.clone(),
@@ -126,39 +126,39 @@
             config: None,
             relays: RelayTable::new(inputs.relays.clone(), options.relay),
             metrics: inputs.metrics.clone(),
-            counted: OwnerCounters::default(),
+            exported_counters: OwnerCounters::default(),
             owned: Arc::default(),
-            mine: Vec::new(),
+            owned_keys: Vec::new(),
             round: IntentRound::default(),
-            seen: seen_sender,
-            seen_at: Instant::now(),
+            snapshot: snapshot_sender,
+            snapshot_at: Instant::now(),
         }
-        .run(receiver, ended, inputs, stop)
+        .run(receiver, completed, inputs, stop)
         .await;
     };
-    (handle, duty)
+    (handle, worker)
 }
 
-/// Something that a task of the duty brought back.
-pub(super) enum TaskEnd {
-    Attempt(AttemptEnd),
-    Probe(ProbeEnd),
-    Relay(RelayEnd),
-    Order(OrderEnd),
+/// Completion of a task that the worker spawned.
+pub(super) enum TaskCompletion {
+    Attempt(AttemptCompletion),
+    Probe(ProbeCompletion),
+    Relay(RelayCompletion),
+    Order(OrderCompletion),
 }
 
-/// A target this host owns, or owned and still hears from.
+/// A target that this host owns.
 pub(super) struct OwnedTarget {
     pub(super) pool: Arc<TargetPool>,
     pub(super) shards: Vec<ShardName>,
     pub(super) held: Vec<HeldRanges>,
     pub(super) reachable: bool,
-    /// Questions for its state in a row that it did not answer.
+    /// Consecutive state probes without an answer.
     pub(super) missed: u32,
-    pub(super) usage: TargetUse,
+    pub(super) usage: TargetUsage,
 }
 
-pub(super) struct OwnerDuty {
+pub(super) struct OwnerWorker {
     pub(super) options: Options,
     pub(super) state: OwnerState,
     pub(super) started: Instant,
@@ -169,27 +169,28 @@
     pub(super) caller_names: NameTable<String>,
     pub(super) attempts: HashMap<AttemptId, OpenAttempt>,
     pub(super) answers: HashMap<AttemptId, AttemptAnswer>,
-    /// Versions that targets named when they refused one, by piece.
+    /// Versions that targets listed when they rejected the requested one, by piece.
     pub(super) retired: HashMap<PieceKey, Vec<IndexVersion>>,
-    pub(super) ends: mpsc::Sender<TaskEnd>,
+    pub(super) completions: mpsc::Sender<TaskCompletion>,
     pub(super) view: watch::Sender<Arc<OwnerView>>,
     pub(super) gauges: watch::Sender<OwnerGauges>,
     pub(super) busy: watch::Sender<Arc<HashSet<u16>>>,
-    /// The bucket of every target owned so far: what still runs at one that
-    /// was given up keeps its bucket busy.
+    /// Bucket of every target owned so far, including targets given up since: attempts still in
+    /// flight at these keep the bucket busy.
     pub(super) buckets: HashMap<TargetKey, u16>,
     pub(super) config: Option<Arc<ConfigInForce>>,
     pub(super) relays: RelayTable,
     pub(super) metrics: MetricSet,
-    /// What the metrics have been told of.
-    pub(super) counted: OwnerCounters,
+    /// Counters as last exported to the metrics.
+    pub(super) exported_counters: OwnerCounters,
     pub(super) owned: Arc<OwnedGroups>,
-    /// Targets owned here, as keys of the catalog in force; set with both.
-    pub(super) mine: Vec<TargetKey>,
-    /// The reconciler's last round.
+    /// Keys of the owned targets in the catalog in force, updated when ownership or the catalog
+    /// changes.
+    pub(super) owned_keys: Vec<TargetKey>,
+    /// Last round received from the reconciler.
     pub(super) round: IntentRound,
-    pub(super) seen: watch::Sender<Arc<SeenReport>>,
-    pub(super) seen_at: Instant,
+    pub(super) snapshot: watch::Sender<Arc<OwnerSnapshot>>,
+    pub(super) snapshot_at: Instant,
 }
 
 pub(super) struct OpenAttempt {
@@ -199,41 +200,43 @@
     task: tokio::task::AbortHandle,
 }
 
-impl OwnerDuty {
+impl OwnerWorker {
     async fn run(
         mut self,
         mut commands: mpsc::Receiver<OwnerCommand>,
-        mut ended: mpsc::Receiver<TaskEnd>,
+        mut completed: mpsc::Receiver<TaskCompletion>,
         mut inputs: OwnerInputs,
         stop: CancellationToken,
     ) {
-        let mut tell = tokio::time::interval(VIEW_INTERVAL);
-        tell.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut publish_timer = tokio::time::interval(VIEW_INTERVAL);
+        publish_timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut new_commands = Vec::with_capacity(DRAIN_LIMIT);
-        let mut new_ends = Vec::with_capacity(DRAIN_LIMIT);
+        let mut new_completions = Vec::with_capacity(DRAIN_LIMIT);
         self.reload(&mut inputs);
         loop {
             let wakes = [self.state.next_wake(), self.relays.next_wake()];
             let wake = wakes.into_iter().flatten().min().map(|at| self.instant(at));
             tokio::select! {
                 () = stop.cancelled() => return,
-                count = ended.recv_many(&mut new_ends, DRAIN_LIMIT) => if count == 0 { return },
-                count = commands.recv_many(&mut new_commands, DRAIN_LIMIT) => if count == 0 { return },
+                count = completed.recv_many(&mut new_completions, DRAIN_LIMIT) =>
+                    if count == 0 { return },
+                count = commands.recv_many(&mut new_commands, DRAIN_LIMIT) =>
+                    if count == 0 { return },
                 Ok(()) = inputs.config.changed() => self.reload(&mut inputs),
                 Ok(()) = inputs.owned.changed() => self.reload(&mut inputs),
                 () = sleep_until(wake) => {}
-                _ = tell.tick() => self.tell(),
+                _ = publish_timer.tick() => self.publish(),
             }
-            for end in new_ends.drain(..) {
-                self.take_end(end);
+            for completion in new_completions.drain(..) {
+                self.handle_completion(completion);
             }
             for command in new_commands.drain(..) {
-                self.take_command(command);
+                self.handle_command(command);
             }
             let now = self.now();
             self.state.tick(now);
-            self.act();
-            self.relay_due();
+            self.run_actions();
+            self.send_due_relays();
         }
     }
 
@@ -249,56 +252,56 @@
         deadline.since(self.now())
     }
 
-    fn take_command(&mut self, command: OwnerCommand) {
+    fn handle_command(&mut self, command: OwnerCommand) {
         match command {
-            OwnerCommand::Search { key, batch, reply } => self.take_search(key, batch, reply),
-            OwnerCommand::Run { key, batch, reply } => self.take_run(key, batch, reply),
-            OwnerCommand::Intend(round) => self.take_round(round),
-            OwnerCommand::Withdraw(key) => {
+            OwnerCommand::Search { key, batch, reply } => self.handle_search(key, batch, reply),
+            OwnerCommand::Run { key, batch, reply } => self.handle_run(key, batch, reply),
+            OwnerCommand::ApplyRound(round) => self.apply_round(round),
+            OwnerCommand::Cancel(key) => {
                 let now = self.now();
-                for piece in self.table.withdraw(key) {
-                    self.relays.forget(piece);
+                for piece in self.table.remove_batch(key) {
+                    self.relays.remove(piece);
                     self.state.cancel(now, piece);
                 }
             }
         }
     }
 
-    fn take_end(&mut self, end: TaskEnd) {
-        match end {
-            TaskEnd::Attempt(end) => self.take_attempt(end),
-            TaskEnd::Probe(end) => {
-                self.take_probe(end);
-                self.tell();
+    fn handle_completion(&mut self, completion: TaskCompletion) {
+        match completion {
+            TaskCompletion::Attempt(completion) => self.handle_attempt(completion),
+            TaskCompletion::Probe(completion) => {
+                self.handle_probe(completion);
+                self.publish();
             }
-            TaskEnd::Relay(end) => self.take_relay(end),
-            TaskEnd::Order(end) => self.take_order_end(&end),
+            TaskCompletion::Relay(completion) => self.handle_relay(completion),
+            TaskCompletion::Order(completion) => self.handle_order(&completion),
         }
     }
 
-    fn take_attempt(&mut self, end: AttemptEnd) {
-        let Some(open) = self.attempts.remove(&end.attempt) else { return };
-        if end.result == AttemptResult::Crossed {
+    fn handle_attempt(&mut self, completion: AttemptCompletion) {
+        let Some(open) = self.attempts.remove(&completion.attempt) else { return };
+        if completion.result == AttemptResult::Crossed {
             let name = self.target_names.name(open.target.0);
             let event = LogEvent::CrossedAnswer;
             crate::log_event!(log::Level::Warn, event, "target {name}, request {}", open.request);
         }
-        if end.result == AttemptResult::Refused(TargetRefusal::VersionRetired) {
-            self.note_retired(&open, end.versions);
+        if completion.result == AttemptResult::Refused(TargetRefusal::VersionRetired) {
+            self.record_retired(&open, completion.versions);
         }
-        if let Some(answer) = end.answer {
-            self.answers.insert(end.attempt, answer);
+        if let Some(answer) = completion.answer {
+            self.answers.insert(completion.attempt, answer);
         }
         let now = self.now();
-        self.state.complete(now, end.attempt, end.result);
-        self.act();
-        // Whatever was not delivered by now came too late.
-        self.answers.remove(&end.attempt);
+        self.state.complete(now, completion.attempt, completion.result);
+        self.run_actions();
+        // Answers that were not delivered by now arrived too late.
+        self.answers.remove(&completion.attempt);
     }
 
-    /// A refusal is fresher than the last probe: fronts should not plan on the
-    /// version for another second.
-    fn note_retired(&mut self, open: &OpenAttempt, versions: Vec<IndexVersion>) {
+    /// Removes versions that a target has rejected as retired. This is newer information than the
+    /// last probe; without it, fronts would plan with the version for another second.
+    fn record_retired(&mut self, open: &OpenAttempt, versions: Vec<IndexVersion>) {
         let Some(piece) = self.table.pieces.get(&open.piece) else { return };
         let service = piece.shard.service().to_owned();
         if let Some(target) = self.targets.get_mut(&open.target) {
@@ -307,7 +310,7 @@
         self.retired.insert(open.piece, versions);
     }
 
-    fn act(&mut self) {
+    fn run_actions(&mut self) {
         while let Some(action) = self.state.poll_action() {
             match action {
                 OwnerAction::Send { attempt, piece, target, deadline } => {
@@ -322,7 +325,7 @@
     }
 
     fn send(&mut self, attempt: AttemptId, piece: PieceKey, target: TargetKey, deadline: TickTime) {
-        self.table.note_wait(piece, self.now());
+        self.table.record_wait(piece, self.now());
         if !self.try_send(attempt, piece, target, deadline) {
             let now = self.now();
             let unsent = AttemptResult::ConnectionFailed { sent: false };
@@ -330,7 +333,7 @@
         }
     }
 
-    /// Starts the attempt; false when nothing was sent and nothing will be.
+    /// Starts the attempt; returns false if nothing was sent and nothing will be.
     fn try_send(
         &mut self,
         attempt: AttemptId,
@@ -347,7 +350,7 @@
         let pool = Arc::clone(&owned.pool);
         let exchange = match batch {
             OpenBatch::Search(search) => {
-                let ask = ShardSearch {
+                let shard_search = ShardSearch {
                     request: request.clone(),
                     attempt: attempt.0,
                     shard: open.shard.clone(),
@@ -357,18 +360,17 @@
                     limit: search.batch.limit,
                     deadline_ms,
                 };
-                attempt::search(pool, ask).boxed()
+                attempt::search(pool, shard_search).boxed()
             }
             OpenBatch::Run(run) => {
-                // Failure: the process was suspended with the request unread in
-                // its socket, or the machine with its monotonic clock stood
-                // still. The caller has given up meanwhile, perhaps done it by
-                // other means, or the claim is gone. Nothing is sent then.
+                // Failure: the process was suspended while the request was unread in its socket, or
+                // the machine and its monotonic clock were paused. The caller may have given up and
+                // acted by other means, or the claim may have expired, so nothing is sent.
                 let not_after = Duration::from_millis(run.batch.not_after_ms);
                 if left.is_zero() || unix_now() >= not_after {
                     return false;
                 }
-                let ask = TargetRun {
+                let target_run = TargetRun {
                     request: request.clone(),
                     attempt: attempt.0,
                     caller: run.batch.caller.clone(),
@@ -377,13 +379,13 @@
                     body: run.batch.body.clone(),
                     deadline_ms,
                 };
-                attempt::run(pool, ask).boxed()
+                attempt::run(pool, target_run).boxed()
             }
         };
-        let ends = self.ends.clone();
+        let completions = self.completions.clone();
         let task = tokio::spawn(async move {
-            let end = exchange.await;
-            let _stopped = ends.send(TaskEnd::Attempt(end)).await;
+            let completion = exchange.await;
+            let _stopped = completions.send(TaskCompletion::Attempt(completion)).await;
         });
         let open = OpenAttempt { request, piece, target, task: task.abort_handle() };
         self.attempts.insert(attempt, open);
--- a/crates/hawthorn-daemon/src/process/daemon.rs
+++ b/crates/hawthorn-daemon/src/process/daemon.rs
@@ -1,5 +1,5 @@
-//! The process: starts a thread for each duty, joins them by bounded rings, and
-//! stops them in an order that cuts off no request.
+//! The daemon process: starts one thread per worker, connects them by bounded channels, and stops
+//! them in an order that does not abort requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,8 +27,8 @@
 
 use crate::connection::peer::PeerLinks;
 use crate::connection::serve;
-use crate::connection::serve::ClosingGate;
 use crate::connection::serve::PeerServer;
+use crate::connection::serve::ShutdownGate;
 use crate::owner;
 use crate::owner::OwnerHandle;
 use crate::process::events::LogEvent;
@@ -48,24 +48,25 @@
 use crate::request::front::FrontParts;
 use crate::version::views::ViewTable;
 
-/// Calls to the store that may wait, at the most: the fleet's duty has one out.
-const STORE_RING: usize = 4;
+/// Capacity of the store's channel. The fleet worker has at most one call in flight.
+const STORE_CHANNEL_CAPACITY: usize = 4;
 
-/// How often the balancer looks at readiness, about: a stop waits so long
-/// before it closes the listener, so that nothing new is on its way.
-const BALANCER_NOTICE: Duration = Duration::from_secs(1);
+/// Approximate interval of the load balancer's readiness probes. A stop waits this long before it
+/// closes the listener, so that no new connection is under way.
+const READINESS_PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// After goodbye, datagrams and hand-over answers need so long to get out.
-const GOODBYE_TIME: Duration = Duration::from_millis(100);
+/// Time to flush datagrams and handover messages after the departure is announced.
+const FLUSH_TIME: Duration = Duration::from_millis(100);
 
-/// Tries to find a port that is free for TCP and UDP, when the settings leave it open.
-const PORT_TRIES: u32 = 16;
+/// Maximum number of retries to find a port that is free for both TCP and UDP, if the settings
+/// leave it open.
+const MAX_BIND_RETRIES: u32 = 16;
 
 quick_error! {
-    /// Why the process could not start.
+    /// Reason why the process could not start.
     #[derive(Debug)]
     pub enum Error {
-        /// An address cannot be listened on.
+        /// An address could not be bound.
         Listen(what: &'static str, address: SocketAddr, text: String) {
             display("{what}: cannot listen on {address}: {text}")
         }
@@ -79,23 +80,23 @@
             display("{source}")
             from()
         }
-        /// The interface's description is broken.
+        /// The API description is invalid.
         Api(text: String) {
-            display("the callers' interface is broken: {text}")
+            display("invalid API description: {text}")
         }
     }
 }
 
-/// The life of the process, as a type: what is not yet served cannot be stopped,
-/// and what is stopped cannot be served.
+/// Lifecycle of the process as a type state: only a serving process can be drained, and only a
+/// draining one can be finished.
 pub trait ProcessState {}
 
-/// Requests are served.
+/// The process serves requests.
 pub struct Serving {
     http: HttpServer<Arc<FrontContext>>,
 }
 
-/// Nothing new is taken; what is in flight is finished.
+/// The process accepts no new work and finishes the requests in flight.
 pub struct Draining {
     http: HttpServer<Arc<FrontContext>>,
 }
@@ -103,7 +104,7 @@
 impl ProcessState for Serving {}
 impl ProcessState for Draining {}
 
-/// One running daemon.
+/// A running daemon.
 pub struct DaemonProcess<S: ProcessState> {
     state: S,
     settings: DaemonSettings,
@@ -112,13 +113,13 @@
     fleet: FleetHandle,
     caller_address: SocketAddr,
     peer_address: SocketAddr,
-    closing: ClosingGate,
+    shutdown_gate: ShutdownGate,
     stop: CancellationToken,
     runtime: Runtime,
 }
 
-/// The duties of one process, before its front exists.
-struct DutySet {
+/// Handles to the workers, before the front exists.
+struct WorkerSet {
     owner: OwnerHandle,
     fleet: FleetHandle,
     links: Arc<PeerLinks>,
@@ -127,11 +128,11 @@
     peer_address: SocketAddr,
 }
 
-/// Starts a daemon: all threads run when this returns, and callers can connect.
-/// It is ready once it knows its configuration to be current.
+/// Starts a daemon. When this returns, all threads run and callers can connect. The daemon is ready
+/// once its configuration is known to be current.
 ///
 /// # Errors
-/// When an address cannot be listened on or a thread cannot be started.
+/// If an address cannot be bound or a thread cannot be started.
 pub fn start(settings: DaemonSettings) -> Result<DaemonProcess<Serving>, Error> {
     crate::log_event!(Level::Info, LogEvent::Starting, "host {}", settings.host);
     let stop = CancellationToken::new();
@@ -141,8 +142,8 @@
         .enable_all()
         .build()?;
     let metrics = MetricSet::new()?;
-    let duties = start_duties(&settings, &runtime, &metrics, &stop)?;
-    let _inside = runtime.enter();
+    let workers = start_workers(&settings, &runtime, &metrics, &stop)?;
+    let _entered = runtime.enter();
     let claims = StoreClient::new(settings.platform, options::store_client());
     let keeper = ClaimKeeper::spawn(
         Arc::new(claims.clone()),
@@ -154,39 +155,39 @@
         options: options::front(&settings),
         zone: settings.zone.clone(),
         host: settings.host.clone(),
-        fleet: duties.fleet.clone(),
-        owner: duties.owner.clone(),
-        links: duties.links,
-        views: duties.views,
-        drift: duties.drift,
+        fleet: workers.fleet.clone(),
+        owner: workers.owner.clone(),
+        links: workers.links,
+        views: workers.views,
+        drift: workers.drift,
         keeper,
         metrics,
     }));
-    let closing = ClosingGate::default();
+    let shutdown_gate = ShutdownGate::default();
     let server = PeerServer {
-        owner: duties.owner.clone(),
-        fleet: duties.fleet.clone(),
-        closing: closing.clone(),
+        owner: workers.owner.clone(),
+        fleet: workers.fleet.clone(),
+        shutdown_gate: shutdown_gate.clone(),
     };
     runtime
-        .block_on(serve::start(duties.peer_address, server, stop.clone()))
-        .map_err(|error| listen_error("peer_address", duties.peer_address, &error))?;
+        .block_on(serve::start(workers.peer_address, server, stop.clone()))
+        .map_err(|error| listen_error("peer_address", workers.peer_address, &error))?;
     let http = serve_callers(&settings, &front)?;
     let caller_address = http.local_addr();
     runtime.spawn(refresh::run(Arc::clone(&front), stop.clone()));
     runtime.spawn(sample::run(Arc::clone(&front), stop.clone()));
     runtime.spawn(sweep::run(claims, options::claims(&settings), Arc::clone(&front), stop.clone()));
-    let peer = duties.peer_address;
+    let peer = workers.peer_address;
     crate::log_event!(Level::Info, LogEvent::Listening, "callers {caller_address}, peers {peer}");
     Ok(DaemonProcess {
         state: Serving { http },
         settings,
         front,
-        owner: duties.owner,
-        fleet: duties.fleet,
+        owner: workers.owner,
+        fleet: workers.fleet,
         caller_address,
         peer_address: peer,
-        closing,
+        shutdown_gate,
         stop,
         runtime,
     })
@@ -203,8 +204,8 @@
     let api = api::describe().map_err(|error| Error::Api(error.to_string()))?;
     let config = ConfigDropshot {
         bind_address: settings.caller_address,
-        // Our own limit speaks, with a typed reason; a frame that passes it is
-        // dropped as soon as it is seen.
+        // The body limit of this crate applies instead, as it gives a typed reason and rejects the
+        // excess frame on arrival.
         default_request_body_max_bytes: usize::MAX,
         default_handler_task_mode: HandlerTaskMode::CancelOnDisconnect,
         ..ConfigDropshot::default()
@@ -215,15 +216,15 @@
         .map_err(|error| listen_error("caller_address", settings.caller_address, &error))
 }
 
-fn start_duties(
+fn start_workers(
     settings: &DaemonSettings,
     runtime: &Runtime,
     metrics: &MetricSet,
     stop: &CancellationToken,
-) -> Result<DutySet, Error> {
+) -> Result<WorkerSet, Error> {
     let (peer_address, socket) = runtime.block_on(bind_peer(settings.peer_address))?;
     let links = Arc::new(PeerLinks::new(peer_address.ip()));
-    let (store_calls, calls) = mpsc::channel(STORE_RING);
+    let (store_calls, calls) = mpsc::channel(STORE_CHANNEL_CAPACITY);
     let (busy_sender, busy) = watch::channel(Arc::default());
     let place = MemberPlace {
         host: settings.host.clone(),
@@ -232,7 +233,7 @@
         capacity: 0,
     };
     let inputs = fleet::FleetInputs { socket, links: Arc::clone(&links), store: store_calls, busy };
-    let (fleet, fleet_duty) = fleet::start(options::fleet(settings, place), inputs, stop.clone());
+    let (fleet, fleet_worker) = fleet::start(options::fleet(settings, place), inputs, stop.clone());
     let views = Arc::new(ViewTable::default());
     let inputs = owner::OwnerInputs {
         relays: owner::RelayLinks {
@@ -246,13 +247,13 @@
         busy: busy_sender,
         metrics: metrics.clone(),
     };
-    let (owner, owner_duty) = owner::start(options::owner(settings), inputs, stop.clone());
+    let (owner, owner_worker) = owner::start(options::owner(settings), inputs, stop.clone());
     let (members_sender, members) = watch::channel(1);
     let client = StoreClient::new(settings.platform, options::store_client());
     let view = fleet.view.clone();
     let commands = fleet.commands.clone();
     let token = stop.clone();
-    let store_duty = async move {
+    let store_worker = async move {
         let count = count_members(view, members_sender);
         let calls = store::run(client, calls, commands, members, token);
         tokio::join!(count, calls);
@@ -265,12 +266,12 @@
         owner: owner.clone(),
     };
     let options = hawthorn_intent::reconcile::Options::default();
-    let (drift, reconcile_duty) = reconcile::start(options, inputs, stop.clone());
-    spawn_duty("fleet", stop, fleet_duty)?;
-    spawn_duty("owner", stop, owner_duty)?;
-    spawn_duty("store", stop, store_duty)?;
-    spawn_duty("reconcile", stop, reconcile_duty)?;
-    Ok(DutySet { owner, fleet, links, views, drift, peer_address })
+    let (drift, reconcile_worker) = reconcile::start(options, inputs, stop.clone());
+    spawn_worker("fleet", stop, fleet_worker)?;
+    spawn_worker("owner", stop, owner_worker)?;
+    spawn_worker("store", stop, store_worker)?;
+    spawn_worker("reconcile", stop, reconcile_worker)?;
+    Ok(WorkerSet { owner, fleet, links, views, drift, peer_address })
 }
 
 async fn count_members(
@@ -283,28 +284,27 @@
     }
 }
 
-/// Runs a duty on a thread of its own. A duty that ends while the process is
-/// not stopping is a broken invariant: the process stops rather than serve on
-/// without it.
-fn spawn_duty(
+/// Runs a worker on its own thread. If a worker ends while the process is not stopping, an
+/// invariant is broken, and the process stops instead of serving without it.
+fn spawn_worker(
     name: &'static str,
     stop: &CancellationToken,
-    duty: impl Future<Output = ()> + Send + 'static,
+    worker: impl Future<Output = ()> + Send + 'static,
 ) -> Result<(), Error> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let stop = stop.clone();
     thread::Builder::new().name(name.into()).spawn(move || {
-        runtime.block_on(duty);
+        runtime.block_on(worker);
         if !stop.is_cancelled() {
-            crate::log_event!(Level::Error, LogEvent::DutyEnded, "duty {name}");
+            crate::log_event!(Level::Error, LogEvent::WorkerEnded, "worker {name}");
             stop.cancel();
         }
     })?;
     Ok(())
 }
 
-/// Finds the address for both TCP and UDP. With port 0 the system chooses one
-/// for UDP, and TCP may find it taken; then another is tried.
+/// Binds the same address for TCP and UDP. With port 0 the system chooses a UDP port that may be in
+/// use for TCP; another one is tried then.
 async fn bind_peer(address: SocketAddr) -> Result<(SocketAddr, UdpSocket), Error> {
     let fail = |error: std::io::Error| listen_error("peer_address", address, &error);
     let mut tries = 0;
@@ -312,29 +312,31 @@
         let socket = UdpSocket::bind(address).await.map_err(fail)?;
         let bound = socket.local_addr().map_err(fail)?;
         match TcpListener::bind(bound).await {
-            // The listener is closed and opened again by the peer server.
+            // The peer server closes this listener and binds again.
             Ok(_listener) => return Ok((bound, socket)),
-            Err(error) if address.port() != 0 || tries == PORT_TRIES => return Err(fail(error)),
+            Err(error) if address.port() != 0 || tries == MAX_BIND_RETRIES => {
+                return Err(fail(error));
+            }
             Err(_) => tries += 1,
         }
     }
 }
 
 impl<S: ProcessState> DaemonProcess<S> {
-    /// Where callers reach it.
+    /// Address for callers.
     pub fn caller_address(&self) -> SocketAddr {
         self.caller_address
     }
 
-    /// Where other daemons reach it.
+    /// Address for other daemons.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer_address
     }
 }
 
 impl DaemonProcess<Serving> {
-    /// The settings of this process with the addresses it really has, to start
-    /// it again at the same place.
+    /// Settings of this process with the addresses actually bound, so that it can be restarted at
+    /// the same place.
     pub fn settings_with_bound_addresses(&self) -> DaemonSettings {
         DaemonSettings {
             caller_address: self.caller_address,
@@ -343,10 +345,10 @@
         }
     }
 
-    /// Waits for the order to stop, SIGTERM or SIGINT.
+    /// Waits for SIGTERM or SIGINT.
     ///
     /// # Errors
-    /// When signals cannot be listened for.
+    /// If signal handlers cannot be installed.
     pub fn wait_for_signal(&self) -> Result<(), Error> {
         self.runtime.block_on(async {
             use tokio::signal::unix::SignalKind;
@@ -362,7 +364,7 @@
         })
     }
 
-    /// Waits until the process is ready, for at most `limit`; tells whether it is.
+    /// Waits until the process is ready, for at most `limit`. Returns whether it is.
     pub fn wait_until_ready(&self, limit: Duration) -> bool {
         let mut status = self.fleet.status.clone();
         self.runtime.block_on(async {
@@ -371,7 +373,7 @@
         })
     }
 
-    /// Takes nothing new: readiness goes off, and ownership is handed over.
+    /// Starts draining: readiness is withdrawn and ownership is handed over.
     pub fn drain(self) -> DaemonProcess<Draining> {
         crate::log_event!(Level::Info, LogEvent::Stopping, "host {}", self.settings.host);
         self.front.stop();
@@ -384,7 +386,7 @@
             fleet: self.fleet,
             caller_address: self.caller_address,
             peer_address: self.peer_address,
-            closing: self.closing,
+            shutdown_gate: self.shutdown_gate,
             stop: self.stop,
             runtime: self.runtime,
         }
@@ -392,34 +394,37 @@
 }
 
 impl DaemonProcess<Draining> {
-    /// Finishes what is in flight, closes connections and ends all threads;
-    /// tells whether everything was finished within the grace of the settings.
+    /// Finishes requests in flight, closes connections and ends all threads. Returns whether
+    /// everything finished within the grace period of the settings.
     ///
-    /// The order: callers are told to go elsewhere while they are still
-    /// served; the listener closes once no request is open; batches of other
-    /// hosts are finished; then goodbye.
+    /// Order: readiness is withdrawn while callers are still served; the listener closes once no
+    /// request is open; batches of other hosts finish; then the departure is announced.
     pub fn finish(mut self) -> bool {
         let grace = self.settings.stop.grace;
-        let notice = BALANCER_NOTICE.min(grace / 2);
-        let clean = self.runtime.block_on(async {
-            tokio::time::sleep(notice).await;
-            self.closing.close();
+        let probe_wait = READINESS_PROBE_INTERVAL.min(grace / 2);
+        let completed = self.runtime.block_on(async {
+            tokio::time::sleep(probe_wait).await;
+            self.shutdown_gate.close();
             let callers = self.front.idle(grace).await;
             let batches = self.owner.idle(grace).await;
             callers && batches
         });
-        if !clean {
-            crate::log_event!(Level::Error, LogEvent::StopCutShort, "grace of {grace:?} is over");
+        if !completed {
+            crate::log_event!(
+                Level::Error,
+                LogEvent::StopCutShort,
+                "grace period of {grace:?} expired"
+            );
         }
         let http = self.state.http;
         self.runtime.block_on(async {
             let _closed = tokio::time::timeout(grace, http.close()).await;
             self.fleet.depart().await;
-            tokio::time::sleep(GOODBYE_TIME).await;
+            tokio::time::sleep(FLUSH_TIME).await;
         });
         self.stop.cancel();
-        self.runtime.shutdown_timeout(GOODBYE_TIME);
+        self.runtime.shutdown_timeout(FLUSH_TIME);
         crate::log_event!(Level::Info, LogEvent::Stopped, "host {}", self.settings.host);
-        clean
+        completed
     }
 }
--- a/crates/hawthorn-daemon/src/process/events.rs
+++ b/crates/hawthorn-daemon/src/process/events.rs
@@ -1,73 +1,74 @@
-//! Numbered log events. The catalogue for operators is docs/operators/events.md;
-//! a test keeps the two in step.
+//! Numbered log events. The catalogue for operators is docs/operators/events.md; a test compares
+//! the two.
 
 use strum::EnumIter;
 use strum::IntoStaticStr;
 
-/// One kind of log line. The number never changes meaning.
+/// Kind of a log event. A number never changes its meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 #[repr(u16)]
 pub enum LogEvent {
-    /// The process has read its settings and begins to start.
+    /// The process has read its settings and is starting.
     Starting = 100,
     /// The process is ready for callers.
     Ready = 101,
-    /// The process was asked to stop.
+    /// The process was requested to stop.
     Stopping = 102,
     /// The process has finished its work and exits.
     Stopped = 103,
-    /// The process stops with requests still in flight, its grace being over.
+    /// The process stops with requests in flight because the grace period is over.
     StopCutShort = 104,
-    /// A duty's thread ended although the process was not stopping.
-    DutyEnded = 105,
-    /// The process listens; it is ready once its configuration is current.
+    /// A worker thread ended although the process was not stopping.
+    #[strum(serialize = "duty-ended")]
+    WorkerEnded = 105,
+    /// The process is listening; it is ready once its configuration is current.
     Listening = 106,
-    /// A configuration came into force.
+    /// A configuration took effect.
     ConfigInForce = 200,
-    /// A configuration older than the one in force was offered and refused.
+    /// A configuration older than the one in force was offered and rejected.
     ConfigOlderRefused = 201,
-    /// A configuration of the same revision but another edit was offered and refused.
+    /// A configuration with the same revision but another edit was offered and rejected.
     ConfigForkRefused = 202,
-    /// A configuration was offered that does not pass its checks.
+    /// A configuration failed validation.
     ConfigBroken = 203,
     /// The platform's store does not answer.
     StoreUnreachable = 210,
     /// The platform's store answers again.
     StoreReachable = 211,
-    /// A member joined or came back.
+    /// A member joined or returned.
     MemberUp = 300,
-    /// A member left or is believed dead.
+    /// A member left or is considered dead.
     MemberDown = 301,
-    /// The groups that this host owns have changed.
+    /// The set of groups owned by this host changed.
     OwnershipChanged = 302,
-    /// The process noticed that it had been paused.
+    /// The process detected that it had been paused.
     PauseNoticed = 303,
-    /// Nothing is heard from any host of a zone.
+    /// No host of a zone is reachable.
     ZoneLost = 304,
-    /// A zone is heard from again.
+    /// A zone is reachable again.
     ZoneFound = 305,
-    /// A target cannot be reached, or answers nothing.
+    /// A target is unreachable or does not answer.
     TargetLost = 400,
     /// A target answers again.
     TargetBack = 401,
-    /// A target answered something that was not the answer to its request.
+    /// A target sent an answer that does not belong to the request.
     CrossedAnswer = 402,
-    /// A target does not follow what operators want of it.
+    /// A target is not in the state that operators want.
     TargetDrift = 403,
-    /// A peer sent a message that could not be understood.
+    /// A peer sent an invalid message.
     PeerMessageBad = 500,
-    /// A line from the HTTP library.
+    /// A log line of the HTTP library.
     HttpLibrary = 900,
 }
 
 impl LogEvent {
-    /// The number that the catalogue lists.
+    /// Number in the catalogue.
     pub fn number(self) -> u16 {
         self as u16
     }
 
-    /// The name that the catalogue lists.
+    /// Name in the catalogue.
     pub fn name(self) -> &'static str {
         self.into()
     }
--- a/crates/hawthorn-daemon/src/process/fleet/edition.rs
+++ b/crates/hawthorn-daemon/src/process/fleet/config_update.rs
@@ -1,4 +1,4 @@
-//! How configuration documents come into force here and are asked for.
+//! Fetches configuration documents and puts them into force.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use super::OfferSource;
 use super::StoreCall;
 use super::StoreReply;
-use super::duty::FleetDuty;
+use super::worker::FleetWorker;
 use crate::connection::message::ConfigCopy;
 use crate::connection::peer;
 use crate::connection::peer::PeerLinks;
@@ -26,22 +26,22 @@
 use crate::version::config;
 use crate::version::config::ConfigInForce;
 
-/// How long a peer may take to hand over a configuration document.
+/// Timeout of fetching a configuration document from a peer.
 const PULL_TIMEOUT: Duration = Duration::from_secs(1);
 
-impl FleetDuty {
-    pub(super) fn take_store(&mut self, reply: StoreReply) {
+impl FleetWorker {
+    pub(super) fn handle_store_reply(&mut self, reply: StoreReply) {
         let now = self.now();
         match reply {
             StoreReply::Document(json) => self.offer(&json, OfferSource::Store),
-            StoreReply::Unchanged => self.spread.store_answered(now, StoreAnswer::Unchanged),
-            StoreReply::Empty => self.spread.store_answered(now, StoreAnswer::Empty),
-            StoreReply::Failed => self.spread.store_answered(now, StoreAnswer::Failed),
+            StoreReply::Unchanged => self.propagation.store_answered(now, StoreAnswer::Unchanged),
+            StoreReply::Empty => self.propagation.store_answered(now, StoreAnswer::Empty),
+            StoreReply::Failed => self.propagation.store_answered(now, StoreAnswer::Failed),
         }
     }
 
-    /// Takes in a document. One that could come into force is checked on
-    /// another thread first: a megabyte takes longer than a heartbeat may wait.
+    /// Processes an offered document. A newer one is validated on another thread first, because
+    /// parsing a megabyte takes longer than a heartbeat may be delayed.
     pub(super) fn offer(&mut self, json: &str, source: OfferSource) {
         let now = self.now();
         let document = match ConfigDocument::from_json(json) {
@@ -49,14 +49,14 @@
             Err(error) => {
                 crate::log_event!(Level::Error, LogEvent::ConfigBroken, "{error}");
                 if matches!(source, OfferSource::Store) {
-                    self.spread.store_answered(now, StoreAnswer::Failed);
+                    self.propagation.store_answered(now, StoreAnswer::Failed);
                 }
                 return;
             }
         };
         let edit = xxhash_rust::xxh3::xxh3_64(document.edit_id.as_bytes());
         let edition = ConfigEdition { revision: document.revision, edit };
-        let in_force = self.spread.in_force().unwrap_or_default().revision;
+        let in_force = self.propagation.in_force().unwrap_or_default().revision;
         if document.revision <= in_force {
             self.adopt(edition, &source);
             return;
@@ -70,7 +70,7 @@
         });
     }
 
-    pub(super) fn take_parsed(
+    pub(super) fn handle_parsed(
         &mut self,
         edition: ConfigEdition,
         parsed: Result<Arc<ConfigInForce>, config::Error>,
@@ -85,7 +85,7 @@
                     LogEvent::ConfigBroken,
                     "revision {revision}: {error}"
                 );
-                self.tell_spread(edition, source);
+                self.report_to_propagation(edition, source);
                 return;
             }
         };
@@ -107,41 +107,41 @@
         source: &OfferSource,
     ) -> propagation::Outcome {
         let now = self.now();
-        let outcome = self.spread.adopt(now, edition);
-        self.tell_spread(edition, source);
+        let outcome = self.propagation.adopt(now, edition);
+        self.report_to_propagation(edition, source);
         outcome
     }
 
-    pub(super) fn tell_spread(&mut self, edition: ConfigEdition, source: &OfferSource) {
+    pub(super) fn report_to_propagation(&mut self, edition: ConfigEdition, source: &OfferSource) {
         if matches!(source, OfferSource::Store) {
             let now = self.now();
-            self.spread.store_answered(now, StoreAnswer::Holds(edition));
+            self.propagation.store_answered(now, StoreAnswer::Holds(edition));
         }
     }
 
-    pub(super) fn act_on_spread(&mut self, action: PropagationAction) {
+    pub(super) fn handle_propagation(&mut self, action: PropagationAction) {
         match action {
             PropagationAction::Pull { peer, .. } => self.pull(peer),
             PropagationAction::Watch { wait, .. } => self.call_store(StoreCall::Watch { wait }),
             PropagationAction::ReadStore => self.call_store(StoreCall::Read),
-            PropagationAction::Alarm(alarm) => self.alarm_spread(alarm),
+            PropagationAction::Alarm(alarm) => self.raise_propagation_alarm(alarm),
         }
     }
 
     pub(super) fn call_store(&mut self, call: StoreCall) {
         if self.store.try_send(call).is_err() {
             let now = self.now();
-            self.spread.store_answered(now, StoreAnswer::Failed);
+            self.propagation.store_answered(now, StoreAnswer::Failed);
         }
     }
 
     pub(super) fn pull(&mut self, peer: HostKey) {
         let Some(record) = self.table.record(peer) else {
             let now = self.now();
-            return self.spread.pull_failed(now, peer);
+            return self.propagation.pull_failed(now, peer);
         };
         let address = record.place.peer;
-        let have = self.spread.in_force().unwrap_or_default().revision;
+        let have = self.propagation.in_force().unwrap_or_default().revision;
         let links = Arc::clone(&self.links);
         let commands = self.commands.clone();
         tokio::spawn(async move {
@@ -150,24 +150,24 @@
         });
     }
 
-    pub(super) fn alarm_spread(&mut self, alarm: PropagationAlarm) {
+    pub(super) fn raise_propagation_alarm(&mut self, alarm: PropagationAlarm) {
         match alarm {
             PropagationAlarm::Fork { revision, .. } => {
-                let text = format!("revision {} was also offered as another edit", revision.0);
+                let text = format!("another edit of revision {} was also offered", revision.0);
                 crate::log_event!(Level::Error, LogEvent::ConfigForkRefused, "{text}");
-                self.alarm(text);
+                self.raise_alarm(text);
             }
             PropagationAlarm::StoreBehind { store, in_force } => {
                 let (store, in_force) = (store.0, in_force.0);
                 let text =
                     format!("the store holds revision {store}, older than {in_force} in force");
                 crate::log_event!(Level::Error, LogEvent::ConfigOlderRefused, "{text}");
-                self.alarm(text);
+                self.raise_alarm(text);
             }
             PropagationAlarm::StoreEmpty { in_force } => {
                 let text = format!("the store holds no configuration; {} is in force", in_force.0);
                 crate::log_event!(Level::Error, LogEvent::ConfigOlderRefused, "{text}");
-                self.alarm(text);
+                self.raise_alarm(text);
             }
         }
     }
@@ -176,5 +176,9 @@
 async fn pull(links: &PeerLinks, address: SocketAddr, have: ConfigRevision) -> Option<ConfigCopy> {
     let client = links.client(address).await.ok()?;
     let context = peer::call_context(PULL_TIMEOUT);
-    client.pull_config(context, have).await.map_err(|error| links.judge(address, error)).ok()?
+    client
+        .pull_config(context, have)
+        .await
+        .map_err(|error| links.classify_error(address, error))
+        .ok()?
 }
--- a/crates/hawthorn-daemon/src/process/fleet/mod.rs
+++ b/crates/hawthorn-daemon/src/process/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! The fleet's duty: one thread that hears heartbeats, keeps the list of
-//! members, the groups this host owns, and the configuration in force.
+//! The fleet worker: one thread that exchanges heartbeats and maintains the member list, the groups
+//! that this host owns, and the configuration in force.
 
-mod duty;
-mod edition;
+mod config_update;
+mod worker;
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use self::duty::FleetDuty;
+use self::worker::FleetWorker;
 use crate::connection::message::ConfigCopy;
 use crate::connection::peer::PeerLinks;
 use crate::version::config;
@@ -39,40 +39,40 @@
 use crate::version::fleet::FleetView;
 use crate::version::owned::OwnedGroups;
 
-/// Commands waiting, at the most.
-const RING: usize = 256;
+/// Capacity of the command channel.
+const CHANNEL_CAPACITY: usize = 256;
 
-/// What the duty is told.
+/// Commands to the worker.
 #[derive(Debug)]
 pub(crate) enum FleetCommand {
-    /// A document from a peer. Answers the revision in force afterwards.
+    /// A document from a peer; the reply is the revision in force afterwards.
     Offer { copy: ConfigCopy, reply: oneshot::Sender<ConfigRevision> },
-    /// A pull from this peer ended.
+    /// A pull from this peer completed.
     Pulled { peer: HostKey, copy: Option<ConfigCopy> },
-    /// A document passed or failed its checks.
+    /// Validation of a document completed.
     Parsed {
         edition: ConfigEdition,
         parsed: Result<Arc<ConfigInForce>, config::Error>,
         source: OfferSource,
     },
-    /// A call to the store ended.
+    /// A call to the store completed.
     StoreAnswered(StoreReply),
     /// The platform's list of hosts.
     PlatformHosts(Vec<HostEntry>),
-    /// Take nothing new.
+    /// Accept no new work.
     Leave,
-    /// Say goodbye; answered once it is on its way.
+    /// Announce the departure; replied to once it is sent.
     Depart(oneshot::Sender<()>),
 }
 
-/// Where a document came from.
+/// Source of a document.
 #[derive(Debug)]
 pub(crate) enum OfferSource {
     Peer,
     Store,
 }
 
-/// What the store said.
+/// Result of a call to the store.
 #[derive(Debug)]
 pub(crate) enum StoreReply {
     Document(String),
@@ -81,29 +81,29 @@
     Failed,
 }
 
-/// A call for the store's duty to make.
+/// A call for the store worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StoreCall {
     Watch { wait: Duration },
     Read,
 }
 
-/// The duty's own standing.
+/// Status of the worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetStatus {
-    /// Whether this host may take work.
+    /// Whether this host may accept work.
     pub ready: bool,
     /// When the configuration in force was last confirmed as the newest.
     pub confirmed_at: Option<Instant>,
-    /// What operators must look at, oldest first.
+    /// Alarms for operators, oldest first.
     pub alarms: Vec<String>,
-    /// The platform says that this host is about to be stopped.
+    /// Whether the platform is about to stop this host.
     pub platform_leaving: bool,
-    /// Counts of the membership protocol.
+    /// Counters of the membership protocol.
     pub traffic: MemberCounters,
 }
 
-/// What other duties read of this one, and how they reach it.
+/// Handle to the fleet worker.
 #[derive(Clone, Debug)]
 pub struct FleetHandle {
     pub(crate) commands: mpsc::Sender<FleetCommand>,
@@ -111,14 +111,14 @@
     pub config: watch::Receiver<Option<Arc<ConfigInForce>>>,
     /// The members.
     pub view: watch::Receiver<Arc<FleetView>>,
-    /// The groups owned.
+    /// Groups owned by this host.
     pub owned: watch::Receiver<Arc<OwnedGroups>>,
-    /// The duty's standing.
+    /// Status of the worker.
     pub status: watch::Receiver<FleetStatus>,
 }
 
 impl FleetHandle {
-    /// Offers a document; answers the revision in force afterwards.
+    /// Offers a document; returns the revision in force afterwards.
     pub async fn offer(&self, copy: ConfigCopy) -> ConfigRevision {
         let (reply, answer) = oneshot::channel();
         let command = FleetCommand::Offer { copy, reply };
@@ -128,20 +128,20 @@
         answer.await.unwrap_or_default()
     }
 
-    /// Announces that this host takes nothing new.
+    /// Announces that this host accepts no new work.
     pub async fn leave(&self) {
         let _stopped = self.commands.send(FleetCommand::Leave).await;
     }
 
-    /// Announces that this process stops now.
+    /// Announces that this process is stopping.
     pub async fn depart(&self) {
-        let (reply, gone) = oneshot::channel();
+        let (reply, sent) = oneshot::channel();
         if self.commands.send(FleetCommand::Depart(reply)).await.is_ok() {
-            let _said = gone.await;
+            let _closed = sent.await;
         }
     }
 
-    /// The configuration as passed on to peers.
+    /// The configuration in the form sent to peers.
     pub fn copy(&self) -> Option<ConfigCopy> {
         let config = self.config.borrow().clone()?;
         let age = self.status.borrow().confirmed_at.map(|at| at.elapsed());
@@ -153,24 +153,24 @@
     }
 }
 
-/// What the duty is made of.
+/// Options of the fleet worker.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// This host.
     pub place: MemberPlace,
-    /// Addresses of the settings.
+    /// Seed addresses from the settings.
     pub seeds: Vec<SocketAddr>,
-    /// Of membership.
+    /// Options of the membership protocol.
     pub member: member::Options,
-    /// Of hand-over.
+    /// Options of the ownership handover.
     pub handover: handover::Options,
-    /// Of the spread of configuration.
-    pub spread: propagation::Options,
-    /// Seeds the order of pings.
+    /// Options of configuration propagation.
+    pub propagation: propagation::Options,
+    /// Seed for the order of pings.
     pub seed: u64,
 }
 
-/// The duty's other ends.
+/// Inputs of the worker.
 pub(crate) struct FleetInputs {
     pub(crate) socket: UdpSocket,
     pub(crate) links: Arc<PeerLinks>,
@@ -179,24 +179,24 @@
     pub(crate) busy: watch::Receiver<Arc<HashSet<u16>>>,
 }
 
-/// Starts the duty on the current runtime, which its thread runs alone.
+/// Creates the worker and its handle. The returned future must run on a thread of its own.
 pub(crate) fn start(
     options: Options,
     inputs: FleetInputs,
     stop: CancellationToken,
 ) -> (FleetHandle, impl Future<Output = ()> + Send) {
-    let (commands, receiver) = mpsc::channel(RING);
+    let (commands, receiver) = mpsc::channel(CHANNEL_CAPACITY);
     let (config_sender, config) = watch::channel(None);
     let (view_sender, view) = watch::channel(Arc::default());
     let (owned_sender, owned) = watch::channel(Arc::default());
-    let standing = FleetStatus {
+    let initial = FleetStatus {
         ready: false,
         confirmed_at: None,
         alarms: Vec::new(),
         platform_leaving: false,
         traffic: MemberCounters::default(),
     };
-    let (status_sender, status) = watch::channel(standing);
+    let (status_sender, status) = watch::channel(initial);
     let handle = FleetHandle { commands: commands.clone(), config, view, owned, status };
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let incarnation = u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX);
@@ -204,13 +204,13 @@
     let mut table =
         MemberTable::new(options.place.clone(), incarnation, options.member.clone(), options.seed);
     table.seed(Duration::ZERO, &options.seeds);
-    let duty = FleetDuty {
+    let worker = FleetWorker {
         started: Instant::now(),
         zone: options.place.zone.clone(),
         me,
         table,
         handover: Handover::new(me, options.handover.clone()),
-        spread: PropagationState::new(options.spread.clone()),
+        propagation: PropagationState::new(options.propagation.clone()),
         options,
         links: inputs.links,
         store: inputs.store,
@@ -222,5 +222,5 @@
         status: status_sender,
         generation: 0,
     };
-    (handle, duty.run(inputs.socket, receiver, stop))
+    (handle, worker.run(inputs.socket, receiver, stop))
 }
--- a/crates/hawthorn-daemon/src/process/fleet/duty.rs
+++ b/crates/hawthorn-daemon/src/process/fleet/worker.rs
@@ -1,5 +1,5 @@
-//! The loop of the fleet's thread: datagrams and commands in, members, groups
-//! and configuration out.
+//! Event loop of the fleet worker: processes datagrams and commands; publishes members, owned
+//! groups and configuration.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -34,20 +34,21 @@
 use crate::version::fleet::FleetView;
 use crate::version::owned::OwnedGroups;
 
-/// The longest time between two looks at the clock.
+/// Maximum interval between ticks.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Longer than any datagram of ours; the table refuses what is over its limit.
+/// Buffer size, larger than any datagram of the protocol; the member table rejects those over its
+/// limit.
 const DATAGRAM_BYTES: usize = 2_048;
 
-pub(super) struct FleetDuty {
+pub(super) struct FleetWorker {
     pub(super) options: Options,
     pub(super) started: Instant,
     pub(super) zone: String,
     pub(super) me: MemberId,
     pub(super) table: MemberTable,
     pub(super) handover: Handover,
-    pub(super) spread: PropagationState,
+    pub(super) propagation: PropagationState,
     pub(super) links: Arc<PeerLinks>,
     pub(super) store: mpsc::Sender<StoreCall>,
     pub(super) busy: watch::Receiver<Arc<HashSet<u16>>>,
@@ -59,7 +60,7 @@
     pub(super) generation: u64,
 }
 
-impl FleetDuty {
+impl FleetWorker {
     pub(super) async fn run(
         mut self,
         socket: UdpSocket,
@@ -72,22 +73,22 @@
             let wake = wake.min(Instant::now() + TICK);
             tokio::select! {
                 () = stop.cancelled() => return,
-                heard = socket.recv_from(&mut datagram) => {
-                    // An error here is an ICMP answer to an earlier datagram: the peer is gone.
-                    if let Ok((len, from)) = heard {
-                        self.hear(from, &datagram[..len]);
+                received = socket.recv_from(&mut datagram) => {
+                    // An error is an ICMP reply to an earlier datagram: the peer is gone.
+                    if let Ok((len, from)) = received {
+                        self.receive_datagram(from, &datagram[..len]);
                     }
                 }
                 Some(command) = receiver.recv() => {
-                    if let Some(reply) = self.take(command) {
-                        self.act(&socket).await;
+                    if let Some(reply) = self.handle_command(command) {
+                        self.run_actions(&socket).await;
                         let _gone = reply.send(());
                     }
                 }
                 () = tokio::time::sleep_until(wake) => {}
             }
             self.tick();
-            self.act(&socket).await;
+            self.run_actions(&socket).await;
         }
     }
 
@@ -95,31 +96,31 @@
         self.started.elapsed()
     }
 
-    pub(super) fn hear(&mut self, from: SocketAddr, bytes: &[u8]) {
+    pub(super) fn receive_datagram(&mut self, from: SocketAddr, bytes: &[u8]) {
         let now = self.now();
         if let Err(error) = self.table.receive(now, from, bytes) {
             crate::log_event!(Level::Debug, LogEvent::PeerMessageBad, "from {from}: {error}");
         }
     }
 
-    /// Takes a command; gives the reply that is owed once all is sent.
-    pub(super) fn take(&mut self, command: FleetCommand) -> Option<oneshot::Sender<()>> {
+    /// Handles a command. Returns the reply to send once all resulting datagrams are sent.
+    pub(super) fn handle_command(&mut self, command: FleetCommand) -> Option<oneshot::Sender<()>> {
         let now = self.now();
         match command {
             FleetCommand::Offer { copy, reply } => {
                 self.offer(&copy.document, OfferSource::Peer);
-                let revision = self.spread.in_force().unwrap_or_default().revision;
+                let revision = self.propagation.in_force().unwrap_or_default().revision;
                 let _gone = reply.send(revision);
             }
-            FleetCommand::Pulled { peer, copy: None } => self.spread.pull_failed(now, peer),
+            FleetCommand::Pulled { peer, copy: None } => self.propagation.pull_failed(now, peer),
             FleetCommand::Pulled { copy: Some(copy), .. } => {
                 self.offer(&copy.document, OfferSource::Peer);
             }
             FleetCommand::Parsed { edition, parsed, source } => {
-                self.take_parsed(edition, parsed, &source);
+                self.handle_parsed(edition, parsed, &source);
             }
-            FleetCommand::StoreAnswered(reply) => self.take_store(reply),
-            FleetCommand::PlatformHosts(hosts) => self.take_hosts(&hosts),
+            FleetCommand::StoreAnswered(reply) => self.handle_store_reply(reply),
+            FleetCommand::PlatformHosts(hosts) => self.update_platform_hosts(&hosts),
             FleetCommand::Leave => self.table.leave(now),
             FleetCommand::Depart(reply) => {
                 self.table.depart(now);
@@ -129,7 +130,7 @@
         None
     }
 
-    pub(super) fn take_hosts(&mut self, hosts: &[HostEntry]) {
+    pub(super) fn update_platform_hosts(&mut self, hosts: &[HostEntry]) {
         let now = self.now();
         self.table.seed_platform(now, hosts);
         let name = &self.options.place.host;
@@ -143,23 +144,24 @@
     pub(super) fn tick(&mut self) {
         let now = self.now();
         self.table.tick(now);
-        self.spread.set_zone(&self.zone, self.me, self.table.active_hosts(&self.zone));
-        self.spread.tick(now);
+        self.propagation.set_zone(&self.zone, self.me, self.table.active_hosts(&self.zone));
+        self.propagation.tick(now);
         self.handover.observe(now, self.table.zone_view(now));
         let busy = Arc::clone(&self.busy.borrow());
         self.handover.tick(now, |bucket| busy.contains(&bucket));
         let peers = self.table.records().filter(|record| record.is_live()).count() - 1;
-        // Readiness is won once. Failure guarded against: a host that hears of a
-        // newer revision before it has it would refuse all callers for the
-        // moment that the document takes, and with every edit the whole tier.
-        // What it has in force is true to its stamp, and answers state it.
+        // A host never loses readiness once it has it. Failure: hosts that learn of a newer
+        // revision before they have its document would reject all callers until it arrives, on
+        // every edit and in the whole tier. Answers state the revision that they are based on, so
+        // serving from the older one is correct.
         let was_ready = self.status.borrow().ready;
-        let ready = was_ready || self.spread.is_ready(peers);
-        self.table.set_digest(now, self.spread.digest(now, ready, 0));
-        let confirmed_at = self.spread.age(now).and_then(|age| Instant::now().checked_sub(age));
+        let ready = was_ready || self.propagation.is_ready(peers);
+        self.table.set_digest(now, self.propagation.digest(now, ready, 0));
+        let confirmed_at =
+            self.propagation.age(now).and_then(|age| Instant::now().checked_sub(age));
         let traffic = self.table.counters();
         if ready && !was_ready {
-            crate::log_event!(Level::Info, LogEvent::Ready, "takes callers");
+            crate::log_event!(Level::Info, LogEvent::Ready, "ready for callers");
         }
         self.status.send_if_modified(|status| {
             let changed = status.ready != ready;
@@ -170,48 +172,48 @@
         });
     }
 
-    pub(super) async fn act(&mut self, socket: &UdpSocket) {
+    pub(super) async fn run_actions(&mut self, socket: &UdpSocket) {
         while let Some(action) = self.table.poll_action() {
-            self.act_on_fleet(action, socket).await;
+            self.handle_fleet_action(action, socket).await;
         }
-        while let Some(action) = self.spread.poll_action() {
-            self.act_on_spread(action);
+        while let Some(action) = self.propagation.poll_action() {
+            self.handle_propagation(action);
         }
-        let mut moved = false;
+        let mut ownership_changed = false;
         while let Some(action) = self.handover.poll_action() {
             match action {
                 HandoverAction::Send { to, message } => {
                     let now = self.now();
                     self.table.send_handover(now, to, message);
                 }
-                HandoverAction::ShareChanged { .. } => moved = true,
+                HandoverAction::ShareChanged { .. } => ownership_changed = true,
             }
         }
-        if moved {
+        if ownership_changed {
             self.publish_owned();
         }
-        // What the hand-over sent stands in the table's queue.
+        // The handover's messages are in the table's queue.
         while let Some(action) = self.table.poll_action() {
-            self.act_on_fleet(action, socket).await;
+            self.handle_fleet_action(action, socket).await;
         }
     }
 
-    pub(super) async fn act_on_fleet(&mut self, action: FleetAction, socket: &UdpSocket) {
+    pub(super) async fn handle_fleet_action(&mut self, action: FleetAction, socket: &UdpSocket) {
         let now = self.now();
         match action {
             FleetAction::Send { to, bytes } => {
-                // A datagram may be lost anywhere; here is no different.
+                // Datagrams may be lost in any case, so send errors are ignored.
                 let _sent = socket.send_to(&bytes, to).await;
             }
             FleetAction::DigestReceived { peer, digest } => {
-                self.spread.receive_digest(now, peer, digest)
+                self.propagation.receive_digest(now, peer, digest)
             }
             FleetAction::HandoverReceived { peer, message } => {
                 self.handover.receive(now, peer, message);
             }
             FleetAction::ProcessPaused(span) => {
                 let span = span.as_millis();
-                crate::log_event!(Level::Warn, LogEvent::PauseNoticed, "stood still for {span} ms");
+                crate::log_event!(Level::Warn, LogEvent::PauseNoticed, "paused for {span} ms");
                 self.handover.reacquire(now);
             }
             FleetAction::DeathRefuted => self.handover.reacquire(now),
@@ -219,7 +221,7 @@
             FleetAction::MemberDown(host) => self.log_member(LogEvent::MemberDown, host),
             FleetAction::ViewChanged(_) => self.publish_view(),
             FleetAction::Superseded(by) => {
-                self.alarm(format!("another process with this host's name runs at {by}"));
+                self.raise_alarm(format!("another process with this host's name runs at {by}"));
             }
             FleetAction::ZoneLost(zone) => self.log_zone(LogEvent::ZoneLost, &zone),
             FleetAction::ZoneFound(zone) => self.log_zone(LogEvent::ZoneFound, &zone),
@@ -248,7 +250,7 @@
         crate::log_event!(Level::Warn, event, "zone {zone}");
     }
 
-    pub(super) fn alarm(&self, text: String) {
+    pub(super) fn raise_alarm(&self, text: String) {
         self.status.send_modify(|status| status.alarms.push(text));
     }
 
--- a/crates/hawthorn-daemon/src/process/intent.rs
+++ b/crates/hawthorn-daemon/src/process/intent.rs
@@ -1,7 +1,7 @@
-//! One round of the reconciler in this process: what is seen goes in, what to
-//! ask of the owner's duty and what to show operators comes out.
+//! One reconciler round: derives orders for the owner worker and drift reports for operators from
+//! the observed targets.
 //!
-//! Without sockets, threads or a clock.
+//! Performs no I/O and uses no threads or clock.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -24,80 +24,79 @@
 use hawthorn_types::ZoneKey;
 use smallvec::SmallVec;
 
-use crate::owner::seen::IntentRound;
-use crate::owner::seen::SeenReport;
-use crate::owner::seen::TargetOrder;
+use crate::owner::snapshot::IntentRound;
+use crate::owner::snapshot::OwnerSnapshot;
+use crate::owner::snapshot::TargetOrder;
 use crate::version::owned::OwnedGroups;
 
-/// One target that is not as wanted, named.
+/// A target that is not in the desired state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DriftEntry {
     /// The target.
     pub target: String,
-    /// What is wanted.
+    /// Desired state.
     pub wanted: DesiredState,
-    /// What is seen; none when it cannot be reached.
-    pub seen: Option<TargetPhase>,
-    /// For how long, at the time of the round.
-    pub lasted: Duration,
-    /// Why it lasts.
+    /// Observed phase; `None` if unreachable.
+    pub observed: Option<TargetPhase>,
+    /// Duration of the drift at the time of the round.
+    pub duration: Duration,
+    /// Cause of the drift.
     pub cause: DriftCause,
-    /// The shard that it still serves for want of another target.
+    /// Shard that the target must keep serving because no other target can.
     pub held_for: Option<ShardName>,
 }
 
-/// What a round looks at.
+/// Inputs of a round.
 pub struct RoundInputs<'i> {
     /// The catalog in force.
     pub catalog: &'i FleetCatalog,
-    /// The groups owned here.
+    /// Groups owned by this host.
     pub owned: &'i OwnedGroups,
-    /// What the owner's duty sees.
-    pub seen: &'i SeenReport,
-    /// How many targets are ready for a shard at a group's owner elsewhere, as
-    /// that owner says.
-    pub elsewhere: &'i dyn Fn(&TargetRecord, &ShardName) -> u32,
-    /// Time since any fixed moment.
+    /// Snapshot of the owned targets from the owner worker.
+    pub observed: &'i OwnerSnapshot,
+    /// Number of targets that another group's owner reports as ready for a shard.
+    pub ready_elsewhere: &'i dyn Fn(&TargetRecord, &ShardName) -> u32,
+    /// Time since an arbitrary fixed point.
     pub now: Duration,
 }
 
-/// What a round gave.
+/// Outcome of a round.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct RoundEnd {
-    /// For the owner's duty.
+pub struct RoundOutcome {
+    /// Round to apply in the owner worker.
     pub round: IntentRound,
-    /// Every target owned here that is not as wanted.
+    /// All owned targets that are not in the desired state.
     pub drift: Vec<DriftEntry>,
-    /// Of them those that drift for a cause not told of before.
-    pub news: Vec<DriftEntry>,
+    /// Those of them whose cause has not been logged yet.
+    pub new_drift: Vec<DriftEntry>,
 }
 
-/// What is kept between rounds.
+/// State kept between rounds.
 #[derive(Debug, Default)]
-pub struct IntentKeeper {
+pub struct Reconciler {
     options: reconcile::Options,
     memory: ReconcileMemory,
-    /// The causes that each drifting target was logged with.
-    logged: HashMap<String, SmallVec<[DriftCause; 4]>>,
+    /// Causes already logged, by target.
+    logged_causes: HashMap<String, SmallVec<[DriftCause; 4]>>,
 }
 
-impl IntentKeeper {
-    /// A keeper that has told and seen nothing yet.
+impl Reconciler {
+    /// Creates a reconciler without state.
     pub fn new(options: reconcile::Options) -> Self {
         Self { options, ..Self::default() }
     }
 
     /// Runs one round.
-    pub fn round(&mut self, inputs: &RoundInputs<'_>) -> RoundEnd {
+    pub fn round(&mut self, inputs: &RoundInputs<'_>) -> RoundOutcome {
         let catalog = inputs.catalog;
-        let mut seen = own_targets(inputs);
-        let leaving = leaving_shards(catalog, &seen);
-        seen.extend(other_targets(inputs, &leaving));
-        let outcome = reconcile(catalog, &seen, &mut self.memory, inputs.now, &self.options);
+        let mut observed = own_targets(inputs);
+        let leaving = leaving_shards(catalog, &observed);
+        observed.extend(other_targets(inputs, &leaving));
+        let outcome = reconcile(catalog, &observed, &mut self.memory, inputs.now, &self.options);
         let name = |key: TargetKey| catalog.target(key).name.clone();
         let orders = outcome.orders.iter();
         let orders =
-            orders.map(|order| TargetOrder { target: name(order.target), tell: order.tell });
+            orders.map(|order| TargetOrder { target: name(order.target), state: order.tell });
         let round = IntentRound {
             revision: catalog.revision(),
             orders: orders.collect(),
@@ -105,24 +104,25 @@
         };
         let drift = outcome.drift.iter().map(|record| entry(catalog, record, inputs.now));
         let drift: Vec<DriftEntry> = drift.collect();
-        let news = self.news(&drift);
-        RoundEnd { round, drift, news }
+        let new_drift = self.new_drift(&drift);
+        RoundOutcome { round, drift, new_drift }
     }
 
-    /// What operators were not told of yet: each target and cause once, however
-    /// many rounds it lasts, and again only after the target was as wanted.
-    fn news(&mut self, drift: &[DriftEntry]) -> Vec<DriftEntry> {
+    /// Returns the entries that have not been logged yet. Each target and cause is logged once,
+    /// regardless of how many rounds it lasts, and again only after the target was in the desired
+    /// state.
+    fn new_drift(&mut self, drift: &[DriftEntry]) -> Vec<DriftEntry> {
         let drifting: HashSet<&str> = drift.iter().map(|entry| entry.target.as_str()).collect();
-        self.logged.retain(|target, _| drifting.contains(target.as_str()));
-        let mut news = Vec::new();
+        self.logged_causes.retain(|target, _| drifting.contains(target.as_str()));
+        let mut new_drift = Vec::new();
         for entry in drift {
-            let causes = self.logged.entry(entry.target.clone()).or_default();
+            let causes = self.logged_causes.entry(entry.target.clone()).or_default();
             if !causes.contains(&entry.cause) {
                 causes.push(entry.cause);
-                news.push(entry.clone());
+                new_drift.push(entry.clone());
             }
         }
-        news
+        new_drift
     }
 }
 
@@ -130,8 +130,8 @@
     DriftEntry {
         target: catalog.target(record.target).name.clone(),
         wanted: record.wanted,
-        seen: record.seen,
-        lasted: now.saturating_sub(record.since),
+        observed: record.seen,
+        duration: now.saturating_sub(record.since),
         cause: record.cause,
         held_for: record.held_for.map(|shard| catalog.shard(shard).name.clone()),
     }
@@ -143,37 +143,36 @@
     inputs.owned.share(&catalog.zone(target.zone).name, bucket) != SlotShare::None
 }
 
-/// Targets owned here, as the owner's duty sees them. The duty may be a moment
-/// behind in configuration or ownership; what it says of others is passed over.
+/// Owned targets as observed by the owner worker. The worker's configuration or ownership may be
+/// slightly older; entries for targets that are not owned are skipped.
 fn own_targets(inputs: &RoundInputs<'_>) -> Vec<SeenTarget> {
-    let mut own = Vec::with_capacity(inputs.seen.targets.len());
-    for record in &inputs.seen.targets {
+    let mut owned = Vec::with_capacity(inputs.observed.targets.len());
+    for record in &inputs.observed.targets {
         let Some(target) = inputs.catalog.target_named(&record.target) else { continue };
         if is_owned(inputs, inputs.catalog.target(target)) {
             let (phase, in_flight) = (record.phase, record.in_flight);
-            own.push(SeenTarget { target, phase, in_flight, owned: true });
+            owned.push(SeenTarget { target, phase, in_flight, owned: true });
         }
     }
-    own
+    owned
 }
 
-/// Shards of targets that are ready and not wanted to serve.
+/// Shards of targets that are ready but should not serve.
 ///
-/// Load: 73,000 targets, of which a host owns 20. Whether others are ready is
-/// asked for these shards only, so that a round costs by what is owned and not
-/// by the size of the fleet.
-fn leaving_shards(catalog: &FleetCatalog, own: &[SeenTarget]) -> HashSet<ShardKey> {
-    let ready = own.iter().filter(|seen| seen.phase == Some(TargetPhase::Ready));
-    let records = ready.map(|seen| catalog.target(seen.target));
+/// Of 73,000 targets a host owns about 20. Readiness elsewhere is looked up for these shards only,
+/// so that the cost of a round depends on the owned targets and not on the size of the fleet.
+fn leaving_shards(catalog: &FleetCatalog, owned: &[SeenTarget]) -> HashSet<ShardKey> {
+    let ready = owned.iter().filter(|observed| observed.phase == Some(TargetPhase::Ready));
+    let records = ready.map(|observed| catalog.target(observed.target));
     let leaving = records.filter(|record| record.wanted() != DesiredState::Serve);
     leaving.flat_map(|record| record.shards.iter().copied()).collect()
 }
 
-/// Targets of other owners that hold one of `shards` and are wanted to serve.
+/// Targets of other owners that hold one of `shards` and should serve.
 ///
-/// Their owner says how many are ready, not which: so many of the zone's are
-/// taken for ready, and a target of several shards only if it is among the
-/// ready ones for each.
+/// Their owner reports how many are ready but not which, so that number of the zone's targets is
+/// assumed to be ready. A target of several shards counts only if it is among the ready ones for
+/// each of them.
 fn other_targets(inputs: &RoundInputs<'_>, shards: &HashSet<ShardKey>) -> Vec<SeenTarget> {
     let catalog = inputs.catalog;
     let mut keys: Vec<TargetKey> =
@@ -191,7 +190,7 @@
         for &shard in record.shards.iter().filter(|shard| shards.contains(shard)) {
             let rank = ranks.entry((record.zone, shard)).or_default();
             *rank += 1;
-            is_ready &= *rank <= (inputs.elsewhere)(record, &catalog.shard(shard).name);
+            is_ready &= *rank <= (inputs.ready_elsewhere)(record, &catalog.shard(shard).name);
         }
         let phase = is_ready.then_some(TargetPhase::Ready);
         others.push(SeenTarget { target: key, phase, in_flight: 0, owned: false });
--- a/crates/hawthorn-daemon/src/process/logs.rs
+++ b/crates/hawthorn-daemon/src/process/logs.rs
@@ -1,4 +1,4 @@
-//! Logs to standard output through log4rs; hosts have no disks, so no files.
+//! Logging to standard output through log4rs; hosts have no disks, so no files are written.
 
 use log::LevelFilter;
 use log4rs::Config;
@@ -12,19 +12,19 @@
 
 use crate::process::events::LogEvent;
 
-/// The library for calls between daemons logs several lines a call below this.
+/// Level for tarpc, which logs several lines per call at lower levels.
 const CALL_LEVEL: LevelFilter = LevelFilter::Warn;
 
 /// Time in UTC, level, thread, text.
 const LINE_PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l} {T} {m}{n}";
 
 quick_error! {
-    /// Why logging could not be set up.
+    /// Reason why logging could not be set up.
     #[derive(Debug)]
     pub enum Error {
-        /// The configuration of the log library is broken.
+        /// The configuration of the logging library is invalid.
         Config(source: Box<dyn std::error::Error + Send + Sync>) {
-            display("log set-up: {source}")
+            display("cannot set up logging: {source}")
         }
     }
 }
@@ -32,7 +32,7 @@
 /// Sends all log lines of the process to standard output.
 ///
 /// # Errors
-/// When a logger is already set, or the library refuses the set-up.
+/// If a logger is already set or the library rejects the configuration.
 pub fn start(level: LevelFilter) -> Result<(), Error> {
     let encoder = Box::new(PatternEncoder::new(LINE_PATTERN));
     let console = ConsoleAppender::builder().target(Target::Stdout).encoder(encoder).build();
@@ -45,8 +45,8 @@
     Ok(())
 }
 
-/// Carries dropshot's slog records into the one log, at debug level unless
-/// they are warnings or worse.
+/// Forwards dropshot's slog records to the process log; records below warning are logged at trace
+/// level.
 #[derive(Debug)]
 pub struct SlogBridge;
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// The logger to hand to dropshot.
+/// Logger for dropshot.
 pub fn slog_bridge() -> slog::Logger {
     slog::Logger::root(SlogBridge, slog::o!())
 }
--- a/crates/hawthorn-daemon/src/process/metrics.rs
+++ b/crates/hawthorn-daemon/src/process/metrics.rs
@@ -1,7 +1,7 @@
-//! Counters, histograms and gauges, by opentelemetry, readable at `/metrics`.
+//! Counters, histograms and gauges through OpenTelemetry, exported at `/metrics`.
 //!
-//! Each refusal, retry and missing reason has its own series from the start,
-//! so that a dashboard shows a zero and not a hole.
+//! Each refusal, retry and missing reason has its own series from the start, so that dashboards
+//! show zero instead of no data.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 use opentelemetry::metrics::Histogram;
 use strum::IntoEnumIterator;
 
-/// Upper bounds of the latency histogram, in seconds: around the 50 ms promise.
+/// Upper bounds of the latency histogram in seconds, densest around the 50 ms objective.
 const LATENCY_BOUNDS: [f64; 14] =
     [0.001, 0.002, 0.005, 0.01, 0.015, 0.02, 0.03, 0.05, 0.075, 0.1, 0.2, 0.5, 1.0, 5.0];
 
@@ -39,10 +39,10 @@
 }
 
 impl MetricSet {
-    /// Instruments with every reason's series at zero.
+    /// Creates the instruments, with the series of every reason at zero.
     ///
     /// # Errors
-    /// When the exporter cannot be built.
+    /// If the exporter cannot be built.
     pub fn new() -> Result<Self, Error> {
         let exporter = MetricExporter::new()?;
         let meter = exporter.meter();
@@ -72,51 +72,74 @@
         MissingReason::iter().for_each(|reason| self.count_missing(reason, 0));
         UnknownReason::iter().for_each(|reason| self.count_unknown(reason, 0));
         self.dropped.add(0, &[]);
-        let none = OwnerCounters::default();
-        self.count_owner(&none, &none);
+        let zero = OwnerCounters::default();
+        self.count_owner(&zero, &zero);
     }
 
-    /// Counts what an owner's decisions came to since they were last counted.
-    /// These are pieces, one shard's share of a query each; the front's own
-    /// counters count whole requests.
-    pub fn count_owner(&self, before: &OwnerCounters, now: &OwnerCounters) {
+    /// Adds the increase of an owner's counters since they were last exported. They count pieces,
+    /// each one shard's part of a query; the front's own counters count requests.
+    pub fn count_owner(&self, previous: &OwnerCounters, current: &OwnerCounters) {
         for reason in RefusalReason::iter() {
-            self.count_piece("refused", reason.into(), before.refused(reason), now.refused(reason));
+            self.count_piece(
+                "refused",
+                reason.into(),
+                previous.refused(reason),
+                current.refused(reason),
+            );
         }
         for reason in RetryReason::iter() {
-            self.count_piece("retried", reason.into(), before.retried(reason), now.retried(reason));
+            self.count_piece(
+                "retried",
+                reason.into(),
+                previous.retried(reason),
+                current.retried(reason),
+            );
         }
         for reason in MissingReason::iter() {
-            self.count_piece("missing", reason.into(), before.missing(reason), now.missing(reason));
+            self.count_piece(
+                "missing",
+                reason.into(),
+                previous.missing(reason),
+                current.missing(reason),
+            );
         }
         for reason in UnknownReason::iter() {
-            self.count_piece("unknown", reason.into(), before.unknown(reason), now.unknown(reason));
+            self.count_piece(
+                "unknown",
+                reason.into(),
+                previous.unknown(reason),
+                current.unknown(reason),
+            );
         }
-        let plain = [
-            ("attempts", before.attempts, now.attempts),
-            ("answered", before.answered, now.answered),
-            ("late-answers", before.late_answers, now.late_answers),
-            ("crossed-answers", before.crossed_answers, now.crossed_answers),
-            ("ejections", before.ejections, now.ejections),
-            ("hedges-without-budget", before.hedges_without_budget, now.hedges_without_budget),
-            ("hedges-without-slot", before.hedges_without_slot, now.hedges_without_slot),
+        let totals = [
+            ("attempts", previous.attempts, current.attempts),
+            ("answered", previous.answered, current.answered),
+            ("late-answers", previous.late_answers, current.late_answers),
+            ("crossed-answers", previous.crossed_answers, current.crossed_answers),
+            ("ejections", previous.ejections, current.ejections),
+            (
+                "hedges-without-budget",
+                previous.hedges_without_budget,
+                current.hedges_without_budget,
+            ),
+            ("hedges-without-slot", previous.hedges_without_slot, current.hedges_without_slot),
         ];
-        for (what, before, now) in plain {
-            self.count_piece(what, "", before, now);
+        for (what, previous, current) in totals {
+            self.count_piece(what, "", previous, current);
         }
     }
 
-    fn count_piece(&self, what: &'static str, reason: &'static str, before: u64, now: u64) {
+    fn count_piece(&self, what: &'static str, reason: &'static str, previous: u64, current: u64) {
         let labels = [KeyValue::new("what", what), KeyValue::new("reason", reason)];
-        self.pieces.add(now.saturating_sub(before), &labels);
+        self.pieces.add(current.saturating_sub(previous), &labels);
     }
 
-    /// Counts requests refused as not run.
+    /// Counts requests refused without being run.
     pub fn count_refusals(&self, reason: RefusalReason, count: u64) {
         self.refusals.add(count, &[KeyValue::new("reason", <&'static str>::from(reason))]);
     }
 
-    /// Counts further attempts.
+    /// Counts hedges and retries.
     pub fn count_retries(&self, reason: RetryReason, count: u64) {
         self.retries.add(count, &[KeyValue::new("reason", <&'static str>::from(reason))]);
     }
@@ -126,33 +149,33 @@
         self.missing.add(count, &[KeyValue::new("reason", <&'static str>::from(reason))]);
     }
 
-    /// Counts requests of which it is not known whether they ran.
+    /// Counts requests for which it is unknown whether they ran.
     pub fn count_unknown(&self, reason: UnknownReason, count: u64) {
         self.unknown.add(count, &[KeyValue::new("reason", <&'static str>::from(reason))]);
     }
 
-    /// Counts a request that got an answer, and its time.
+    /// Counts an answered request and records its latency.
     pub fn count_answer(&self, kind: &'static str, elapsed: Duration) {
         self.answers.add(1, &[KeyValue::new("kind", kind)]);
         self.latency.record(elapsed.as_secs_f64(), &[KeyValue::new("kind", kind)]);
     }
 
-    /// Counts answers of targets that came too late or crossed, and were dropped.
+    /// Counts answers dropped because they were late or did not belong to their request.
     pub fn count_dropped(&self, count: u64) {
         self.dropped.add(count, &[]);
     }
 
-    /// Counts calls on the platform's service.
+    /// Counts calls to the platform's store.
     pub fn count_store_call(&self, kind: &'static str) {
         self.store_calls.add(1, &[KeyValue::new("kind", kind)]);
     }
 
-    /// Sets a gauge: slots in use, pieces queued, members alive, revision in force.
+    /// Sets a gauge, such as slots in use, queued pieces, live members or the revision in force.
     pub fn set_gauge(&self, name: &'static str, value: u64) {
         self.gauges.record(value, &[KeyValue::new("name", name)]);
     }
 
-    /// The text that `/metrics` answers.
+    /// Renders the text served at `/metrics`.
     pub fn render(&self) -> String {
         self.exporter.text()
     }
--- a/crates/hawthorn-daemon/src/process/mod.rs
+++ b/crates/hawthorn-daemon/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the process: logs, metrics, the threads of its duties.
+//! State with the lifetime of the process: logs, metrics and worker threads.
 
 pub(crate) mod clock;
 pub mod daemon;
--- a/crates/hawthorn-daemon/src/process/options.rs
+++ b/crates/hawthorn-daemon/src/process/options.rs
@@ -1,4 +1,4 @@
-//! Turns the settings of the process into the options of its parts.
+//! Converts the settings of the process to the options of its components.
 
 use std::time::Duration;
 
@@ -17,31 +17,31 @@
 use crate::request::body;
 use crate::request::front;
 
-/// Threads of the front: requests spend their time waiting, so a small host's
-/// cores are left to the owner.
-const MOST_FRONT_THREADS: usize = 4;
+/// Maximum number of front threads. Requests mostly wait, so on a small host the cores are left to
+/// the owner worker.
+const MAX_FRONT_THREADS: usize = 4;
 
-/// Commands waiting for the owner, at the most: a few milliseconds of its work.
-const OWNER_RING: usize = 4_096;
+/// Capacity of the owner's command channel: a few milliseconds of work.
+const OWNER_CHANNEL_CAPACITY: usize = 4_096;
 
-/// Opening a connection to a target may take so long. Ten times what it costs
-/// on an ordinary day; longer, and the slot is better used elsewhere.
+/// Timeout of a connect to a target: ten times its normal duration. After that, the slot is better
+/// used for another attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How long a daemon that hears nobody waits before its first call to the store.
-/// The seeds answer within some milliseconds and name everybody they know; a
-/// host that is alone should be ready within a second of its start.
-const START_PATIENCE: Duration = Duration::from_millis(400);
+/// Delay of the first call to the store while no other daemon has answered. Seeds answer within
+/// milliseconds and list all members they know, and a host without peers should still be ready
+/// within a second.
+const STARTUP_DELAY: Duration = Duration::from_millis(400);
 
 const PERCENT: f64 = 100.0;
 
-/// How many threads the front gets.
+/// Number of front threads.
 pub fn front_threads() -> usize {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
-    (cores / 2).clamp(1, MOST_FRONT_THREADS)
+    (cores / 2).clamp(1, MAX_FRONT_THREADS)
 }
 
-/// Of the front.
+/// Options of the front.
 pub fn front(settings: &DaemonSettings) -> front::Options {
     let limits = &settings.limits;
     front::Options {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Of the owner.
+/// Options of the owner worker.
 pub fn owner(settings: &DaemonSettings) -> owner::Options {
     let mut decide = hawthorn_decide::owner::Options::default();
     decide.queue.waiting_limit = settings.limits.group_queue;
@@ -67,7 +67,7 @@
     owner::Options {
         decide,
         relay: hawthorn_decide::relay::Options::default(),
-        ring: OWNER_RING,
+        channel_capacity: OWNER_CHANNEL_CAPACITY,
         max_answer_bytes: usize::try_from(settings.limits.max_answer_bytes).unwrap_or(usize::MAX),
         probe_timeout: settings.probe.timeout,
         connect_timeout: CONNECT_TIMEOUT,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Of the fleet.
+/// Options of the fleet worker.
 pub fn fleet(settings: &DaemonSettings, place: MemberPlace) -> fleet::Options {
     fleet::Options {
         place,
@@ -86,20 +86,20 @@
             ..member::Options::default()
         },
         handover: handover::Options::default(),
-        spread: propagation::Options {
-            startup_delay: START_PATIENCE,
+        propagation: propagation::Options {
+            startup_delay: STARTUP_DELAY,
             ..propagation::Options::default()
         },
         seed: rand::random(),
     }
 }
 
-/// Of claims.
+/// Options of claims.
 pub fn claims(settings: &DaemonSettings) -> claim::Options {
     claim::Options { min_interval: settings.claims.gather, ..claim::Options::default() }
 }
 
-/// Of the client of the platform's store.
+/// Options of the client of the platform's store.
 pub fn store_client() -> client::Options {
     client::Options { seed: rand::random(), ..client::Options::default() }
 }
--- a/crates/hawthorn-daemon/src/process/sample.rs
+++ b/crates/hawthorn-daemon/src/process/sample.rs
@@ -1,4 +1,4 @@
-//! Writes gauges from what the duties hold, once a second.
+//! Updates the gauges once a second.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,12 +11,12 @@
 
 /// Runs until cancelled.
 pub(crate) async fn run(front: Arc<FrontContext>, stop: CancellationToken) {
-    let mut beat = tokio::time::interval(SAMPLE_INTERVAL);
-    beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut interval = tokio::time::interval(SAMPLE_INTERVAL);
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
-            _ = beat.tick() => sample(&front),
+            _ = interval.tick() => sample(&front),
         }
     }
 }
