--- a/crates/hawthorn-daemon/src/process/store.rs
+++ b/crates/hawthorn-daemon/src/process/store.rs
@@ -1,5 +1,5 @@
-//! The store's duty: the one thread that calls the platform's service for the
-//! configuration and the list of hosts.
+//! The store worker: the only thread that reads the configuration and the list of hosts from the
+//! platform's store.
 
 use std::time::Duration;
 
@@ -18,16 +18,16 @@
 use crate::process::fleet::StoreCall;
 use crate::process::fleet::StoreReply;
 
-/// The key that holds the configuration in force.
+/// Key of the configuration in force.
 pub const CONFIG_KEY: &str = "config/current";
 
-/// Between two reads of the platform's list of hosts while the fleet is small.
+/// Interval between reads of the platform's list of hosts in a small fleet.
 const HOSTS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Members for each of which one such interval is fair. A larger fleet reads
-/// less often, so that all together make at most 13 reads a second of the two
-/// thousand the store can take: the list is only a hint.
-const HOSTS_SHARE: u32 = 64;
+/// Number of members per interval. Larger fleets read less often, so that all hosts together make
+/// at most 13 reads per second of the two thousand that the store can serve: the list is only a
+/// hint.
+const MEMBERS_PER_INTERVAL: u32 = 64;
 
 /// Runs until cancelled.
 pub(crate) async fn run(
@@ -37,7 +37,7 @@
     members: watch::Receiver<usize>,
     stop: CancellationToken,
 ) {
-    let mut reader = ConfigReader { client: client.clone(), seen: 0, reachable: true };
+    let mut reader = ConfigReader { client: client.clone(), last_revision: 0, reachable: true };
     let hosts = read_hosts(client, fleet.clone(), members);
     tokio::pin!(hosts);
     let answer = async {
@@ -57,8 +57,8 @@
 
 struct ConfigReader {
     client: StoreClient,
-    /// The store's own revision of the key when it was last read.
-    seen: u64,
+    /// The store's revision of the key at the last read.
+    last_revision: u64,
     reachable: bool,
 }
 
@@ -66,27 +66,27 @@
     async fn answer(&mut self, call: StoreCall) -> StoreReply {
         let reply = match call {
             StoreCall::Read => self.client.get(CONFIG_KEY).await.map(|entry| match entry {
-                Some(entry) => self.take(entry),
+                Some(entry) => self.record_entry(entry),
                 None => StoreReply::Empty,
             }),
             StoreCall::Watch { wait } => {
-                let watched = self.client.watch(CONFIG_KEY, self.seen, wait).await;
+                let watched = self.client.watch(CONFIG_KEY, self.last_revision, wait).await;
                 watched.map(|outcome| match outcome {
-                    WatchOutcome::Changed(entry) => self.take(entry),
+                    WatchOutcome::Changed(entry) => self.record_entry(entry),
                     WatchOutcome::Unchanged => StoreReply::Unchanged,
                 })
             }
         };
-        self.note(&reply);
+        self.log_reachability(&reply);
         reply.unwrap_or(StoreReply::Failed)
     }
 
-    fn take(&mut self, entry: StoreEntry) -> StoreReply {
-        self.seen = entry.revision;
+    fn record_entry(&mut self, entry: StoreEntry) -> StoreReply {
+        self.last_revision = entry.revision;
         StoreReply::Document(entry.value)
     }
 
-    fn note(&mut self, reply: &Result<StoreReply, ReadError>) {
+    fn log_reachability(&mut self, reply: &Result<StoreReply, ReadError>) {
         let reachable = reply.is_ok();
         if std::mem::replace(&mut self.reachable, reachable) == reachable {
             return;
@@ -110,6 +110,6 @@
             return;
         }
         let members = u32::try_from(*members.borrow()).unwrap_or(u32::MAX);
-        tokio::time::sleep(HOSTS_INTERVAL * members.div_ceil(HOSTS_SHARE).max(1)).await;
+        tokio::time::sleep(HOSTS_INTERVAL * members.div_ceil(MEMBERS_PER_INTERVAL).max(1)).await;
     }
 }
--- a/crates/hawthorn-daemon/src/process/sweep.rs
+++ b/crates/hawthorn-daemon/src/process/sweep.rs
@@ -1,4 +1,4 @@
-//! Deletes claims that no request can need any more.
+//! Deletes expired claims.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::process::clock::unix_now;
 use crate::request::front::FrontContext;
 
-/// Claims are kept for a quarter of an hour; a minute more does no harm.
+/// Interval between sweeps. Claims are kept for 15 minutes; a minute more is harmless.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Runs until cancelled.
@@ -27,10 +27,10 @@
         }
         let fleet = front.fleet_view();
         for bucket in 0..options.buckets {
-            // One host of each zone sweeps a bucket. Zones sweep the same keys;
-            // a deletion done twice does no harm and costs one call.
+            // One host per zone sweeps a bucket. Zones sweep the same keys; a second deletion is
+            // harmless and costs one call.
             if fleet.claim_owner(&front.zone, bucket) == Some(fleet.me) {
-                // What is left is deleted a minute later.
+                // Claims left after an error are deleted by the next sweep.
                 let _swept = claim::sweep(&store, bucket, unix_now(), &options).await;
             }
         }
--- a/crates/hawthorn-daemon/src/request/api.rs
+++ b/crates/hawthorn-daemon/src/request/api.rs
@@ -1,4 +1,4 @@
-//! The callers' and operators' interface, HTTP by dropshot.
+//! HTTP API for callers and operators, by dropshot.
 
 use std::sync::Arc;
 
@@ -28,10 +28,10 @@
 type ApiContext = RequestContext<Arc<FrontContext>>;
 type ApiResponse = Result<Response<Body>, HttpError>;
 
-/// The endpoints, in the order of the OpenAPI description.
+/// Registers the endpoints, in the order of the OpenAPI description.
 ///
 /// # Errors
-/// When two endpoints clash, which a test rules out.
+/// If two endpoints conflict, which a test rules out.
 pub fn describe() -> Result<ApiDescription<Arc<FrontContext>>, ApiDescriptionRegisterError> {
     let mut api = ApiDescription::new();
     api.register(run_query)?;
@@ -67,8 +67,8 @@
     let front = Arc::clone(context.context());
     let held = front.hold_open();
     let answer = match body::read::<OnceRequest>(body, front.body_options()).await {
-        // In a task of its own: a caller that hangs up must not stop a request
-        // half way between its claim and its run, with nobody to see the end.
+        // Runs in a separate task: a caller that disconnects must not abort a request between its
+        // claim and its run, or its outcome would be lost.
         Ok(once) => {
             let runner = Arc::clone(&front);
             let task = tokio::spawn(async move {
@@ -88,14 +88,14 @@
     json(StatusCode::OK, &context.context().status())
 }
 
-/// Which target to explain.
+/// Target to explain.
 #[derive(Debug, Deserialize, JsonSchema)]
 struct ExplainQuery {
     /// The target's name.
     target: String,
 }
 
-/// Why a target is in the state it is wanted in
+/// Reason for the desired state of a target
 #[endpoint { method = GET, path = "/v1/explain" }]
 async fn explain_target(context: ApiContext, query: Query<ExplainQuery>) -> ApiResponse {
     match context.context().explain(&query.into_inner().target) {
@@ -104,13 +104,13 @@
     }
 }
 
-/// Whether the process works at all
+/// Liveness probe
 #[endpoint { method = GET, path = "/live" }]
 async fn get_live(_context: ApiContext) -> ApiResponse {
     plain(StatusCode::OK, "live\n".into())
 }
 
-/// Whether the balancer should send callers here
+/// Readiness probe: whether the load balancer should send callers here
 #[endpoint { method = GET, path = "/ready" }]
 async fn get_ready(context: ApiContext) -> ApiResponse {
     match context.context().not_ready() {
@@ -132,14 +132,14 @@
         headers.insert(header::RETRY_AFTER, after.div_ceil(1000).into());
     }
     if front.is_stopping() {
-        // The balancer opens its next connection elsewhere, so that no request
-        // meets a connection that is just being closed.
+        // The load balancer opens its next connection to another host, so that no request arrives
+        // on a connection that is being closed.
         headers.insert(header::CONNECTION, header::HeaderValue::from_static("close"));
     }
     Ok(response)
 }
 
-/// The HTTP status that goes with an outcome; the body says it in full.
+/// HTTP status of an outcome; the body contains the details.
 pub fn status_code(outcome: CallerOutcome) -> StatusCode {
     match outcome {
         CallerOutcome::Answer => StatusCode::OK,
--- a/crates/hawthorn-daemon/src/request/body.rs
+++ b/crates/hawthorn-daemon/src/request/body.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's request: bounded in bytes and in time, every fault typed.
+//! Reads a caller's request with limits on size and time; every fault has a typed reason.
 
 use std::time::Duration;
 
@@ -8,17 +8,17 @@
 use hawthorn_types::RefusalReason;
 use serde::de::DeserializeOwned;
 
-/// Bounds on reading a body.
+/// Limits of reading a body.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Bytes, at the most.
+    /// Maximum size in bytes.
     pub max_bytes: usize,
-    /// From the head of the request to the end of its body, at the most. A
-    /// client that trickles would otherwise hold its place for ever.
+    /// Maximum time from the head of the request to the end of its body. Without it, a client that
+    /// sends slowly could occupy resources indefinitely.
     pub timeout: Duration,
 }
 
-/// Reads the whole body and parses it as JSON.
+/// Reads the body and parses it as JSON.
 ///
 /// # Errors
 /// [`RefusalReason::BodyTooLarge`], [`RefusalReason::SlowClient`] or
--- a/crates/hawthorn-daemon/src/request/describe.rs
+++ b/crates/hawthorn-daemon/src/request/describe.rs
@@ -1,7 +1,7 @@
-//! The OpenAPI description of the callers' and operators' interface.
+//! OpenAPI description of the API for callers and operators.
 //!
-//! Bodies are read as streams (see [`crate::request::body`]), so dropshot does
-//! not know their shapes; they are added from the types.
+//! Bodies are read as streams (see [`crate::request::body`]), so dropshot does not know their
+//! schemas; they are added from the types.
 
 use hawthorn_types::CallerAnswer;
 use hawthorn_types::OnceRequest;
@@ -16,21 +16,21 @@
 use crate::request::status::FleetReport;
 
 quick_error! {
-    /// Why the interface cannot be described.
+    /// Reason why the API cannot be described.
     #[derive(Debug)]
     pub enum Error {
-        /// Endpoints clash.
+        /// Endpoints conflict.
         Endpoints(text: String) {
             display("endpoints: {text}")
         }
-        /// The description is not what is expected of the library.
+        /// The library's description has an unexpected structure.
         Shape(text: String) {
             display("description: {text}")
         }
     }
 }
 
-/// One endpoint whose shapes are added.
+/// An endpoint whose schemas are added.
 struct TypedEndpoint {
     path: &'static str,
     method: &'static str,
@@ -54,10 +54,10 @@
     TypedEndpoint { path: "/v1/status", method: "get", body: None, answer: "FleetReport" },
 ];
 
-/// The description, as committed in docs/openapi.json.
+/// Returns the description, as committed in docs/openapi.json.
 ///
 /// # Errors
-/// When the library's description has another shape than expected.
+/// If the library's description has an unexpected structure.
 pub fn openapi() -> Result<Value, Error> {
     let api = api::describe().map_err(|error| Error::Endpoints(error.to_string()))?;
     let version = semver::Version::new(1, 0, 0);
@@ -66,13 +66,13 @@
         .json()
         .map_err(|error| Error::Shape(error.to_string()))?;
     let schemas = schemas()?;
-    // Absent as long as no endpoint has a typed body of its own.
+    // Absent while no endpoint has a typed body.
     if description["components"]["schemas"].is_null() {
         description["components"]["schemas"] = json!({});
     }
     let components = description["components"]["schemas"]
         .as_object_mut()
-        .ok_or_else(|| Error::Shape("schemas are no object".into()))?;
+        .ok_or_else(|| Error::Shape("schemas are not an object".into()))?;
     components.extend(schemas);
     for endpoint in TYPED_ENDPOINTS {
         complete(&mut description, &endpoint)?;
--- a/crates/hawthorn-daemon/src/request/front.rs
+++ b/crates/hawthorn-daemon/src/request/front.rs
@@ -1,4 +1,4 @@
-//! What every request of this host's front shares.
+//! State shared by all requests of this host's front.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -33,21 +33,21 @@
 /// Limits of the front.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Of reading a request.
+    /// Limits of reading a request.
     pub body: body::Options,
-    /// Of admission.
+    /// Options of admission control.
     pub admit: admit::Options,
-    /// Of one query.
+    /// Options of one query.
     pub track: track::Options,
-    /// Matches a query may ask for, at the most.
+    /// Maximum number of matches that a query may request.
     pub max_limit: u32,
-    /// Bytes of a caller's own request id, at the most.
+    /// Maximum length of a caller's request id in bytes.
     pub max_request_id_bytes: usize,
-    /// The longest deadline that is believed; a longer one is cut to it.
+    /// Maximum deadline; longer ones are reduced to it.
     pub max_deadline: Duration,
 }
 
-/// The front of this host. Lives as long as the process.
+/// The front of this host, with the lifetime of the process.
 #[derive(Debug)]
 pub struct FrontContext {
     pub(crate) options: Options,
@@ -64,12 +64,12 @@
     pub(crate) budget: Mutex<RetryBudget>,
     pub(crate) keeper: ClaimKeeper,
     pub(crate) metrics: MetricSet,
-    settled: AtomicBool,
+    synced: AtomicBool,
     stopping: AtomicBool,
     open: watch::Sender<u64>,
 }
 
-/// What a front is made of.
+/// Components of a front.
 pub struct FrontParts {
     /// Limits.
     pub options: Options,
@@ -77,23 +77,23 @@
     pub zone: String,
     /// This host's name.
     pub host: String,
-    /// The fleet's duty.
+    /// Handle to the fleet worker.
     pub fleet: FleetHandle,
-    /// The owner's duty.
+    /// Handle to the owner worker.
     pub owner: OwnerHandle,
     /// Connections to other daemons.
     pub links: Arc<PeerLinks>,
     /// Views of all owners.
     pub views: Arc<ViewTable>,
-    /// Targets owned here that are not as wanted.
+    /// Owned targets that are not in the desired state.
     pub drift: watch::Receiver<Arc<DriftSnapshot>>,
     /// Claims non-idempotent requests.
     pub keeper: ClaimKeeper,
-    /// Instruments.
+    /// Metrics of the process.
     pub metrics: MetricSet,
 }
 
-/// Counts a request as open until dropped; a planned stop waits for it.
+/// Counts a request as open until dropped; a planned stop waits for open requests.
 #[derive(Debug)]
 pub struct OpenRequest {
     open: watch::Sender<u64>,
@@ -106,7 +106,7 @@
 }
 
 impl FrontContext {
-    /// A front that takes requests once it is ready.
+    /// Creates a front, which serves requests once it is ready.
     pub fn new(parts: FrontParts) -> Self {
         Self {
             options: parts.options,
@@ -123,43 +123,43 @@
             budget: Mutex::default(),
             keeper: parts.keeper,
             metrics: parts.metrics,
-            settled: AtomicBool::new(false),
+            synced: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
             open: watch::channel(0).0,
         }
     }
 
-    /// Counts a request as open.
+    /// Counts a request as open until the returned guard is dropped.
     pub fn hold_open(&self) -> OpenRequest {
         self.open.send_modify(|count| *count += 1);
         OpenRequest { open: self.open.clone() }
     }
 
-    /// Resolves once no request is open, or after `grace`; tells which.
+    /// Resolves once no request is open, or after `grace`. Returns whether it became idle in time.
     pub async fn idle(&self, grace: Duration) -> bool {
         let mut open = self.open.subscribe();
         let idle = open.wait_for(|count| *count == 0);
         matches!(tokio::time::timeout(grace, idle).await, Ok(Ok(_)))
     }
 
-    /// From now on the balancer may send callers here, if nothing else is
-    /// against it: the owners are known, or have been waited for long enough.
-    pub(crate) fn settle(&self) {
-        self.settled.store(true, Ordering::Release);
+    /// Marks the initial sync as complete: the owners are known, or the wait for them has timed
+    /// out. Until then the host is not ready.
+    pub(crate) fn mark_synced(&self) {
+        self.synced.store(true, Ordering::Release);
     }
 
-    /// From now on the balancer is told to go elsewhere. Requests that still
-    /// come are served until the listener closes.
+    /// Makes the host not ready, so that the load balancer chooses other hosts. Requests that still
+    /// arrive are served until the listener closes.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Release);
     }
 
-    /// Whether the process is on its way out.
+    /// Whether the process is stopping.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Acquire)
     }
 
-    /// Why the balancer should not send callers here, none when it should.
+    /// Reason why the load balancer should not send callers here; `None` if it should.
     pub fn not_ready(&self) -> Option<&'static str> {
         if self.is_stopping() {
             return Some("stopping");
@@ -171,21 +171,21 @@
         if !status.ready {
             return Some("no configuration known to be current");
         }
-        let settled = self.settled.load(Ordering::Acquire);
-        (!settled).then_some("the targets are not all seen yet")
+        let synced = self.synced.load(Ordering::Acquire);
+        (!synced).then_some("not all targets are known yet")
     }
 
-    /// Bounds on reading a request.
+    /// Limits of reading a request.
     pub fn body_options(&self) -> body::Options {
         self.options.body
     }
 
-    /// The process's instruments.
+    /// Metrics of the process.
     pub fn metrics(&self) -> &MetricSet {
         &self.metrics
     }
 
-    /// Since the front began.
+    /// Time since the front started.
     pub(crate) fn now(&self) -> Duration {
         self.started.elapsed()
     }
@@ -207,14 +207,14 @@
         ConfigStamp { revision, age_ms }
     }
 
-    /// Whether a caller's own request id may be used as it is.
-    pub(crate) fn is_fit_id(&self, id: &str) -> bool {
+    /// Whether a caller's request id is valid.
+    pub(crate) fn is_valid_request_id(&self, id: &str) -> bool {
         let printable = id.bytes().all(|byte| byte.is_ascii_graphic());
         !id.is_empty() && id.len() <= self.options.max_request_id_bytes && printable
     }
 
-    /// An answer that says what became of a request, with nothing found.
-    pub(crate) fn bare_answer(
+    /// Returns an answer with the outcome of a request and no matches.
+    pub(crate) fn empty_answer(
         &self,
         request: RequestId,
         request_id: Option<String>,
@@ -244,14 +244,14 @@
     ) -> CallerAnswer {
         self.metrics.count_refusals(reason, 1);
         let outcome = CallerOutcome::NotRun(reason);
-        let mut answer = self.bare_answer(new_request(), request_id, outcome);
+        let mut answer = self.empty_answer(new_request(), request_id, outcome);
         answer.retry_after_ms =
             retry_after.map(|after| u64::try_from(after.as_millis()).unwrap_or(u64::MAX).max(1));
         answer
     }
 }
 
-/// A fresh request id.
+/// Returns a new request id.
 pub(crate) fn new_request() -> RequestId {
     RequestId(rand::random())
 }
--- a/crates/hawthorn-daemon/src/request/mod.rs
+++ b/crates/hawthorn-daemon/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a request.
+//! State with the lifetime of a request.
 
 pub mod api;
 pub mod body;
--- a/crates/hawthorn-daemon/src/request/once.rs
+++ b/crates/hawthorn-daemon/src/request/once.rs
@@ -1,5 +1,5 @@
-//! One non-idempotent request in the front: checked, claimed, handed to owners
-//! of its shard until one runs it, never run twice.
+//! Processes one non-idempotent request in the front: validates and claims it, then dispatches it
+//! to the owners of its shard until one runs it. It never runs twice.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,13 +26,13 @@
 use crate::process::clock::unix_now;
 use crate::request::front::FrontContext;
 use crate::request::front::new_request;
-use crate::request::query::hear_owners;
+use crate::request::query::fetch_missing_views;
 use crate::version::config::ConfigInForce;
 
-/// What the metrics call this kind of request.
+/// Label of this kind of request in the metrics.
 const KIND: &str = "once";
 
-/// What the way back to the caller takes, kept back from the owner's time.
+/// Time reserved for the answer to the caller, taken from the owner's deadline.
 const ANSWER_RESERVE: Duration = Duration::from_millis(2);
 
 struct CheckedOnce {
@@ -43,21 +43,21 @@
     config: Arc<ConfigInForce>,
 }
 
-/// Runs a caller's request at most once and says what became of it.
+/// Runs a caller's request at most once and returns its outcome.
 pub async fn answer(front: &FrontContext, once: OnceRequest) -> CallerAnswer {
-    let began = front.now();
-    let checked = match check(front, once, began) {
+    let started = front.now();
+    let checked = match check(front, once, started) {
         Ok(checked) => checked,
         Err((request_id, reason)) => return front.refuse(request_id, reason, None),
     };
-    hear_owners(front, checked.service, &checked.config).await;
+    fetch_missing_views(front, checked.service, &checked.config).await;
     let request = new_request();
-    let OnceEnd { outcome, retry_after } = claim_and_run(front, &checked, request).await;
-    let took = front.now().saturating_sub(began);
+    let OnceResult { outcome, retry_after } = claim_and_run(front, &checked, request).await;
+    let elapsed = front.now().saturating_sub(started);
     let request_id = Some(checked.once.request_id);
     let (outcome, result) = match outcome {
         OnceOutcome::NotRun(reason) => {
-            let after = retry_after.or_else(|| usual_retry(reason));
+            let after = retry_after.or_else(|| default_retry_after(reason));
             return front.refuse(request_id, reason, after);
         }
         OnceOutcome::Ran(result) => (CallerOutcome::Answer, Some(result)),
@@ -67,16 +67,16 @@
         }
         OnceOutcome::Failed(reason) => (CallerOutcome::Failed(reason), None),
     };
-    front.metrics.count_answer(KIND, took);
-    let mut answer = front.bare_answer(request, request_id, outcome);
+    front.metrics.count_answer(KIND, elapsed);
+    let mut answer = front.empty_answer(request, request_id, outcome);
     answer.result = result;
-    answer.elapsed_ms = u64::try_from(took.as_millis()).unwrap_or(u64::MAX);
+    answer.elapsed_ms = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
     answer
 }
 
-/// When a request that was not run is worth sending again; none when it would
-/// only be refused again.
-fn usual_retry(reason: RefusalReason) -> Option<Duration> {
+/// Default delay before a request that was not run is worth retrying; `None` if it would be refused
+/// again.
+fn default_retry_after(reason: RefusalReason) -> Option<Duration> {
     match reason {
         RefusalReason::ClaimUnavailable => Some(Duration::from_secs(1)),
         RefusalReason::QueueFull
@@ -92,10 +92,10 @@
 fn check(
     front: &FrontContext,
     once: OnceRequest,
-    began: Duration,
+    started: Duration,
 ) -> Result<CheckedOnce, (Option<String>, RefusalReason)> {
-    if !front.is_fit_id(&once.request_id) {
-        // An id that may not be used is not echoed either.
+    if !front.is_valid_request_id(&once.request_id) {
+        // An invalid id is not echoed.
         return Err((None, RefusalReason::BadRequestId));
     }
     let id = once.request_id.clone();
@@ -115,38 +115,43 @@
     let shard =
         catalog.shard_at(service, once.key).ok_or_else(|| refuse(RefusalReason::BadRequest))?;
     let wait = Duration::from_millis(once.deadline_ms).min(front.options.max_deadline);
-    Ok(CheckedOnce { service, shard, deadline: began + wait, config, once })
+    Ok(CheckedOnce { service, shard, deadline: started + wait, config, once })
 }
 
 /// Claims the request and has it run.
 ///
-/// The claim comes before all else that can go wrong later: a request whose id
-/// has run before is told so, whoever is reachable now.
-async fn claim_and_run(front: &FrontContext, checked: &CheckedOnce, request: RequestId) -> OnceEnd {
-    let ask = ClaimAsk {
+/// The claim precedes everything that can fail later: a request whose id has already run gets that
+/// answer regardless of which owners are reachable.
+async fn claim_and_run(
+    front: &FrontContext,
+    checked: &CheckedOnce,
+    request: RequestId,
+) -> OnceResult {
+    let claim_request = ClaimAsk {
         caller: checked.once.caller.clone(),
         request_id: checked.once.request_id.clone(),
         deadline: front.started + checked.deadline,
         unix_now: unix_now(),
     };
-    let outcome = front.keeper.claim(ask).await;
+    let outcome = front.keeper.claim(claim_request).await;
     let retry_after = front.keeper.retry_after(&outcome);
     let refusal = outcome.refusal();
     match outcome {
-        claim::Outcome::Granted(grant) => {
-            OnceEnd { outcome: hand_over(front, checked, request, grant).await, retry_after: None }
-        }
-        _ => OnceEnd { outcome: refused(refusal), retry_after },
+        claim::Outcome::Granted(grant) => OnceResult {
+            outcome: dispatch(front, checked, request, grant).await,
+            retry_after: None,
+        },
+        _ => OnceResult { outcome: rejected(refusal), retry_after },
     }
 }
 
-/// The end of a request, and when a refused one is worth sending again.
-struct OnceEnd {
+/// Outcome of a request, and the delay before a refused one is worth retrying.
+struct OnceResult {
     outcome: OnceOutcome,
     retry_after: Option<Duration>,
 }
 
-fn refused(refusal: Option<CallerOutcome>) -> OnceOutcome {
+fn rejected(refusal: Option<CallerOutcome>) -> OnceOutcome {
     match refusal {
         Some(CallerOutcome::NotRun(reason)) => OnceOutcome::NotRun(reason),
         Some(CallerOutcome::Unknown(reason)) => OnceOutcome::Unknown(reason),
@@ -154,22 +159,22 @@
     }
 }
 
-/// Hands the request to one owner after another until one runs it.
+/// Dispatches the request to one owner after another until one runs it.
 ///
-/// Failure: an owner dies after it took the request and another runs it again,
-/// which sends two barges to one vessel. So the claim is spent before each
-/// hand-over, and unspent only when the owner certainly did not get the request
-/// or says that it did not run it; then the next owner is tried.
-async fn hand_over(
+/// Failure: an owner fails after it received the request and another runs it again, which sends two
+/// barges to one vessel. The claim is therefore consumed before each dispatch, and restored only if
+/// the owner certainly did not receive the request or reports that it did not run it; then the next
+/// owner is tried.
+async fn dispatch(
     front: &FrontContext,
     checked: &CheckedOnce,
     request: RequestId,
     mut grant: ClaimGrant,
 ) -> OnceOutcome {
-    let mut last = RefusalReason::NoTarget;
-    for round in 0..HAND_OVER_ROUNDS {
+    let mut last_reason = RefusalReason::NoTarget;
+    for round in 0..DISPATCH_ROUNDS {
         if round > 0 {
-            tokio::time::sleep(HAND_OVER_PAUSE).await;
+            tokio::time::sleep(DISPATCH_BACKOFF).await;
         }
         for host in owners(front, checked) {
             let left = checked.deadline.saturating_sub(front.now()).saturating_sub(ANSWER_RESERVE);
@@ -179,41 +184,43 @@
             let Ok(permit) = grant.dispatch(Instant::now(), unix_now()) else {
                 return OnceOutcome::NotRun(RefusalReason::DeadlinePast);
             };
-            match hand_to(front, checked, request, host, left, permit.expires_at()).await {
-                Ok(OnceOutcome::NotRun(reason)) => last = reason,
+            match send_to_owner(front, checked, request, host, left, permit.expires_at()).await {
+                Ok(OnceOutcome::NotRun(reason)) => last_reason = reason,
                 Ok(outcome) => return outcome,
-                Err(PeerError::NotSent(_)) => last = RefusalReason::OwnerUnreachable,
-                Err(PeerError::Late) => return OnceOutcome::Unknown(UnknownReason::DeadlinePast),
+                Err(PeerError::NotSent(_)) => last_reason = RefusalReason::OwnerUnreachable,
+                Err(PeerError::TimedOut) => {
+                    return OnceOutcome::Unknown(UnknownReason::DeadlinePast);
+                }
                 Err(PeerError::Lost(_)) => return OnceOutcome::Unknown(UnknownReason::OwnerLost),
             }
             grant = permit.not_run();
         }
-        if !is_passing(last) {
+        if !is_transient(last_reason) {
             break;
         }
     }
-    OnceOutcome::NotRun(last)
+    OnceOutcome::NotRun(last_reason)
 }
 
-/// Rounds over the owners of a shard. Groups that change hands by plan are
-/// without an owner for some 50 ms; three rounds outlast that, and a request
-/// that still finds nobody is refused at once and not held back.
-const HAND_OVER_ROUNDS: u32 = 3;
+/// Maximum number of rounds over the owners of a shard. A planned change of ownership leaves a
+/// group without an owner for about 50 ms, which three rounds outlast. A request that still finds
+/// no owner is refused at once instead of being delayed further.
+const DISPATCH_ROUNDS: u32 = 3;
 
-/// By how much the clocks of two hosts may differ before an owner takes a fresh
-/// request for one that its caller has given up. It is then refused as not run,
-/// which does no harm but for the delay.
-const CLOCK_ALLOWANCE: Duration = Duration::from_secs(1);
+/// Maximum clock difference between two hosts at which an owner does not take a new request for one
+/// that its caller has given up. Beyond it, the request is refused as not run, which costs only a
+/// retry.
+const MAX_CLOCK_SKEW: Duration = Duration::from_secs(1);
 
-/// Between two rounds.
-const HAND_OVER_PAUSE: Duration = Duration::from_millis(40);
+/// Delay between two rounds.
+const DISPATCH_BACKOFF: Duration = Duration::from_millis(40);
 
-/// Whether the reason is one that a change of owner gives.
-fn is_passing(reason: RefusalReason) -> bool {
+/// Whether the refusal can be caused by a change of ownership.
+fn is_transient(reason: RefusalReason) -> bool {
     matches!(reason, RefusalReason::NoTarget | RefusalReason::OwnerUnreachable)
 }
 
-/// Owners of the shard with a usable replica, this zone's first.
+/// Owners of the shard with a usable replica, those of this zone first.
 fn owners(front: &FrontContext, checked: &CheckedOnce) -> SmallVec<[HostKey; 3]> {
     let fleet = front.fleet_view();
     let table = front.tables.table(checked.service, &checked.config, &fleet, &front.views);
@@ -226,7 +233,7 @@
     usable.into_iter().map(|option| option.owner).collect()
 }
 
-async fn hand_to(
+async fn send_to_owner(
     front: &FrontContext,
     checked: &CheckedOnce,
     request: RequestId,
@@ -234,7 +241,7 @@
     left: Duration,
     expires_at: Duration,
 ) -> Result<OnceOutcome, PeerError> {
-    let not_after = expires_at.min(unix_now() + left + CLOCK_ALLOWANCE);
+    let not_after = expires_at.min(unix_now() + left + MAX_CLOCK_SKEW);
     let batch = OnceBatch {
         request,
         caller: checked.once.caller.clone(),
@@ -254,5 +261,5 @@
     };
     let client = front.links.client(peer).await?;
     let context = peer::call_context(left);
-    client.run(context, batch).await.map_err(|error| front.links.judge(peer, error))
+    client.run(context, batch).await.map_err(|error| front.links.classify_error(peer, error))
 }
--- a/crates/hawthorn-daemon/src/request/query.rs
+++ b/crates/hawthorn-daemon/src/request/query.rs
@@ -1,4 +1,4 @@
-//! One query in the front: checked, admitted whole, planned, sent, merged.
+//! Processes one query in the front: validation, admission control, planning, scatter and merge.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -47,10 +47,10 @@
 use crate::request::front::new_request;
 use crate::version::config::ConfigInForce;
 
-/// What the metrics call this kind of request.
+/// Label of this kind of request in the metrics.
 const KIND: &str = "query";
 
-/// A query that passed its checks.
+/// A validated query.
 struct CheckedQuery {
     query: SearchQuery,
     caller: CallerKey,
@@ -62,42 +62,42 @@
 
 /// Answers a caller's query.
 pub async fn answer(front: &FrontContext, query: SearchQuery) -> CallerAnswer {
-    let began = front.now();
-    let checked = match check(front, query, began) {
+    let started = front.now();
+    let checked = match check(front, query, started) {
         Ok(checked) => checked,
         Err((request_id, reason)) => return front.refuse(request_id, reason, None),
     };
-    hear_owners(front, checked.service, &checked.config).await;
-    let mut admitted = match admit(front, &checked, began) {
+    fetch_missing_views(front, checked.service, &checked.config).await;
+    let mut admitted = match admit(front, &checked, started) {
         Ok(admitted) => admitted,
         Err((reason, retry_after)) => {
             return front.refuse(checked.query.request_id, reason, retry_after);
         }
     };
     let request = new_request();
-    let (found, queued) = search(front, &checked, request).await;
-    let took = front.now().saturating_sub(began);
-    admitted.end =
-        Some(QueryFeedback { queue_wait: queued, rejected: is_turned_away(&found), elapsed: took });
-    count(front, &found, took);
-    let mut answer = front.bare_answer(request, checked.query.request_id, CallerOutcome::Answer);
-    answer.index_version = found.version;
-    answer.coverage = Some(found.coverage);
-    answer.total = found.total;
-    answer.matches = found.matches;
-    answer.elapsed_ms = u64::try_from(took.as_millis()).unwrap_or(u64::MAX);
+    let (finished, queue_wait) = search(front, &checked, request).await;
+    let elapsed = front.now().saturating_sub(started);
+    admitted.feedback =
+        Some(QueryFeedback { queue_wait, rejected: is_rejected(&finished), elapsed });
+    count(front, &finished, elapsed);
+    let mut answer = front.empty_answer(request, checked.query.request_id, CallerOutcome::Answer);
+    answer.index_version = finished.version;
+    answer.coverage = Some(finished.coverage);
+    answer.total = finished.total;
+    answer.matches = finished.matches;
+    answer.elapsed_ms = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
     answer
 }
 
 fn check(
     front: &FrontContext,
     query: SearchQuery,
-    began: Duration,
+    started: Duration,
 ) -> Result<CheckedQuery, (Option<String>, RefusalReason)> {
     let id = query.request_id.clone();
     let refuse = |reason| (id.clone(), reason);
-    if query.request_id.as_deref().is_some_and(|id| !front.is_fit_id(id)) {
-        // An id that may not be used is not echoed either.
+    if query.request_id.as_deref().is_some_and(|id| !front.is_valid_request_id(id)) {
+        // An invalid id is not echoed.
         return Err((None, RefusalReason::BadRequestId));
     }
     let config = front.config().ok_or_else(|| refuse(RefusalReason::NoConfiguration))?;
@@ -111,68 +111,73 @@
         return Err(refuse(RefusalReason::DeadlinePast));
     }
     let range = query.range.unwrap_or(KeyRange::FULL);
-    let range_is_fit = !range.is_empty() && range.end <= KeyRange::FULL.end;
-    if !range_is_fit || query.limit > front.options.max_limit {
+    let range_is_valid = !range.is_empty() && range.end <= KeyRange::FULL.end;
+    if !range_is_valid || query.limit > front.options.max_limit {
         return Err(refuse(RefusalReason::BadRequest));
     }
     let wait = Duration::from_millis(query.deadline_ms).min(front.options.max_deadline);
-    Ok(CheckedQuery { caller, service, range, deadline: began + wait, config, query })
+    Ok(CheckedQuery { caller, service, range, deadline: started + wait, config, query })
 }
 
-/// Makes sure that every owner of the service's shards was heard once.
-pub(crate) async fn hear_owners(front: &FrontContext, service: ServiceKey, config: &ConfigInForce) {
+/// Fetches the views of the owners of the service's shards that have none yet.
+pub(crate) async fn fetch_missing_views(
+    front: &FrontContext,
+    service: ServiceKey,
+    config: &ConfigInForce,
+) {
     let fleet = front.fleet_view();
-    let unheard = front.tables.unheard(service, config, &fleet, &front.views);
-    if !unheard.is_empty() {
-        refresh::ask_unheard(front, &unheard).await;
+    let owners_without_view =
+        front.tables.owners_without_view(service, config, &fleet, &front.views);
+    if !owners_without_view.is_empty() {
+        refresh::fetch_views(front, &owners_without_view).await;
     }
 }
 
-/// Gives an admitted query's place back when dropped, whatever ends it.
+/// Releases an admitted query's capacity when dropped, however the query ends.
 struct AdmittedQuery<'a> {
     front: &'a FrontContext,
     caller: CallerKey,
-    began: Duration,
-    /// None when the caller hung up: that says nothing of the load.
-    end: Option<QueryFeedback>,
+    started: Duration,
+    /// `None` if the caller disconnected, which is no indication of load.
+    feedback: Option<QueryFeedback>,
 }
 
 impl Drop for AdmittedQuery<'_> {
     fn drop(&mut self) {
-        let took = self.front.now().saturating_sub(self.began);
+        let elapsed = self.front.now().saturating_sub(self.started);
         let mut load = self.front.load.lock().expect("no holder of the lock panics");
-        if let Some(end) = &self.end {
+        if let Some(feedback) = &self.feedback {
             let window = &self.front.options.admit.window;
-            load.record_feedback(self.caller, self.front.now(), end, window);
+            load.record_feedback(self.caller, self.front.now(), feedback, window);
         }
-        load.record_completion(self.caller, took);
+        load.record_completion(self.caller, elapsed);
     }
 }
 
 fn admit<'a>(
     front: &'a FrontContext,
     checked: &CheckedQuery,
-    began: Duration,
+    started: Duration,
 ) -> Result<AdmittedQuery<'a>, (RefusalReason, Option<Duration>)> {
     let ready = front.fleet.status.borrow().ready;
-    let ask = AdmissionRequest {
+    let request = AdmissionRequest {
         caller: checked.caller,
-        now: began,
+        now: started,
         deadline: checked.deadline,
         expected_wait: expected_wait(front, checked),
         stage: if ready { FrontStage::Serving } else { FrontStage::Unconfigured },
         random: rand::random(),
     };
     let mut load = front.load.lock().expect("no holder of the lock panics");
-    match admit::admit(&mut load, &ask, &front.options.admit) {
+    match admit::admit(&mut load, &request, &front.options.admit) {
         admit::Outcome::Admitted => {
-            Ok(AdmittedQuery { front, caller: checked.caller, began, end: None })
+            Ok(AdmittedQuery { front, caller: checked.caller, started, feedback: None })
         }
         admit::Outcome::Refused { reason, retry_after } => Err((reason, retry_after)),
     }
 }
 
-/// The longest wait among the shards asked, each at its best zone.
+/// Longest expected wait among the requested shards, each in its best zone.
 fn expected_wait(front: &FrontContext, checked: &CheckedQuery) -> Duration {
     let fleet = front.fleet_view();
     let table = front.tables.table(checked.service, &checked.config, &fleet, &front.views);
@@ -188,12 +193,12 @@
     admit::expected_wait(reports, now, &front.options.admit)
 }
 
-/// What a batch came to.
-struct BatchEnd {
+/// Completion of a batch.
+struct BatchCompletion {
     batch: BatchId,
     host: HostKey,
     pieces: Option<Vec<PieceAnswer>>,
-    queued: Duration,
+    queue_wait: Duration,
 }
 
 async fn search(
@@ -210,13 +215,13 @@
     let mut batches = FuturesUnordered::new();
     let mut guards: Vec<(BatchId, DropGuard)> = Vec::new();
     let mut wake = checked.deadline;
-    let mut queued = Duration::ZERO;
+    let mut queue_wait = Duration::ZERO;
     let mut step =
         with_context(front, checked, |context| track::start(tracked, context, front.options.track));
     loop {
         let (track, actions) = match step {
-            // Dropping the guards withdraws whatever is still open.
-            Step::Finished(found, _) => return (*found, queued),
+            // Dropping the guards cancels all batches still open.
+            Step::Finished(finished, _) => return (*finished, queue_wait),
             Step::Waiting(track, actions) => (track, actions),
         };
         for action in actions {
@@ -230,7 +235,7 @@
                 Action::Wake(at) => wake = at,
             }
         }
-        let event = next_event(front, &mut batches, wake, &mut queued).await;
+        let event = next_event(front, &mut batches, wake, &mut queue_wait).await;
         step = with_context(front, checked, |context| track.step(event, context));
     }
 }
@@ -239,22 +244,22 @@
     front: &FrontContext,
     batches: &mut FuturesUnordered<F>,
     wake: Duration,
-    queued: &mut Duration,
+    queue_wait: &mut Duration,
 ) -> Event
 where
-    F: Future<Output = Option<BatchEnd>>,
+    F: Future<Output = Option<BatchCompletion>>,
 {
     let timer = tokio::time::sleep_until(front.started + wake);
     tokio::pin!(timer);
     loop {
         tokio::select! {
             Some(end) = batches.next() => match end {
-                Some(BatchEnd { batch, host, pieces: Some(pieces), queued: waited }) => {
-                    *queued = (*queued).max(waited);
+                Some(BatchCompletion { batch, host, pieces: Some(pieces), queue_wait: waited }) => {
+                    *queue_wait = (*queue_wait).max(waited);
                     return Event::BatchAnswered { batch, host, pieces };
                 }
-                Some(BatchEnd { host, .. }) => return Event::OwnerLost(host),
-                // It was cancelled; nobody waits for it.
+                Some(BatchCompletion { host, .. }) => return Event::OwnerLost(host),
+                // A cancelled batch is ignored.
                 None => {}
             },
             () = &mut timer => return Event::Timer,
@@ -262,7 +267,7 @@
     }
 }
 
-/// Runs a step of the track with what is known now.
+/// Runs a step of the track with the current table and budget.
 fn with_context<T>(
     front: &FrontContext,
     checked: &CheckedQuery,
@@ -281,16 +286,16 @@
     request: RequestId,
     send: BatchSend,
     stop: CancellationToken,
-) -> Option<BatchEnd> {
+) -> Option<BatchCompletion> {
     let batch = batch_of(front, checked, request, &send);
-    let asked = tokio::select! {
+    let answer = tokio::select! {
         () = stop.cancelled() => return None,
-        asked = ask_owner(front, send.host, batch) => asked,
+        answer = send_to_owner(front, send.host, batch) => answer,
     };
-    let queued = asked.as_ref().map_or(0, |answer| answer.queued_us);
-    let pieces = asked.map(|answer| answer.parts.into_iter().map(piece_answer).collect());
-    let queued = Duration::from_micros(queued);
-    Some(BatchEnd { batch: send.batch, host: send.host, pieces, queued })
+    let queue_wait = answer.as_ref().map_or(0, |answer| answer.queued_us);
+    let pieces = answer.map(|answer| answer.parts.into_iter().map(piece_answer).collect());
+    let queue_wait = Duration::from_micros(queue_wait);
+    Some(BatchCompletion { batch: send.batch, host: send.host, pieces, queue_wait })
 }
 
 fn batch_of(
@@ -323,9 +328,9 @@
     }
 }
 
-/// Sends a batch to its owner, here or on another host; none when the owner
-/// cannot be reached.
-pub(crate) async fn ask_owner(
+/// Sends a batch to its owner, local or remote. Returns `None` if the owner cannot be reached or
+/// its answer does not belong to the request.
+pub(crate) async fn send_to_owner(
     front: &FrontContext,
     host: HostKey,
     batch: SearchBatch,
@@ -341,11 +346,11 @@
         client
             .search(context, batch)
             .await
-            .map_err(|error| front.links.judge(record.peer, error))
+            .map_err(|error| front.links.classify_error(record.peer, error))
             .ok()?
     };
     match answer.view.take() {
-        Some(view) => front.views.hear(record.id, view),
+        Some(view) => front.views.update(record.id, view),
         None => front.views.touch(record.id),
     }
     if answer.request != request {
@@ -355,9 +360,9 @@
     Some(answer)
 }
 
-/// Whether a part of the query was turned away for load, or waited in vain.
-fn is_turned_away(found: &FinishedQuery) -> bool {
-    found.coverage.missing.iter().any(|missing| {
+/// Whether a part of the query was rejected because of load, or expired in a queue.
+fn is_rejected(finished: &FinishedQuery) -> bool {
+    finished.coverage.missing.iter().any(|missing| {
         matches!(
             missing.reason,
             MissingReason::Shedding
@@ -379,16 +384,16 @@
     PieceAnswer { piece: PieceId(number), outcome }
 }
 
-fn count(front: &FrontContext, found: &FinishedQuery, took: Duration) {
-    front.metrics.count_answer(KIND, took);
-    front.metrics.count_dropped(u64::from(found.counts.late + found.counts.crossed));
+fn count(front: &FrontContext, finished: &FinishedQuery, elapsed: Duration) {
+    front.metrics.count_answer(KIND, elapsed);
+    front.metrics.count_dropped(u64::from(finished.counts.late + finished.counts.crossed));
     for reason in RetryReason::iter() {
-        let retried = found.counts.retried(reason);
+        let retried = finished.counts.retried(reason);
         if retried > 0 {
             front.metrics.count_retries(reason, u64::from(retried));
         }
     }
-    for missing in &found.coverage.missing {
+    for missing in &finished.coverage.missing {
         front.metrics.count_missing(missing.reason, 1);
     }
 }
--- a/crates/hawthorn-daemon/src/request/status.rs
+++ b/crates/hawthorn-daemon/src/request/status.rs
@@ -1,4 +1,4 @@
-//! The status page and explanations, for operators.
+//! Status report and explanations for operators.
 
 use std::collections::BTreeMap;
 
@@ -14,78 +14,78 @@
 use crate::process::reconcile::DriftSnapshot;
 use crate::request::front::FrontContext;
 
-/// What is seen of a target that does not answer.
+/// Observed state of a target that does not answer.
 const UNREACHABLE: &str = "unreachable";
 
-/// What this host knows of the fleet.
+/// State of the fleet as known to this host.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct FleetReport {
-    /// The host that answers.
+    /// The host that answered.
     pub host: String,
-    /// Its zone.
+    /// Availability zone of this host.
     pub zone: String,
-    /// Why the balancer should not send callers here, none when it should.
+    /// Reason why the load balancer should not send callers here; null if it should.
     pub not_ready: Option<String>,
     /// The configuration in force.
     pub configuration: ConfigStamp,
-    /// Who made it.
+    /// Author of the configuration.
     pub author: Option<String>,
-    /// What must be looked at.
+    /// Alarms that need attention, oldest first.
     pub alarms: Vec<String>,
     /// All known hosts.
     pub hosts: Vec<HostReport>,
-    /// Zones that cannot be heard.
+    /// Zones that are unreachable.
     pub lost_zones: Vec<String>,
-    /// Targets by the state wanted of them.
+    /// Number of targets by desired state.
     pub wanted: BTreeMap<String, u64>,
-    /// Targets in another state than wanted, as far as this host owns them.
+    /// Targets owned by this host that are not in the desired state.
     pub drift: Vec<DriftReport>,
-    /// Shards that no usable replica is known for.
+    /// Shards without a known usable replica.
     pub uncovered: Vec<String>,
-    /// Targets this host owns.
+    /// Number of targets that this host owns.
     pub owned_targets: u64,
-    /// Slots in use at them.
+    /// Slots in use at these targets.
     pub slots_in_use: u64,
     /// Pieces waiting for a slot.
     pub queued: u64,
 }
 
-/// One host.
+/// State of one host.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct HostReport {
-    /// Its name.
+    /// Host name.
     pub host: String,
-    /// Its zone.
+    /// Availability zone.
     pub zone: String,
-    /// Where other hosts reach it.
+    /// Address for other hosts.
     pub peer: String,
-    /// What it says of itself.
+    /// Phase that the host reports.
     pub phase: String,
-    /// What its zone holds of it.
+    /// Health according to its zone.
     pub health: String,
-    /// The configuration revision it last said it has in force.
+    /// Configuration revision that the host last reported as in force.
     pub revision: u64,
 }
 
-/// One target that is not as wanted.
+/// A target that is not in the desired state.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct DriftReport {
     /// The target.
     pub target: String,
-    /// The state wanted.
+    /// Desired state.
     pub wanted: String,
-    /// The state seen.
+    /// Observed state.
     pub seen: String,
-    /// For how many milliseconds.
+    /// Duration of the drift in milliseconds.
     pub since_ms: u64,
-    /// Why it lasts.
+    /// Cause of the drift.
     pub cause: String,
-    /// The shard that it still serves for want of another target.
+    /// Shard that the target must keep serving because no other target can.
     pub held_for: Option<String>,
 }
 
 impl FrontContext {
-    /// The status page.
+    /// Returns the status report.
     pub fn status(&self) -> FleetReport {
         let config = self.config();
         let fleet = self.fleet_view();
@@ -105,7 +105,7 @@
                 },
             })
             .collect();
-        hosts.sort_by(|one, other| (&one.zone, &one.host).cmp(&(&other.zone, &other.host)));
+        hosts.sort_by(|left, right| (&left.zone, &left.host).cmp(&(&right.zone, &right.host)));
         FleetReport {
             host: self.host.clone(),
             zone: self.zone.clone(),
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Why a target, or an asset, is in the state wanted of it; none when the
-    /// inventory does not have it.
+    /// Explains the desired state of a target or an asset; `None` if the inventory does not list
+    /// it.
     pub fn explain(&self, name: &str) -> Option<String> {
         let config = self.config()?;
         let explained = explain::explain(&config.inventory, &config.rules, name);
@@ -138,11 +138,11 @@
         let mut names = Vec::new();
         for (service, _) in config.catalog.services() {
             let table = self.tables.table(service, &config, &fleet, &self.views);
-            let bare = table
+            let uncovered = table
                 .shards()
                 .iter()
                 .filter(|shard| shard.options.iter().all(|option| option.versions.is_empty()));
-            names.extend(bare.map(|shard| config.catalog.shard(shard.shard).name.to_string()));
+            names.extend(uncovered.map(|shard| config.catalog.shard(shard.shard).name.to_string()));
         }
         names
     }
@@ -153,8 +153,8 @@
     let report = |entry: &DriftEntry| DriftReport {
         target: entry.target.clone(),
         wanted: entry.wanted.to_string(),
-        seen: entry.seen.map_or_else(|| UNREACHABLE.to_owned(), |phase| phase.to_string()),
-        since_ms: u64::try_from((entry.lasted + age).as_millis()).unwrap_or(u64::MAX),
+        seen: entry.observed.map_or_else(|| UNREACHABLE.to_owned(), |phase| phase.to_string()),
+        since_ms: u64::try_from((entry.duration + age).as_millis()).unwrap_or(u64::MAX),
         cause: entry.cause.to_string(),
         held_for: entry.held_for.as_ref().map(ToString::to_string),
     };
--- a/crates/hawthorn-daemon/src/version/config.rs
+++ b/crates/hawthorn-daemon/src/version/config.rs
@@ -11,16 +11,16 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a document cannot come into force.
+    /// Reason why a document cannot be put into force.
     #[derive(Debug)]
     pub enum Error {
-        /// It cannot be read.
+        /// The document cannot be parsed.
         Document(err: document::Error) {
             display("{err}")
             source(err)
             from()
         }
-        /// The check refuses it, or its parts do not fit together.
+        /// The document fails validation, or its parts are inconsistent.
         Load(err: catalog::LoadError) {
             display("{err}")
             source(err)
@@ -32,23 +32,23 @@
 /// One revision, parsed and ready to serve from.
 #[derive(Debug)]
 pub struct ConfigInForce {
-    /// The document as read.
+    /// The parsed document.
     pub document: ConfigDocument,
-    /// The document as it stands in the store, passed on unchanged to peers.
+    /// The document as stored, sent unchanged to peers.
     pub json: String,
     /// The inventory.
     pub inventory: Inventory,
-    /// The rules.
+    /// The rule set.
     pub rules: RuleSet,
-    /// The arenas built from them.
+    /// Catalog built from the inventory and the rules.
     pub catalog: FleetCatalog,
 }
 
-/// Reads a document and builds its catalog. Keys that this daemon does not know
-/// are passed over: see [`catalog::load`].
+/// Parses a document and builds its catalog. Keys unknown to this daemon are ignored: see
+/// [`catalog::load`].
 ///
 /// # Errors
-/// When it cannot be read or has a fault that is an error.
+/// If it cannot be parsed or contains a fault of error severity.
 pub fn parse(json: &str) -> Result<Arc<ConfigInForce>, Error> {
     let document = ConfigDocument::from_json(json)?;
     let loaded = catalog::load_parts(&document, catalog::Options::default())?;
--- a/crates/hawthorn-daemon/src/version/fleet.rs
+++ b/crates/hawthorn-daemon/src/version/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet as this host sees it at a moment.
+//! The fleet as seen by this host.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,41 +16,41 @@
 /// One member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostRecord {
-    /// Its key in this process.
+    /// Key within this process.
     pub key: HostKey,
-    /// Its name everywhere.
+    /// Id across all processes.
     pub id: MemberId,
-    /// Its name.
+    /// Host name.
     pub host: String,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: String,
-    /// Its peer interface.
+    /// Address of its peer interface.
     pub peer: SocketAddr,
-    /// What it says of itself.
+    /// Phase that the host reports.
     pub phase: MemberPhase,
-    /// What its zone holds of it.
+    /// Health according to its zone.
     pub health: MemberHealth,
-    /// The configuration revision it last said it has in force.
+    /// Configuration revision that the host last reported as in force.
     pub revision: ConfigRevision,
 }
 
-/// All members and who may own groups.
+/// All members, and those that may own groups.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetView {
-    /// Grows with each change.
+    /// Increases with each change.
     pub generation: u64,
-    /// This host.
+    /// Key of this host.
     pub me: HostKey,
     /// All known members.
     pub hosts: HashMap<HostKey, HostRecord>,
     /// Hosts that may own groups, by reachable zone.
     owners: HashMap<String, Vec<(HostKey, MemberId)>>,
-    /// Zones with members that cannot be heard now.
+    /// Zones with members that are currently unreachable.
     pub lost_zones: Vec<String>,
 }
 
 impl FleetView {
-    /// Takes the members out of the table.
+    /// Copies the members from the table.
     pub fn of(table: &MemberTable, generation: u64) -> Self {
         let hosts = table.records().map(|record| {
             let host = HostRecord {
@@ -79,13 +79,13 @@
         }
     }
 
-    /// The owner of a group, none when no host of its zone can be reached.
+    /// Returns the owner of a group; `None` if no host of its zone is reachable.
     pub fn owner_of(&self, zone: &str, bucket: u32) -> Option<HostKey> {
         let group = GroupId::new(zone, u16::try_from(bucket).ok()?);
         self.owner(group, self.owners.get(zone)?.iter())
     }
 
-    /// The host of a zone that commits the claims of a bucket.
+    /// Returns the host of a zone that commits the claims of a bucket.
     pub fn claim_owner(&self, zone: &str, bucket: u32) -> Option<HostKey> {
         let group = GroupId::new(&format!("claims/{zone}"), u16::try_from(bucket).ok()?);
         self.owner(group, self.owners.get(zone)?.iter())
@@ -99,26 +99,26 @@
         ownership::owner(group, hosts.map(|&(key, id)| OwnerCandidate { key, id }))
     }
 
-    /// All hosts that may own groups and can be reached.
+    /// All reachable hosts that may own groups.
     pub fn all_owners(&self) -> impl Iterator<Item = &HostRecord> {
         self.owners.values().flatten().filter_map(|(key, _)| self.hosts.get(key))
     }
 
-    /// Whether a live host of a zone that can be heard has this peer address.
+    /// Whether the peer address belongs to a live host of a reachable zone.
     pub fn is_reachable(&self, peer: SocketAddr) -> bool {
         let host = self.hosts.values().find(|host| host.peer == peer);
         host.is_some_and(|host| {
-            let gone = host.health == MemberHealth::Dead || host.phase == MemberPhase::Left;
-            !gone && !self.lost_zones.contains(&host.zone)
+            let is_gone = host.health == MemberHealth::Dead || host.phase == MemberPhase::Left;
+            !is_gone && !self.lost_zones.contains(&host.zone)
         })
     }
 
-    /// Where a host's peer interface is.
+    /// Address of a host's peer interface.
     pub fn peer(&self, key: HostKey) -> Option<SocketAddr> {
         self.hosts.get(&key).map(|host| host.peer)
     }
 
-    /// Members that are live.
+    /// Number of live members.
     pub fn live(&self) -> usize {
         let live = self
             .hosts
--- a/crates/hawthorn-daemon/src/version/mod.rs
+++ b/crates/hawthorn-daemon/src/version/mod.rs
@@ -1,5 +1,5 @@
-//! What lives as long as a version: of the configuration, of the fleet, of
-//! ownership, of what owners hold.
+//! State with the lifetime of a version: of the configuration, the fleet, ownership and the owners'
+//! views.
 
 pub mod config;
 pub mod fleet;
--- a/crates/hawthorn-daemon/src/version/owned.rs
+++ b/crates/hawthorn-daemon/src/version/owned.rs
@@ -1,10 +1,10 @@
-//! The groups this host owns at a moment, and how much of them it may use.
+//! The groups that this host owns, and the share of their slots that it may use.
 
 use std::collections::HashMap;
 
 use hawthorn_fleet::SlotShare;
 
-/// The buckets of its own zone that this host owns.
+/// Owned buckets of this host's zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OwnedGroups {
     /// The zone.
@@ -13,19 +13,19 @@
 }
 
 impl OwnedGroups {
-    /// Of `shares`, those that may be used at all.
+    /// Keeps those of `shares` that may be used at all.
     pub fn new(zone: &str, shares: impl IntoIterator<Item = (u16, SlotShare)>) -> Self {
         let used = shares.into_iter().filter(|(_, share)| *share != SlotShare::None);
         Self { zone: zone.to_owned(), shares: used.collect() }
     }
 
-    /// How much of the group's slots this host may use now.
+    /// Share of the group's slots that this host may use.
     pub fn share(&self, zone: &str, bucket: u32) -> SlotShare {
         let bucket = u16::try_from(bucket).ok().filter(|_| self.zone == zone);
         bucket.and_then(|bucket| self.shares.get(&bucket).copied()).unwrap_or_default()
     }
 
-    /// How many groups are owned.
+    /// Number of owned groups.
     pub fn len(&self) -> usize {
         self.shares.len()
     }
--- a/crates/hawthorn-daemon/src/version/tables.rs
+++ b/crates/hawthorn-daemon/src/version/tables.rs
@@ -1,5 +1,5 @@
-//! Shard tables that queries are planned from, built once for each version of
-//! configuration, fleet and views, and shared by all queries meanwhile.
+//! Shard tables for query planning. Each is built once per version of configuration, fleet and
+//! views, and shared by all queries.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 use crate::version::fleet::FleetView;
 use crate::version::views::ViewTable;
 
-/// What a table was built from.
+/// Versions that a table was built from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct TableStamp {
     revision: u64,
@@ -32,90 +32,88 @@
     views: u64,
 }
 
-/// One service's table.
+/// Cached table of one service.
 #[derive(Debug)]
 struct CachedTable {
     stamp: TableStamp,
     table: Arc<ShardTable>,
     owners: Vec<MemberId>,
-    /// Those of them that hold nothing of a shard as far as they have told.
-    bare: Vec<MemberId>,
-    /// When the configuration or the fleet last changed under it.
-    moved_at: Instant,
-    /// When the owners were last said to be wanted.
-    wanted_at: Instant,
-    /// When something in it is believed no more.
+    /// Owners whose view lacks a replica of one of their shards.
+    incomplete: Vec<MemberId>,
+    /// Time of the last change of the configuration or the fleet.
+    changed_at: Instant,
+    /// Time at which the owners' views were last marked as needed.
+    marked_at: Instant,
+    /// Earliest expiry of a previous owner's report used in the table.
     expires: Option<Instant>,
 }
 
-/// How long after a change of the fleet or the configuration groups may still
-/// be changing hands.
-const MOVING_TIME: Duration = Duration::from_secs(5);
+/// Time after a change of the fleet or the configuration during which ownership may still change.
+const OWNERSHIP_SETTLE_TIME: Duration = Duration::from_secs(5);
 
-/// How often the owners of a table in use are said to be wanted.
-const WANT_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval at which the owners of a table in use are marked as needed.
+const MARK_NEEDED_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Tables by service.
+/// Cached tables by service.
 #[derive(Debug, Default)]
 pub struct TableCache {
     tables: Mutex<HashMap<ServiceKey, CachedTable>>,
-    memory: Mutex<ShardMemory>,
+    report_cache: Mutex<ReportCache>,
 }
 
-/// For how long what a zone's owner said of a shard is believed of the next.
+/// Time for which a previous owner's report of a shard is used for its successor.
 ///
-/// Failure: a group changes hands and the new owner has not told what it holds.
-/// Its shards would count as held by nobody although the targets are as before.
-/// By then the new owner has asked them; what is wrong meanwhile it turns away,
-/// and the piece goes to another zone.
-const MEMORY_TIME: Duration = Duration::from_secs(2);
+/// Failure: after a change of ownership, the new owner has not published its view yet, and its
+/// shards would count as having no replica although the targets are unchanged. The new owner probes
+/// them within this time; a piece sent to it on an outdated report is rejected and goes to another
+/// zone.
+const REPORT_TTL: Duration = Duration::from_secs(2);
 
-/// What was last said of each shard in each zone.
+/// Last report of each shard in each zone.
 #[derive(Debug, Default)]
-struct ShardMemory {
-    told: HashMap<(ShardName, String), ToldShard>,
-    /// When the first of what was recalled for this table is believed no more.
+struct ReportCache {
+    reports: HashMap<(ShardName, String), ReportedShard>,
+    /// Earliest expiry among the previous owners' reports used in the current table.
     expires: Option<Instant>,
 }
 
-/// What an owner said of a shard.
+/// Last report of a shard.
 #[derive(Debug)]
-struct ToldShard {
+struct ReportedShard {
     owner: HostKey,
     view: ShardView,
-    /// When another owner was first seen in its place.
+    /// Time at which another owner was first seen in its place.
     replaced_at: Option<Instant>,
 }
 
-impl ShardMemory {
-    /// What the owner says, or what another owner before it said until a
-    /// moment ago.
-    fn recall(
+impl ReportCache {
+    /// Returns the owner's report, or for a limited time that of its predecessor.
+    fn resolve(
         &mut self,
         shard: &ShardName,
         zone: &str,
         owner: HostKey,
-        told: Option<&ShardView>,
+        report: Option<&ShardView>,
     ) -> Option<ShardView> {
         let key = (shard.clone(), zone.to_owned());
-        if let Some(view) = told {
-            let told = ToldShard { owner, view: view.clone(), replaced_at: None };
-            self.told.insert(key, told);
+        if let Some(view) = report {
+            let report = ReportedShard { owner, view: view.clone(), replaced_at: None };
+            self.reports.insert(key, report);
             return Some(view.clone());
         }
-        let before = self.told.get_mut(&key)?;
-        let expires = *before.replaced_at.get_or_insert_with(Instant::now) + MEMORY_TIME;
-        if before.owner == owner || expires <= Instant::now() {
-            self.told.remove(&key);
+        let previous = self.reports.get_mut(&key)?;
+        let expires = *previous.replaced_at.get_or_insert_with(Instant::now) + REPORT_TTL;
+        if previous.owner == owner || expires <= Instant::now() {
+            self.reports.remove(&key);
             return None;
         }
         self.expires = Some(self.expires.map_or(expires, |first| first.min(expires)));
-        Some(before.view.clone())
+        Some(previous.view.clone())
     }
 }
 
 impl TableCache {
-    /// The table of a service as known now.
+    /// Returns the current table of a service.
     pub fn table(
         &self,
         service: ServiceKey,
@@ -129,38 +127,38 @@
             views: views.generation(),
         };
         let mut tables = self.tables.lock().expect("no holder of the lock panics");
-        if let Some(known) = tables.get_mut(&service)
-            && known.stamp == stamp
-            && known.expires.is_none_or(|at| Instant::now() < at)
+        if let Some(cached) = tables.get_mut(&service)
+            && cached.stamp == stamp
+            && cached.expires.is_none_or(|at| Instant::now() < at)
         {
-            if known.wanted_at.elapsed() >= WANT_INTERVAL {
-                views.want(known.owners.iter().copied());
-                known.wanted_at = Instant::now();
+            if cached.marked_at.elapsed() >= MARK_NEEDED_INTERVAL {
+                views.mark_needed(cached.owners.iter().copied());
+                cached.marked_at = Instant::now();
             }
-            return Arc::clone(&known.table);
+            return Arc::clone(&cached.table);
         }
-        let mut memory = self.memory.lock().expect("no holder of the lock panics");
-        memory.expires = None;
-        let table = Arc::new(build(service, config, fleet, views, &mut memory));
+        let mut report_cache = self.report_cache.lock().expect("no holder of the lock panics");
+        report_cache.expires = None;
+        let table = Arc::new(build(service, config, fleet, views, &mut report_cache));
         let owners = owners(&table, fleet, |_| true);
-        let bare = self::owners(&table, fleet, |option| option.versions.is_empty());
-        views.want(owners.iter().copied());
-        let wanted_at = Instant::now();
-        let expires = memory.expires;
-        let unmoved = tables.get(&service).filter(|known| {
-            known.stamp.fleet == stamp.fleet && known.stamp.revision == stamp.revision
+        let incomplete = self::owners(&table, fleet, |option| option.versions.is_empty());
+        views.mark_needed(owners.iter().copied());
+        let marked_at = Instant::now();
+        let expires = report_cache.expires;
+        let unchanged = tables.get(&service).filter(|cached| {
+            cached.stamp.fleet == stamp.fleet && cached.stamp.revision == stamp.revision
         });
-        let moved_at = unmoved.map_or(wanted_at, |known| known.moved_at);
+        let changed_at = unchanged.map_or(marked_at, |cached| cached.changed_at);
         let shared = Arc::clone(&table);
-        let cached = CachedTable { stamp, table, owners, bare, moved_at, wanted_at, expires };
+        let cached =
+            CachedTable { stamp, table, owners, incomplete, changed_at, marked_at, expires };
         tables.insert(service, cached);
         shared
     }
 
-    /// Whether a replica is known in each zone that should have one and has a
-    /// host, of every shard of the service. A host that knows no other cannot
-    /// tell whether it is alone or has not been heard yet, so a shard that no
-    /// known host owns is not complete.
+    /// Whether every shard of the service has a known replica in each zone that should have one and
+    /// has a host. A shard without a known owner is incomplete: a host that knows no other host
+    /// cannot distinguish being alone from not being connected yet.
     pub fn is_complete(
         &self,
         service: ServiceKey,
@@ -175,18 +173,18 @@
         })
     }
 
-    /// Whether groups moved a moment ago and the owner holds nothing of some
-    /// shard that is its own now, as far as it has told: it may have told before
-    /// it had asked its targets. Later it is a target that is lost, and asking
-    /// often would only load its owner.
-    pub fn is_bare(&self, owner: MemberId) -> bool {
+    /// Whether ownership changed recently and the owner's view lacks a replica of one of its
+    /// shards: it may have been sent before the owner had probed its targets. Later the cause is a
+    /// lost target, and frequent refreshes would only load the owner.
+    pub fn is_incomplete(&self, owner: MemberId) -> bool {
         let tables = self.tables.lock().expect("no holder of the lock panics");
-        let mut moved = tables.values().filter(|cached| cached.moved_at.elapsed() < MOVING_TIME);
-        moved.any(|cached| cached.bare.contains(&owner))
+        let mut recent =
+            tables.values().filter(|cached| cached.changed_at.elapsed() < OWNERSHIP_SETTLE_TIME);
+        recent.any(|cached| cached.incomplete.contains(&owner))
     }
 
-    /// Owners of the service's shards that were never heard.
-    pub fn unheard(
+    /// Owners of the service's shards whose views have not been received.
+    pub fn owners_without_view(
         &self,
         service: ServiceKey,
         config: &ConfigInForce,
@@ -194,20 +192,20 @@
         views: &ViewTable,
     ) -> Vec<MemberId> {
         let table = self.table(service, config, fleet, views);
-        let bare = table
+        let incomplete = table
             .shards()
             .iter()
             .any(|shard| shard.options.iter().any(|option| option.versions.is_empty()));
-        if !bare {
+        if !incomplete {
             return Vec::new();
         }
-        let mut unheard = owners(&table, fleet, |_| true);
-        unheard.retain(|&owner| views.get(owner).is_none());
-        unheard
+        let mut owners_without_view = owners(&table, fleet, |_| true);
+        owners_without_view.retain(|&owner| views.get(owner).is_none());
+        owners_without_view
     }
 }
 
-/// Owners of those ways to search a shard.
+/// Owners of the replica options accepted by `is_counted`.
 fn owners(
     table: &ShardTable,
     fleet: &FleetView,
@@ -227,10 +225,12 @@
     config: &ConfigInForce,
     fleet: &FleetView,
     views: &ViewTable,
-    memory: &mut ShardMemory,
+    report_cache: &mut ReportCache,
 ) -> ShardTable {
     let shards = config.catalog.service(service).shards.iter();
-    ShardTable::new(shards.map(|&shard| record(shard, config, fleet, views, memory)).collect())
+    ShardTable::new(
+        shards.map(|&shard| record(shard, config, fleet, views, report_cache)).collect(),
+    )
 }
 
 fn record(
@@ -238,7 +238,7 @@
     config: &ConfigInForce,
     fleet: &FleetView,
     views: &ViewTable,
-    memory: &mut ShardMemory,
+    report_cache: &mut ReportCache,
 ) -> ShardRecord {
     let catalog = &config.catalog;
     let shard = catalog.shard(key);
@@ -255,11 +255,12 @@
         let bucket = catalog.group(group).bucket;
         let Some(owner) = fleet.owner_of(&catalog.zone(zone).name, bucket) else { continue };
         let Some(host) = fleet.hosts.get(&owner) else { continue };
-        let heard = views.get(host.id);
-        let told = heard.as_ref().and_then(|heard| heard.view.shard(&shard.name));
-        let view = memory.recall(&shard.name, &catalog.zone(zone).name, owner, told);
-        // A zone whose targets are all wanted off or on standby is no way to
-        // search the shard, unless its owner still uses one until others can.
+        let cached_view = views.get(host.id);
+        let report =
+            cached_view.as_ref().and_then(|cached_view| cached_view.view.shard(&shard.name));
+        let view = report_cache.resolve(&shard.name, &catalog.zone(zone).name, owner, report);
+        // A zone in which no target should serve is no option, unless its owner still uses one
+        // until others can take over.
         if view.is_none() && !serving.contains(&zone) {
             continue;
         }
--- a/crates/hawthorn-daemon/src/version/views.rs
+++ b/crates/hawthorn-daemon/src/version/views.rs
@@ -1,9 +1,8 @@
-//! What owners last said of their shards, as fronts plan from it.
+//! Last known views of the owners, used by fronts for planning.
 //!
-//! Views ride on batch answers when they changed, and any answer of an owner
-//! says that the view heard before still holds. Asked for is only the view of
-//! an owner that somebody here wanted of late and that is not heard anyway, so
-//! the cost follows the queries and not the size of the fleet.
+//! A batch answer carries the owner's view if it changed; any other answer confirms the last one.
+//! Views are fetched separately only for owners that are needed here and have not answered
+//! recently, so the cost depends on the queries and not on the size of the fleet.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,16 +14,16 @@
 
 use crate::connection::message::OwnerView;
 
-/// One owner's view and when it was last known to be current.
+/// An owner's view and the time at which it was last known to be current.
 #[derive(Clone, Debug)]
-pub struct HeardView {
+pub struct CachedView {
     /// The view.
     pub view: Arc<OwnerView>,
-    /// When it came.
+    /// When it was last received or confirmed.
     pub at: Instant,
 }
 
-/// Views of all owners heard from.
+/// Views of all owners that have sent one.
 #[derive(Debug, Default)]
 pub struct ViewTable {
     views: Mutex<ViewState>,
@@ -33,87 +32,86 @@
 #[derive(Debug, Default)]
 struct ViewState {
     generation: u64,
-    views: HashMap<MemberId, HeardView>,
-    wanted: HashMap<MemberId, Instant>,
-    silent: HashMap<MemberId, Instant>,
+    views: HashMap<MemberId, CachedView>,
+    needed: HashMap<MemberId, Instant>,
+    timed_out: HashMap<MemberId, Instant>,
 }
 
 impl ViewTable {
-    /// Takes in a view. One that is older than what is known, overtaken on its
-    /// way, is dropped unless the owner began anew.
-    pub fn hear(&self, owner: MemberId, view: OwnerView) {
+    /// Stores a received view and increases the generation if it differs from the last one.
+    pub fn update(&self, owner: MemberId, view: OwnerView) {
         let mut state = self.views.lock().expect("no holder of the lock panics");
         let at = Instant::now();
         match state.views.get_mut(&owner) {
-            Some(known) if *known.view == view => known.at = at,
+            Some(cached) if *cached.view == view => cached.at = at,
             _ => {
-                state.views.insert(owner, HeardView { view: Arc::new(view), at });
+                state.views.insert(owner, CachedView { view: Arc::new(view), at });
                 state.generation += 1;
             }
         }
     }
 
-    /// Notes that an owner answered and its view has not changed.
+    /// Records that an owner answered with its view unchanged.
     pub fn touch(&self, owner: MemberId) {
         let mut state = self.views.lock().expect("no holder of the lock panics");
-        if let Some(known) = state.views.get_mut(&owner) {
-            known.at = Instant::now();
+        if let Some(cached) = state.views.get_mut(&owner) {
+            cached.at = Instant::now();
         }
     }
 
-    /// Notes that an owner was asked and did not answer.
-    pub fn note_silent(&self, owner: MemberId) {
+    /// Records that an owner did not answer a request for its view.
+    pub fn record_timeout(&self, owner: MemberId) {
         let mut state = self.views.lock().expect("no holder of the lock panics");
-        state.silent.insert(owner, Instant::now());
+        state.timed_out.insert(owner, Instant::now());
     }
 
-    /// Whether an owner did not answer within `age`.
-    pub fn was_silent(&self, owner: MemberId, age: Duration) -> bool {
+    /// Whether an owner failed to answer within the last `age`.
+    pub fn timed_out_within(&self, owner: MemberId, age: Duration) -> bool {
         let state = self.views.lock().expect("no holder of the lock panics");
-        state.silent.get(&owner).is_some_and(|at| at.elapsed() < age)
+        state.timed_out.get(&owner).is_some_and(|at| at.elapsed() < age)
     }
 
-    /// Notes that these owners' views are needed here; forgotten after a while.
-    pub fn want(&self, owners: impl IntoIterator<Item = MemberId>) {
+    /// Marks the views of these owners as needed, for a limited time.
+    pub fn mark_needed(&self, owners: impl IntoIterator<Item = MemberId>) {
         let mut state = self.views.lock().expect("no holder of the lock panics");
         let now = Instant::now();
-        state.wanted.extend(owners.into_iter().map(|owner| (owner, now)));
+        state.needed.extend(owners.into_iter().map(|owner| (owner, now)));
     }
 
-    /// Whether the view of an owner was wanted within `age`.
-    pub fn is_wanted(&self, owner: MemberId, age: Duration) -> bool {
+    /// Whether the view of an owner was marked as needed within the last `age`.
+    pub fn is_needed(&self, owner: MemberId, age: Duration) -> bool {
         let state = self.views.lock().expect("no holder of the lock panics");
-        state.wanted.get(&owner).is_some_and(|at| at.elapsed() < age)
+        state.needed.get(&owner).is_some_and(|at| at.elapsed() < age)
     }
 
-    /// Forgets all owners but those: their processes were replaced or are gone.
-    pub fn keep(&self, is_kept: impl Fn(MemberId) -> bool) {
+    /// Removes all owners that `is_kept` rejects: their processes were replaced or are gone.
+    pub fn retain(&self, is_kept: impl Fn(MemberId) -> bool) {
         let mut state = self.views.lock().expect("no holder of the lock panics");
-        let before = state.views.len();
+        let previous_len = state.views.len();
         state.views.retain(|&id, _| is_kept(id));
-        state.wanted.retain(|&id, _| is_kept(id));
-        state.silent.retain(|&id, _| is_kept(id));
-        if state.views.len() != before {
+        state.needed.retain(|&id, _| is_kept(id));
+        state.timed_out.retain(|&id, _| is_kept(id));
+        if state.views.len() != previous_len {
             state.generation += 1;
         }
     }
 
-    /// The owner's view, if one was heard.
-    pub fn get(&self, owner: MemberId) -> Option<HeardView> {
+    /// Returns the owner's view, if one was received.
+    pub fn get(&self, owner: MemberId) -> Option<CachedView> {
         self.views.lock().expect("no holder of the lock panics").views.get(&owner).cloned()
     }
 
-    /// The generation of the owner's view, 0 when none was heard.
+    /// Generation of the owner's view; 0 if none was received.
     pub fn generation_of(&self, owner: MemberId) -> u64 {
-        self.get(owner).map_or(0, |heard| heard.view.generation)
+        self.get(owner).map_or(0, |cached| cached.view.generation)
     }
 
-    /// Whether nothing was heard of the owner for `age`.
+    /// Whether the owner's view has not been confirmed within the last `age`.
     pub fn is_stale(&self, owner: MemberId, age: Duration) -> bool {
-        self.get(owner).is_none_or(|heard| heard.at.elapsed() >= age)
+        self.get(owner).is_none_or(|cached| cached.at.elapsed() >= age)
     }
 
-    /// Grows with each change of any view.
+    /// Increases with each change of any view.
     pub fn generation(&self) -> u64 {
         self.views.lock().expect("no holder of the lock panics").generation
     }
--- a/crates/hawthorn-daemon/tests/config.rs
+++ b/crates/hawthorn-daemon/tests/config.rs
@@ -1,4 +1,4 @@
-//! Reading a configuration as it comes from the store or a peer.
+//! Parsing of configuration documents.
 
 use std::error::Error;
 
@@ -34,11 +34,11 @@
     is_accepted: bool,
 }
 
-/// Half the fleet stays at an old revision for as long as it runs: operators
-/// used a key that only the newer daemons know, and the older ones refused the
-/// document. What an edit may not say, such as a bare shard, stays refused.
+/// Failure: an edit uses a key that only newer daemons know; older ones reject the document and
+/// stay at the old revision. Unknown keys are ignored, but real faults, such as a shard without a
+/// serving target, are still rejected.
 #[test]
-fn unknown_keys_are_passed_over_and_faults_are_not() -> TestResult {
+fn unknown_keys_are_ignored_and_faults_rejected() -> TestResult {
     let case = |name, inventory: &str, rules, is_accepted| DocumentCase {
         name,
         inventory: inventory.to_owned(),
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn the_parts_that_explanations_need_are_kept() -> TestResult {
+fn parsed_config_keeps_inventory_and_rules() -> TestResult {
     let rules = "[[caller]]\nname = \"bunker-desk\"\n";
     let document = json!({
         "revision": 3, "edit_id": "e", "author": "test", "changed_at": 0,
--- a/crates/hawthorn-daemon/tests/events.rs
+++ b/crates/hawthorn-daemon/tests/events.rs
@@ -1,4 +1,4 @@
-//! The catalogue that operators read names every event that the code has.
+//! Compares the operators' event catalogue with the events in the code.
 
 use std::error::Error;
 
@@ -6,7 +6,7 @@
 use strum::IntoEnumIterator;
 
 #[test]
-fn the_catalogue_lists_every_event_once() -> Result<(), Box<dyn Error>> {
+fn catalogue_lists_every_event_once() -> Result<(), Box<dyn Error>> {
     let page = include_str!("../../../docs/operators/events.md");
     for event in LogEvent::iter() {
         let row = format!("| E{:03} | {} |", event.number(), event.name());
--- a/crates/hawthorn-daemon/tests/intent.rs
+++ b/crates/hawthorn-daemon/tests/intent.rs
@@ -1,15 +1,15 @@
-//! Rounds of the reconciler in one process, on a clock of the test's own.
+//! Reconciler rounds in one process with a simulated clock.
 
 use std::error::Error;
 use std::fmt::Write;
 use std::sync::Arc;
 use std::time::Duration;
 
-use hawthorn_daemon::owner::seen::SeenRecord;
-use hawthorn_daemon::owner::seen::SeenReport;
-use hawthorn_daemon::process::intent::IntentKeeper;
-use hawthorn_daemon::process::intent::RoundEnd;
+use hawthorn_daemon::owner::snapshot::OwnerSnapshot;
+use hawthorn_daemon::owner::snapshot::TargetSnapshot;
+use hawthorn_daemon::process::intent::Reconciler;
 use hawthorn_daemon::process::intent::RoundInputs;
+use hawthorn_daemon::process::intent::RoundOutcome;
 use hawthorn_daemon::version::config;
 use hawthorn_daemon::version::config::ConfigInForce;
 use hawthorn_daemon::version::owned::OwnedGroups;
@@ -21,12 +21,12 @@
 
 type TestResult<T = ()> = Result<T, Box<dyn Error>>;
 
-/// More than any bucket of a small fleet's groups.
+/// Upper bound of the buckets of a small fleet's groups.
 const BUCKETS: u16 = 64;
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// `a` is owned here, `b` holds the same shard in another zone.
+/// `a` is owned by this host; `b` holds the same shard in another zone.
 fn fleet(revision: u64, wanted_of_a: &str) -> TestResult<Arc<ConfigInForce>> {
     let mut inventory = String::from(
         "[[service]]\nname = \"desk\"\nshards = 1\nslots = 2\nconnections = 25\n\
@@ -51,78 +51,78 @@
     Ok(config::parse(&document.to_string())?)
 }
 
-/// One host's keeper, and what it sees.
-struct TestKeeper {
-    keeper: IntentKeeper,
+/// A reconciler of one host and its inputs.
+struct TestReconciler {
+    reconciler: Reconciler,
     owned: OwnedGroups,
     phase: Option<TargetPhase>,
-    ready_there: u32,
+    ready_elsewhere: u32,
 }
 
-impl TestKeeper {
+impl TestReconciler {
     fn new() -> Self {
         let shares = (0..BUCKETS).map(|bucket| (bucket, SlotShare::Full));
         Self {
-            keeper: IntentKeeper::default(),
+            reconciler: Reconciler::default(),
             owned: OwnedGroups::new("here", shares),
             phase: Some(TargetPhase::Ready),
-            ready_there: 1,
+            ready_elsewhere: 1,
         }
     }
 
-    fn round(&mut self, config: &ConfigInForce, second: u32) -> RoundEnd {
-        let record = SeenRecord { target: "a".into(), phase: self.phase, in_flight: 0 };
-        let gone = SeenRecord { target: "unknown".into(), phase: None, in_flight: 0 };
-        let ready = self.ready_there;
-        self.keeper.round(&RoundInputs {
+    fn round(&mut self, config: &ConfigInForce, second: u32) -> RoundOutcome {
+        let record = TargetSnapshot { target: "a".into(), phase: self.phase, in_flight: 0 };
+        let unknown = TargetSnapshot { target: "unknown".into(), phase: None, in_flight: 0 };
+        let ready = self.ready_elsewhere;
+        self.reconciler.round(&RoundInputs {
             catalog: &config.catalog,
             owned: &self.owned,
-            seen: &SeenReport { targets: vec![record, gone] },
-            elsewhere: &|_, _| ready,
+            observed: &OwnerSnapshot { targets: vec![record, unknown] },
+            ready_elsewhere: &|_, _| ready,
             now: SECOND * second,
         })
     }
 }
 
-/// The other zone is cut off, or its replica is still loading, while a rule
-/// wants this one off. Whoever believes the inventory alone switches the last
-/// target of the shard off, and every answer has a hole.
+/// Failure: the other zone is partitioned, or its replica is still loading, while a rule switches
+/// this target off. A reconciler that trusts the inventory alone switches off the last target of
+/// the shard, and every answer is incomplete.
 #[test]
-fn a_target_is_held_until_another_zones_owner_has_one_ready() -> TestResult {
+fn target_is_held_until_another_zone_has_one_ready() -> TestResult {
     let config = fleet(2, "off")?;
-    let mut test = TestKeeper { ready_there: 0, ..TestKeeper::new() };
+    let mut test = TestReconciler { ready_elsewhere: 0, ..TestReconciler::new() };
     for second in 0..100 {
-        let end = test.round(&config, second);
-        assert!(end.round.held.contains("a") && end.round.orders.is_empty(), "{end:?}");
-        assert_eq!(end.drift[0].cause, DriftCause::HeldForShard);
-        let shard = end.drift[0].held_for.as_ref().map(|shard| shard.0.as_str());
+        let outcome = test.round(&config, second);
+        assert!(outcome.round.held.contains("a") && outcome.round.orders.is_empty(), "{outcome:?}");
+        assert_eq!(outcome.drift[0].cause, DriftCause::HeldForShard);
+        let shard = outcome.drift[0].held_for.as_ref().map(|shard| shard.0.as_str());
         assert_eq!(shard, Some("desk/00"));
     }
-    test.ready_there = 1;
-    let end = test.round(&config, 100);
-    assert!(end.round.held.is_empty());
-    assert_eq!(end.round.revision.0, 2);
-    assert_eq!(end.round.orders[0].tell, DesiredState::Drain);
+    test.ready_elsewhere = 1;
+    let outcome = test.round(&config, 100);
+    assert!(outcome.round.held.is_empty());
+    assert_eq!(outcome.round.revision.0, 2);
+    assert_eq!(outcome.round.orders[0].state, DesiredState::Drain);
     Ok(())
 }
 
-/// A page of the same line every second hides the one that matters.
+/// Failure: the same drift logged every second hides other messages.
 #[test]
-fn drift_is_news_once_for_each_cause() -> TestResult {
+fn drift_is_reported_once_per_cause() -> TestResult {
     let config = fleet(2, "standby")?;
-    let mut test = TestKeeper::new();
-    let mut news = Vec::new();
+    let mut test = TestReconciler::new();
+    let mut new_drift = Vec::new();
     for second in 0..60 {
-        let end = test.round(&config, second);
-        news.extend(end.news.into_iter().map(|entry| entry.cause));
+        let outcome = test.round(&config, second);
+        new_drift.extend(outcome.new_drift.into_iter().map(|entry| entry.cause));
     }
-    assert_eq!(news, [DriftCause::Settling, DriftCause::Told, DriftCause::Waiting]);
+    assert_eq!(new_drift, [DriftCause::Settling, DriftCause::Told, DriftCause::Waiting]);
     test.phase = Some(TargetPhase::Standby);
-    let end = test.round(&config, 60);
-    assert!(end.drift.is_empty() && end.news.is_empty(), "{end:?}");
+    let outcome = test.round(&config, 60);
+    assert!(outcome.drift.is_empty() && outcome.new_drift.is_empty(), "{outcome:?}");
     test.phase = None;
-    let end = test.round(&config, 61);
-    assert_eq!(end.news.len(), 1, "drift anew is news again");
+    let outcome = test.round(&config, 61);
+    assert_eq!(outcome.new_drift.len(), 1, "a new drift is reported again");
     Ok(())
 }
 
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn only_owned_targets_are_told_anything() -> TestResult {
+fn only_owned_targets_get_orders() -> TestResult {
     let config = fleet(2, "standby")?;
     let cases = [
         OwnershipCase { name: "owner", zone: "here", orders: 1 },
@@ -142,9 +142,9 @@
     for case in cases {
         let shares = (0..BUCKETS).map(|bucket| (bucket, SlotShare::Full));
         let owned = OwnedGroups::new(case.zone, shares);
-        let mut test = TestKeeper { owned, ..TestKeeper::new() };
-        let ends = (0..8).map(|second| test.round(&config, second));
-        let orders: usize = ends.map(|end| end.round.orders.len()).sum();
+        let mut test = TestReconciler { owned, ..TestReconciler::new() };
+        let outcomes = (0..8).map(|second| test.round(&config, second));
+        let orders: usize = outcomes.map(|outcome| outcome.round.orders.len()).sum();
         assert_eq!(orders, case.orders, "{}", case.name);
     }
     Ok(())
--- a/crates/hawthorn-daemon/tests/usage.rs
+++ b/crates/hawthorn-daemon/tests/usage.rs
@@ -1,6 +1,6 @@
-//! How an owner uses a target on its way in or out.
+//! How an owner uses a target whose desired state changes.
 
-use hawthorn_daemon::owner::usage::HoldVerdict;
+use hawthorn_daemon::owner::usage::HoldDecision;
 use hawthorn_daemon::owner::usage::UsageInputs;
 use hawthorn_daemon::owner::usage::usage;
 use hawthorn_types::DesiredState;
@@ -13,38 +13,46 @@
 }
 
 #[test]
-fn a_target_gets_work_only_when_it_can_and_may() {
+fn target_serves_only_when_ready_and_allowed() {
     use DesiredState::Off;
     use DesiredState::Serve;
     use DesiredState::Standby;
-    use HoldVerdict::Held;
-    use HoldVerdict::NotJudged;
-    use HoldVerdict::Released;
+    use HoldDecision::Held;
+    use HoldDecision::Pending;
+    use HoldDecision::Released;
     let ready = Some(TargetPhase::Ready);
-    let inputs = |wanted, before, phase, verdict, is_due| UsageInputs {
+    let inputs = |wanted, previous, phase, hold_decision, cold_start_elapsed| UsageInputs {
         wanted,
-        before,
+        previous,
         phase,
-        verdict,
-        is_due,
+        hold_decision,
+        cold_start_elapsed,
     };
     let case = |name, inputs, used| UsageCase { name, inputs, used };
     let cases = [
-        case("serves on", inputs(Serve, Some(Serve), None, Released, false), Serve),
-        case("new to this owner", inputs(Serve, None, None, NotJudged, false), Serve),
-        case("back, not told yet", inputs(Serve, Some(Off), None, Released, false), Standby),
+        case("keeps serving", inputs(Serve, Some(Serve), None, Released, false), Serve),
+        case("new to this owner", inputs(Serve, None, None, Pending, false), Serve),
         case(
-            "back, loading",
+            "wanted again, no order yet",
+            inputs(Serve, Some(Off), None, Released, false),
+            Standby,
+        ),
+        case(
+            "wanted again, loading",
             inputs(Serve, Some(Standby), Some(TargetPhase::Cold), Released, false),
             Standby,
         ),
-        case("back, warm", inputs(Serve, Some(Standby), ready, Released, false), Serve),
-        case("back, its report lies", inputs(Serve, Some(Standby), None, Released, true), Serve),
-        case("a new rule", inputs(Off, Some(Serve), ready, NotJudged, false), Serve),
+        case("wanted again, warm", inputs(Serve, Some(Standby), ready, Released, false), Serve),
+        case(
+            "wanted again, never reported ready",
+            inputs(Serve, Some(Standby), None, Released, true),
+            Serve,
+        ),
+        case("rule changed, no round yet", inputs(Off, Some(Serve), ready, Pending, false), Serve),
         case("held", inputs(Off, Some(Serve), ready, Held, false), Serve),
-        case("held, known to be so late", inputs(Off, Some(Off), ready, Held, false), Serve),
+        case("held after it was off", inputs(Off, Some(Off), ready, Held, false), Serve),
         case("released", inputs(Off, Some(Serve), ready, Released, false), Off),
-        case("off, new to this owner", inputs(Off, None, ready, NotJudged, false), Off),
+        case("off, new to this owner", inputs(Off, None, ready, Pending, false), Off),
         case("on standby", inputs(Standby, Some(Standby), ready, Released, true), Standby),
     ];
     for case in cases {
