--- a/crates/hawthorn-edge/src/request/gather.rs
+++ b/crates/hawthorn-edge/src/request/gather.rs
@@ -1,4 +1,4 @@
-//! A query over many shards: one race a shard, merged.
+//! Scatter-gather queries: one race for each shard, with merged results.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,192 +23,195 @@
 use crate::process::host::RouteHost;
 use crate::process::quarantine::Admission;
 use crate::request::answer::CallerAnswer;
+use crate::request::context::RequestContext;
 use crate::request::delegate;
-use crate::request::order::RequestOrder;
 use crate::request::parts::GatherPlan;
 use crate::request::parts::GatherRun;
 use crate::request::remainder;
 use crate::request::remainder::HeldRemainder;
-use crate::request::remainder::RemainderOrder;
+use crate::request::remainder::RemainderRequest;
 
-/// How a peer's query ended here.
+/// How the gathering for a peer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PeerEnd {
-    /// The peer has its reply.
+    /// The reply was sent.
     Replied,
-    /// It no longer waits.
+    /// The peer no longer waits.
     Left,
 }
 
-/// The part of a peer's query that is gathered here.
+/// The part of a peer's query that this host gathers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PeerPart<'a> {
-    /// By their place in the route's list.
+    /// Indices into the route's list of shards.
     pub(crate) shards: &'a [u16],
-    /// Shards that the whole answer may do without.
-    pub(crate) spare: usize,
-    /// And how many of these may be left out if they cannot come in time.
-    pub(crate) skip: usize,
-    /// When the parts lose worth to the caller.
-    pub(crate) aim_at: Duration,
+    /// Number of shards that may be missing from the complete answer.
+    pub(crate) max_missing: usize,
+    /// Maximum number of `shards` that may be skipped if their parts cannot arrive in time.
+    pub(crate) max_skipped: usize,
+    /// When the target latency passes.
+    pub(crate) soft_deadline: Duration,
 }
 
-/// Gathers one part from each shard and answers with their greatest records.
+/// Gathers one part from each shard and answers with the top records.
 pub(crate) async fn gather(
     host: &Rc<RouteHost>,
-    order: &Rc<RequestOrder>,
+    context: &Rc<RequestContext>,
     rule: &GatherRule,
     version: u64,
     admission: Admission,
 ) -> CallerAnswer {
-    let aim_at = order.leaves;
-    let (shards, least_share) = (rule.shards.len(), rule.min_share);
-    let plan = GatherPlan { version, aim_at, shards, least_share };
-    let mut run = GatherRun::new(host, order, rule, plan);
-    let spread = host.beliefs.spread(rule, &order.route, host_now());
-    if !spread.can_answer(rule) {
+    let soft_deadline = context.send_by;
+    let (shards, min_share) = (rule.shards.len(), rule.min_share);
+    let plan = GatherPlan { version, soft_deadline, shards, min_share };
+    let mut run = GatherRun::new(host, context, rule, plan);
+    let scatter_plan = host.routing.scatter_plan(rule, &context.route, host_now());
+    if !scatter_plan.can_answer(rule) {
         return CallerAnswer::refused(RefusalReason::NoTarget);
     }
     let mut tried = None;
     if matches!(admission, Admission::Trial { .. }) {
-        tried = run.trial(&spread).await;
+        tried = run.trial(&scatter_plan).await;
         if tried.is_none() {
-            run.note_end();
-            return failed(order, run.refusal);
+            run.record_load();
+            return failed(context, run.refusal);
         }
     }
     // A target has answered, so that waiting requests of the same subject may proceed.
     drop(admission);
-    run.begin(&spread, tried);
-    let policy = host.beliefs.policy.get();
-    let goes_on = policy.gathering.beyond_aim;
+    run.begin(&scatter_plan, tried);
+    let policy = host.routing.policy.get();
+    let beyond_target = policy.gathering.beyond_aim;
     let mut due = None;
     loop {
         let now = host_now();
-        if order.time_left(now).is_zero() {
+        if context.time_left(now).is_zero() {
             break;
         }
-        let aim_left = aim_at.saturating_sub(now);
-        match run.state.step(aim_left, &policy.gathering) {
+        let soft_time_left = soft_deadline.saturating_sub(now);
+        match run.state.step(soft_time_left, &policy.gathering) {
             GatherStep::Answer => break,
-            GatherStep::Fail if run.recall() => continue,
-            GatherStep::Fail if goes_on && run.ask_remainders() => continue,
-            GatherStep::Wait if goes_on && aim_left.is_zero() => {
-                run.ask_remainders();
+            GatherStep::Fail if run.race_skipped() => continue,
+            GatherStep::Fail if beyond_target && run.request_remainders() => continue,
+            GatherStep::Wait if beyond_target && soft_time_left.is_zero() => {
+                run.request_remainders();
             }
             GatherStep::Wait => {}
             GatherStep::Fail => {
-                run.note_end();
-                return failed(order, run.refusal);
+                run.record_load();
+                return failed(context, run.refusal);
             }
         }
-        let wait = if aim_left.is_zero() { order.time_left(now) } else { aim_left };
+        let wait = if soft_time_left.is_zero() { context.time_left(now) } else { soft_time_left };
         due = None;
         tokio::select! {
             biased;
-            Some(event) = run.events.next() => run.take(event),
+            Some(event) = run.events.next() => run.handle(event),
             () = sleep(wait) => due = Some(now + wait),
         }
     }
-    run.note_end();
+    run.record_load();
     if !run.state.is_sufficient() {
-        return out_of_time(order);
+        return out_of_time(context);
     }
     let mut answer = answer(host, run.records, &run.receipts, run.state);
     answer.due = due;
     answer
 }
 
-/// Gathers some shards of a peer's query: until its aim, and beyond it as long as
-/// more are missing than the peer's answer may do without.
+/// Gathers some shards of a peer's query until the target latency passes, and longer if more
+/// parts are missing than the peer's answer may lack.
 ///
-/// Load: queues stand at many shards, and hardly any part comes by the aim. What
-/// is given up then is asked for again by the caller, and the queues grow by as
-/// much; what is waited for is late, but served.
+/// Handles overload of many shards, when few parts arrive within the target latency. Queries
+/// given up then would be repeated by callers and lengthen the queues; waiting serves them late
+/// instead.
 pub(crate) async fn part_of(
     host: &Rc<RouteHost>,
-    order: &Rc<RequestOrder>,
+    context: &Rc<RequestContext>,
     rule: &GatherRule,
     part: &PeerPart<'_>,
     mut reply: oneshot::Sender<GatherReply>,
 ) -> PeerEnd {
-    let PeerPart { shards, spare, skip, aim_at } = *part;
+    let PeerPart { shards, max_missing, max_skipped, soft_deadline } = *part;
     let wanted = shards.len();
-    let needed = wanted.saturating_sub(spare);
-    let least_share = needed as f64 / wanted.max(1) as f64;
-    // A peer's query is gathered here whole, and never handed on.
-    let plan = GatherPlan { version: 0, aim_at, shards: wanted, least_share };
-    let mut run = GatherRun::new(host, order, rule, plan);
-    run.race_most(shards, skip, |_| None);
-    let policy = host.beliefs.policy.get();
+    let needed = wanted.saturating_sub(max_missing);
+    let min_share = needed as f64 / wanted.max(1) as f64;
+    // Shards of a peer's query are never delegated again.
+    let plan = GatherPlan { version: 0, soft_deadline, shards: wanted, min_share };
+    let mut run = GatherRun::new(host, context, rule, plan);
+    run.race_with_skips(shards, max_skipped, |_| None);
+    let policy = host.routing.policy.get();
     loop {
         let now = host_now();
-        let aim_left = aim_at.saturating_sub(now);
-        let left = order.time_left(now).saturating_sub(delegate::REPLY_MARGIN);
+        let soft_time_left = soft_deadline.saturating_sub(now);
+        let left = context.time_left(now).saturating_sub(delegate::REPLY_MARGIN);
         let due = needed == 0 || !policy.gathering.beyond_aim;
-        let dispensable = due && aim_left.is_zero();
-        let step = run.state.step(aim_left, &policy.gathering);
-        if step == GatherStep::Fail && run.recall() {
+        let dispensable = due && soft_time_left.is_zero();
+        let step = run.state.step(soft_time_left, &policy.gathering);
+        if step == GatherStep::Fail && run.race_skipped() {
             continue;
         }
         if step != GatherStep::Wait || dispensable || left.is_zero() {
             break;
         }
-        let wait = if aim_left.is_zero() { left } else { aim_left.min(left) };
+        let wait = if soft_time_left.is_zero() { left } else { soft_time_left.min(left) };
         tokio::select! {
             biased;
             () = reply.closed() => return PeerEnd::Left,
-            Some(event) = run.events.next() => run.take(event),
+            Some(event) = run.events.next() => run.handle(event),
             () = sleep(wait) => {}
         }
     }
     let missing = run.state.shards - run.state.parts;
-    let holds = policy.gathering.beyond_aim && run.awaited() > 0;
-    let mut held = holds.then(|| host.remainders.hold());
+    let holds_remainder = policy.gathering.beyond_aim && run.awaited() > 0;
+    let mut held = holds_remainder.then(|| host.remainders.hold());
     let promised = run.awaited();
     let parts = u16::try_from(promised).unwrap_or(u16::MAX);
     let remainder = held.as_ref().map(|held| Remainder { token: held.token, parts });
-    run.note_end();
+    run.record_load();
     if reply.send(run.reply(missing, remainder)).is_err() {
         return PeerEnd::Left;
     }
     let Some(held) = &mut held else { return PeerEnd::Replied };
-    match asked(&mut run, held).await {
-        Some(asked) => reply_remainder(order, run, promised, asked).await,
+    match wait_for_request(&mut run, held).await {
+        Some(requested) => reply_remainder(context, run, promised, requested).await,
         None => PeerEnd::Replied,
     }
 }
 
-/// Waits until the front asks for the remainder; `None` when it did not.
-async fn asked(run: &mut GatherRun<'_>, held: &mut HeldRemainder) -> Option<RemainderOrder> {
-    let mut over = std::pin::pin!(sleep(remainder::HOLD_TIME));
+/// Waits until the peer asks for the remainder; `None` if it does not.
+async fn wait_for_request(
+    run: &mut GatherRun<'_>,
+    held: &mut HeldRemainder,
+) -> Option<RemainderRequest> {
+    let mut hold_timeout = std::pin::pin!(sleep(remainder::HOLD_TIME));
     loop {
         tokio::select! {
             biased;
-            asked = &mut held.asked => return asked.ok(),
-            Some(event) = run.events.next() => run.take(event),
-            () = over.as_mut() => return None,
+            requested = &mut held.requested => return requested.ok(),
+            Some(event) = run.events.next() => run.handle(event),
+            () = hold_timeout.as_mut() => return None,
         }
     }
 }
 
-/// Replies once as many more parts are in as the front needs, or no more can come.
+/// Replies when as many more parts have arrived as the peer needs, or no more can arrive.
 async fn reply_remainder(
-    order: &RequestOrder,
+    context: &RequestContext,
     mut run: GatherRun<'_>,
     promised: usize,
-    asked: RemainderOrder,
+    requested: RemainderRequest,
 ) -> PeerEnd {
-    let RemainderOrder { needed, mut reply } = asked;
+    let RemainderRequest { needed, mut reply } = requested;
     while run.receipts.len() < needed && run.awaited() > 0 {
-        let left = order.time_left(host_now()).saturating_sub(delegate::REPLY_MARGIN);
+        let left = context.time_left(host_now()).saturating_sub(delegate::REPLY_MARGIN);
         if left.is_zero() {
             break;
         }
         tokio::select! {
             biased;
             () = reply.closed() => return PeerEnd::Left,
-            Some(event) = run.events.next() => run.take(event),
+            Some(event) = run.events.next() => run.handle(event),
             () = sleep(left) => {}
         }
     }
@@ -234,16 +237,16 @@
     CallerAnswer::merged(response, state.parts, state.shards)
 }
 
-/// Too few parts can come. Nothing may have run only if no attempt is out.
-fn failed(order: &RequestOrder, refusal: Option<RefusalReason>) -> CallerAnswer {
+/// The answer if too few parts can arrive: a refusal only if no attempt may have run.
+fn failed(context: &RequestContext, refusal: Option<RefusalReason>) -> CallerAnswer {
     match refusal {
-        Some(reason) if order.sent.get() == 0 => CallerAnswer::refused(reason),
+        Some(reason) if context.sent.get() == 0 => CallerAnswer::refused(reason),
         _ => CallerAnswer::not_known(),
     }
 }
 
-fn out_of_time(order: &RequestOrder) -> CallerAnswer {
-    if order.sent.get() == 0 {
+fn out_of_time(context: &RequestContext) -> CallerAnswer {
+    if context.sent.get() == 0 {
         CallerAnswer::refused(RefusalReason::TooLate)
     } else {
         CallerAnswer::out_of_time()
--- a/crates/hawthorn-edge/src/request/passing.rs
+++ b/crates/hawthorn-edge/src/request/passing.rs
@@ -1,4 +1,4 @@
-//! An answer that is too long to be held, on its way to the caller.
+//! Streaming of an answer that is too long to hold in memory.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -19,37 +19,36 @@
 use crate::edge_event;
 use crate::process::clock::host_now;
 use crate::process::events::EdgeEvent;
-use crate::request::order::RequestOrder;
+use crate::request::context::RequestContext;
 
-/// A body whose beginning is here and whose rest is passed on as it comes.
+/// A body whose beginning is buffered and whose remainder is streamed.
 ///
-/// Failure: the target breaks off, falls silent or the caller's time ends when
-/// a part of the answer is on its way already. What was announced is never made
-/// up: the connection to the caller ends before the answer does, and the answer
-/// does not look whole. A caller that leaves drops it, which ends the work at
-/// the target.
+/// Failure: the target disconnects or stops sending, or the deadline passes, after a part of
+/// the answer has been sent. The connection to the caller is then closed before the announced
+/// length is reached, so that the caller does not mistake the answer for a complete one. If the
+/// caller disconnects, the body is dropped, which cancels the work at the target.
 #[derive(Debug)]
 pub(crate) struct PassedBody {
     held: Option<Bytes>,
     rest: AnswerRest,
-    order: Rc<RequestOrder>,
-    over: Pin<Box<Sleep>>,
+    context: Rc<RequestContext>,
+    deadline_timer: Pin<Box<Sleep>>,
 }
 
 impl PassedBody {
-    pub(crate) fn new(held: Bytes, rest: AnswerRest, order: Rc<RequestOrder>) -> Self {
-        let left = order.time_left(host_now());
+    pub(crate) fn new(held: Bytes, rest: AnswerRest, context: Rc<RequestContext>) -> Self {
+        let left = context.time_left(host_now());
         let held = Some(held).filter(|held| !held.is_empty());
-        Self { held, rest, order, over: Box::pin(sleep(left)) }
+        Self { held, rest, context, deadline_timer: Box::pin(sleep(left)) }
     }
 
     fn end(&self, error: Error) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
-        let id = self.order.attempt_id.as_deref().unwrap_or("-");
+        let id = self.context.attempt_id.as_deref().unwrap_or("-");
         edge_event!(
             Level::Warn,
             EdgeEvent::AnswerCut,
             "request={id} route={} error=\"{error}\"",
-            self.order.route.name
+            self.context.route.name
         );
         Poll::Ready(Some(Err(error)))
     }
@@ -70,9 +69,9 @@
             Poll::Ready(Some(Err(error))) => self.end(error),
             Poll::Ready(frame) => Poll::Ready(frame),
             Poll::Pending => {
-                // The timer stands still while the host is suspended; the clock does not.
-                let waiting = self.over.as_mut().poll(context).is_pending();
-                if waiting && self.order.time_left(host_now()) > Duration::ZERO {
+                // The timer stops while the host is suspended, but the clock does not.
+                let waiting = self.deadline_timer.as_mut().poll(context).is_pending();
+                if waiting && self.context.time_left(host_now()) > Duration::ZERO {
                     return Poll::Pending;
                 }
                 self.end(Error::TimedOut)
--- a/crates/hawthorn-edge/src/request/race.rs
+++ b/crates/hawthorn-edge/src/request/race.rs
@@ -1,4 +1,4 @@
-//! All attempts at one service for one request: the first good answer wins.
+//! All attempts at one service for one request. The first successful answer wins.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,34 +22,34 @@
 use crate::request::attempt::AttemptPlan;
 use crate::request::attempt::AttemptReply;
 use crate::request::attempt::TargetAnswer;
-use crate::request::order::CANCELLATION_TURNS;
-use crate::request::order::RequestOrder;
+use crate::request::context::CANCELLATION_YIELDS;
+use crate::request::context::RequestContext;
 
-/// The interval at which an attempt that waits for others of its request is rechecked.
+/// Interval at which an attempt that waits for others of its request is rechecked.
 const HELD_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Waits until an attempt is late.
 ///
-/// Failure: a starved host makes its first attempts, then finds them all late,
-/// and makes second ones for a query that its front has given to another
-/// meanwhile. The sockets are read first, where the cancellation lies.
-async fn lateness(late: Duration) {
+/// Failure: a stalled host sends its first attempts, then finds all of them late and sends
+/// hedges for a query that its sender has since delegated to another host. The sockets are read
+/// first, as they hold the cancellation.
+async fn wait_until_late(late: Duration) {
     sleep(late).await;
-    for _ in 0..CANCELLATION_TURNS {
+    for _ in 0..CANCELLATION_YIELDS {
         yield_now().await;
     }
 }
 
-/// What the attempts at one service came to.
+/// The result of the attempts at one service.
 #[derive(Debug)]
 pub(crate) enum RaceEnd {
     /// A target answered with success.
     Answered(TargetAnswer),
-    /// A target ran the request and answered with a failure, which is passed on.
+    /// A target ran the request and answered with an error, which is forwarded.
     Failed(TargetAnswer),
-    /// No target ran it, and none will.
+    /// No target has run the request or will run it.
     NotRun(RefusalReason),
-    /// It may have run, and there is no answer.
+    /// The request may have run, and there is no answer.
     Unknown,
 }
 
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptReason {
     First,
-    /// The one before reached nobody: costs targets nothing.
+    /// The previous attempt was not sent, so this one is not extra load for targets.
     Unsent,
     Retry,
     Late,
@@ -66,11 +66,11 @@
 /// Whether an attempt was made, or why not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
-enum LaunchEnd {
+enum LaunchResult {
     #[strum(serialize = "second-attempt")]
     Made,
-    /// No other target had room.
-    Crowded,
+    /// No other target had capacity.
+    NoCapacity,
     /// There is no other target.
     NoTarget,
     BudgetSpent,
@@ -85,20 +85,20 @@
 /// The attempts at one service.
 pub(crate) struct AttemptRace<'a> {
     host: &'a Rc<RouteHost>,
-    order: &'a Rc<RequestOrder>,
+    context: &'a Rc<RequestContext>,
     service: &'a str,
-    /// Where the first attempt goes, if that is known already.
-    best: Option<TargetKey>,
+    /// The target of the first attempt, if already selected.
+    first_target: Option<TargetKey>,
     tried: TargetKeys,
-    /// Targets that may have run it, or may yet.
-    ran: usize,
-    flying: FuturesUnordered<oneshot::Receiver<AttemptReply>>,
+    /// Number of attempts that may have run or may still run.
+    attempts: usize,
+    in_flight: FuturesUnordered<oneshot::Receiver<AttemptReply>>,
     failure: Option<TargetAnswer>,
     refusal: RefusalReason,
     unknown: bool,
-    hedging: bool,
-    /// An attempt is late, and no other target had room for a second.
-    crowded: bool,
+    hedge_allowed: bool,
+    /// An attempt is late, and no other target had capacity for a hedge.
+    no_capacity: bool,
     /// The reason for an attempt that waits until others of the request have ended.
     held: Option<AttemptReason>,
 }
@@ -106,192 +106,198 @@
 impl<'a> AttemptRace<'a> {
     pub(crate) fn new(
         host: &'a Rc<RouteHost>,
-        order: &'a Rc<RequestOrder>,
+        context: &'a Rc<RequestContext>,
         service: &'a str,
     ) -> Self {
         Self {
             host,
-            order,
+            context,
             service,
-            best: None,
+            first_target: None,
             tried: TargetKeys::new(),
-            ran: order.spent,
-            flying: FuturesUnordered::new(),
+            attempts: context.prior_attempts,
+            in_flight: FuturesUnordered::new(),
             failure: None,
             refusal: RefusalReason::NoTarget,
             unknown: false,
-            hedging: order.route.idempotent && host.beliefs.policy.get().second_attempts.on,
-            crowded: false,
+            hedge_allowed: context.route.idempotent && host.routing.policy.get().second_attempts.on,
+            no_capacity: false,
             held: None,
         }
     }
 
-    /// Sends the first attempt to a target that was found best a moment ago.
-    pub(crate) fn toward(mut self, best: Option<TargetKey>) -> Self {
-        self.best = best;
+    /// Sends the first attempt to a target that was selected just before.
+    pub(crate) fn with_first_target(mut self, first_target: Option<TargetKey>) -> Self {
+        self.first_target = first_target;
         self
     }
 
     /// Counts attempts that another host may have made.
-    pub(crate) fn after(mut self, spent: usize) -> Self {
-        self.ran += spent;
+    pub(crate) fn with_prior_attempts(mut self, prior_attempts: usize) -> Self {
+        self.attempts += prior_attempts;
         self
     }
 
-    /// Runs until a good answer, or until no attempt is left to make.
+    /// Runs until a target succeeds, or until no further attempt can be made.
     pub(crate) async fn run(mut self) -> RaceEnd {
         let started = host_now();
-        // What another host may have sent was the first, and this is one more.
-        let again = self.ran > 0;
+        // Attempts of another host count as the first, so this one is a retry.
+        let again = self.attempts > 0;
         if !again {
-            self.host.beliefs.earn(self.service, started);
+            self.host.routing.earn(self.service, started);
         }
         let reason = if again { AttemptReason::Retry } else { AttemptReason::First };
-        if self.ran >= self.order.route.max_attempts {
+        if self.attempts >= self.context.route.max_attempts {
             return self.finish();
         }
         self.launch(reason);
-        while !self.flying.is_empty() || self.held.is_some() {
-            let late = self.late_after();
-            let can_hedge =
-                self.hedging && self.held.is_none() && self.ran < self.order.route.max_attempts;
+        while !self.in_flight.is_empty() || self.held.is_some() {
+            let late = self.hedge_delay();
+            let can_hedge = self.hedge_allowed
+                && self.held.is_none()
+                && self.attempts < self.context.route.max_attempts;
             tokio::select! {
                 biased;
-                Some(reply) = self.flying.next() => {
-                    // A sender that was dropped belongs to a task that was: the process ends.
+                Some(reply) = self.in_flight.next() => {
+                    // The sender is dropped only if its task is, when the process exits.
                     let Ok(reply) = reply else { continue };
-                    if let Some(end) = self.judge(reply) {
+                    if let Some(end) = self.handle_reply(reply) {
                         return end;
                     }
                 }
-                () = lateness(late), if can_hedge => self.hedge(started),
+                () = wait_until_late(late), if can_hedge => self.hedge(started),
                 () = sleep(HELD_POLL_INTERVAL), if self.held.is_some() => self.launch_held(),
             }
         }
         self.finish()
     }
 
-    fn late_after(&self) -> Duration {
-        if self.crowded {
+    fn hedge_delay(&self) -> Duration {
+        if self.no_capacity {
             return hedge::CAPACITY_POLL_INTERVAL;
         }
-        let beliefs = &self.host.beliefs;
-        let fullness = beliefs.fullness(self.service);
-        let route = &self.order.route;
-        let options = beliefs.policy.get().second_attempts;
-        beliefs.times(route, |times| hedge::delay(times, route.target_latency, fullness, &options))
+        let routing = &self.host.routing;
+        let fullness = routing.fullness(self.service);
+        let route = &self.context.route;
+        let options = routing.policy.get().second_attempts;
+        routing.times(route, |times| hedge::delay(times, route.target_latency, fullness, &options))
     }
 
     fn hedge(&mut self, started: Duration) {
         let now = host_now();
-        let room = self.has_room(now);
-        if !room && self.order.leaves > now + hedge::CAPACITY_POLL_INTERVAL {
-            // Looked at again: a pause of a target, or a queue, ends soon.
-            self.crowded = true;
+        let has_capacity = self.has_capacity(now);
+        if !has_capacity && self.context.send_by > now + hedge::CAPACITY_POLL_INTERVAL {
+            // Checked again later: a pause or a queue at a target may end soon.
+            self.no_capacity = true;
             return;
         }
-        self.hedging = false;
-        let decision = if room { self.launch(AttemptReason::Late) } else { LaunchEnd::Crowded };
-        if decision == LaunchEnd::Held {
+        self.hedge_allowed = false;
+        let decision =
+            if has_capacity { self.launch(AttemptReason::Late) } else { LaunchResult::NoCapacity };
+        if decision == LaunchResult::Held {
             return;
         }
         let waited = now.saturating_sub(started);
-        self.order.story.borrow_mut().late(self.service, waited, decision.into());
+        self.context.request_log.borrow_mut().add_late(self.service, waited, decision.into());
     }
 
-    /// The target that a second attempt would go to has room for it; see [`hedge::has_capacity`].
-    fn has_room(&self, now: Duration) -> bool {
-        let beliefs = &self.host.beliefs;
-        if !beliefs.policy.get().second_attempts.needs_room {
+    /// Whether the target that a hedge would go to has capacity; see [`hedge::has_capacity`].
+    fn has_capacity(&self, now: Duration) -> bool {
+        let routing = &self.host.routing;
+        if !routing.policy.get().second_attempts.needs_room {
             return true;
         }
-        let Some(key) = beliefs.place(self.service, &self.tried, &self.order.route, now) else {
+        let Some(key) = routing.select_target(self.service, &self.tried, &self.context.route, now)
+        else {
             return true;
         };
-        beliefs.registry.borrow().get(key).is_none_or(|state| hedge::has_capacity(state, now))
+        routing.registry.borrow().get(key).is_none_or(|state| hedge::has_capacity(state, now))
     }
 
     /// Makes the waiting attempt, unless the maximum number has been made.
     fn launch_held(&mut self) {
         if let Some(reason) = self.held.take()
-            && self.ran < self.order.route.max_attempts
+            && self.attempts < self.context.route.max_attempts
         {
-            self.launch_noted(reason);
+            self.launch_logged(reason);
         }
     }
 
     /// Makes another attempt, and logs the reason if it could not be made.
-    fn launch_noted(&mut self, reason: AttemptReason) {
+    fn launch_logged(&mut self, reason: AttemptReason) {
         let decision = self.launch(reason);
-        if !matches!(decision, LaunchEnd::Made | LaunchEnd::Held) {
-            let waited = host_now().saturating_sub(self.order.started);
-            self.order.story.borrow_mut().late(self.service, waited, decision.into());
+        if !matches!(decision, LaunchResult::Made | LaunchResult::Held) {
+            let waited = host_now().saturating_sub(self.context.started);
+            self.context.request_log.borrow_mut().add_late(self.service, waited, decision.into());
         }
     }
 
     /// Makes another attempt if there is a target for it and the budget allows.
-    fn launch(&mut self, reason: AttemptReason) -> LaunchEnd {
+    fn launch(&mut self, reason: AttemptReason) -> LaunchResult {
         self.held = None;
         let now = host_now();
         let extra = matches!(reason, AttemptReason::Retry | AttemptReason::Late);
         let kind = if extra { AttemptKind::Extra } else { AttemptKind::First };
-        match quarantine::permit(self.host, self.order, kind) {
+        match quarantine::permit(self.host, self.context, kind) {
             Permit::Send => {}
             Permit::Hold => {
                 self.held = Some(reason);
-                return LaunchEnd::Held;
+                return LaunchResult::Held;
             }
             Permit::Refuse(_) => {
                 self.refusal = RefusalReason::Quarantined;
-                return LaunchEnd::Quarantined;
+                return LaunchResult::Quarantined;
             }
         }
-        let beliefs = &self.host.beliefs;
-        let usual = beliefs.usual(&self.order.route);
-        let best = self.best.take();
-        let best = best.filter(|key| beliefs.registry.borrow().permit(*key, now).is_ok());
-        let Some(key) =
-            best.or_else(|| beliefs.place(self.service, &self.tried, &self.order.route, now))
+        let routing = &self.host.routing;
+        let service_time = routing.service_time(&self.context.route);
+        let first_target = self.first_target.take();
+        let first_target =
+            first_target.filter(|key| routing.registry.borrow().permit(*key, now).is_ok());
+        let Some(key) = first_target
+            .or_else(|| routing.select_target(self.service, &self.tried, &self.context.route, now))
         else {
-            return LaunchEnd::NoTarget;
+            return LaunchResult::NoTarget;
         };
-        if quarantine::spares_last(self.host, self.order)
-            && beliefs.is_last_of_shard(self.service, key, &self.tried, &self.order.route, now)
+        if quarantine::spares_last(self.host, self.context)
+            && routing.is_last_of_shard(self.service, key, &self.tried, &self.context.route, now)
         {
-            if self.order.exposure.borrow().in_flight() > 0 {
+            if self.context.exposure.borrow().in_flight() > 0 {
                 // One of them may be answered, which clears the request.
                 self.held = Some(reason);
-                return LaunchEnd::Held;
+                return LaunchResult::Held;
             }
             self.refusal = RefusalReason::NoTarget;
-            return LaunchEnd::LastTarget;
+            return LaunchResult::LastTarget;
         }
-        let Some(pool) = beliefs.pool(key, &self.order.route) else { return LaunchEnd::NoTarget };
+        let Some(pool) = routing.pool(key, &self.context.route) else {
+            return LaunchResult::NoTarget;
+        };
         if extra {
-            if !beliefs.spend(self.service, now) {
+            if !routing.spend(self.service, now) {
                 self.host.metrics.count_extra("budget-spent", 1);
                 if self.refusal != RefusalReason::TargetsFull {
                     self.refusal = RefusalReason::BudgetSpent;
                 }
-                return LaunchEnd::BudgetSpent;
+                return LaunchResult::BudgetSpent;
             }
             let name = if reason == AttemptReason::Late { "late" } else { "retry" };
             self.host.metrics.count_extra(name, 1);
         }
         self.tried.push(key);
-        self.ran += 1;
-        self.order.sent.set(self.order.sent.get() + 1);
-        self.order.exposure.borrow_mut().send(extra);
-        let (host, order) = (Rc::clone(self.host), Rc::clone(self.order));
-        self.flying.push(AttemptPlan { host, order, key, pool, usual }.start());
-        LaunchEnd::Made
+        self.attempts += 1;
+        self.context.sent.set(self.context.sent.get() + 1);
+        self.context.exposure.borrow_mut().send(extra);
+        let (host, context) = (Rc::clone(self.host), Rc::clone(self.context));
+        self.in_flight.push(AttemptPlan { host, context, key, pool, service_time }.start());
+        LaunchResult::Made
     }
 
-    /// Takes in the end of an attempt; `Some` when the race is decided.
-    fn judge(&mut self, reply: AttemptReply) -> Option<RaceEnd> {
+    /// Handles the end of an attempt; `Some` if the race is decided.
+    fn handle_reply(&mut self, reply: AttemptReply) -> Option<RaceEnd> {
         if !reply.end.may_have_run() {
-            self.ran -= 1;
-            self.order.sent.set(self.order.sent.get() - 1);
+            self.attempts -= 1;
+            self.context.sent.set(self.context.sent.get() - 1);
         }
         let reason = match reply.end {
             AttemptEnd::Answered => return reply.answer.map(RaceEnd::Answered),
@@ -301,7 +307,7 @@
             }
             AttemptEnd::NotRun | AttemptEnd::Misdirected => {
                 if reply.end == AttemptEnd::NotRun {
-                    self.order.load.borrow_mut().rejected += 1;
+                    self.context.load.borrow_mut().rejected += 1;
                 }
                 self.refusal = RefusalReason::TargetsFull;
                 AttemptReason::Retry
@@ -310,21 +316,21 @@
                 let client_error =
                     reply.answer.as_ref().is_some_and(|a| a.status.is_client_error());
                 self.failure = reply.answer;
-                if client_error || !self.order.route.idempotent {
+                if client_error || !self.context.route.idempotent {
                     return self.failure.take().map(RaceEnd::Failed);
                 }
                 AttemptReason::Retry
             }
             AttemptEnd::Broken | AttemptEnd::Silent => {
                 self.unknown = true;
-                if !self.order.route.idempotent {
+                if !self.context.route.idempotent {
                     return Some(RaceEnd::Unknown);
                 }
                 AttemptReason::Retry
             }
         };
-        if self.flying.is_empty() && self.ran < self.order.route.max_attempts {
-            self.launch_noted(reason);
+        if self.in_flight.is_empty() && self.attempts < self.context.route.max_attempts {
+            self.launch_logged(reason);
         }
         None
     }
--- a/crates/hawthorn-edge/src/request/remainder.rs
+++ b/crates/hawthorn-edge/src/request/remainder.rs
@@ -1,8 +1,8 @@
-//! Parts of a peer's query that were not in when it was replied to.
+//! Parts of a peer's query that had not arrived when it was replied to.
 //!
-//! Load: shards of several zones are slow, and each zone's gatherer lacks no more parts
-//! than the answer may do without, but together they lack more. The front then asks for
-//! the remainder; while nobody asks, it is given up after a short time.
+//! Handles slow shards in several zones: each zone's gatherer lacks no more parts than the
+//! answer may lack, but together they lack more. The peer then asks for the remainder, which is
+//! discarded after a short time if it does not.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -14,52 +14,52 @@
 
 use crate::connection::message::GatherReply;
 
-/// A front asks for the remainder within so long, or not at all: the way between zones
-/// twice, and what its own lag delays the decision.
+/// Time within which a peer asks for the remainder: two network delays between zones, and the
+/// scheduling delay of its decision.
 pub(crate) const HOLD_TIME: Duration = Duration::from_millis(30);
 
-/// A front asks for more parts.
+/// A peer's request for more parts.
 #[derive(Debug)]
-pub(crate) struct RemainderOrder {
-    /// How many the answer needs.
+pub(crate) struct RemainderRequest {
+    /// Number of parts that the answer needs.
     pub(crate) needed: usize,
-    /// Where they go.
+    /// Channel for the reply.
     pub(crate) reply: oneshot::Sender<GatherReply>,
 }
 
-type HeldMap = Rc<RefCell<HashMap<u64, oneshot::Sender<RemainderOrder>>>>;
+type HeldMap = Rc<RefCell<HashMap<u64, oneshot::Sender<RemainderRequest>>>>;
 
-/// Queries that were replied to and are held for their fronts.
+/// Queries that were replied to and are held for further requests.
 #[derive(Debug, Default)]
 pub(crate) struct RemainderTable {
     held: HeldMap,
     next: Cell<u64>,
 }
 
-/// A query that is held until this is dropped.
+/// A held query; released on drop.
 #[derive(Debug)]
 pub(crate) struct HeldRemainder {
     pub(crate) token: u64,
-    pub(crate) asked: oneshot::Receiver<RemainderOrder>,
+    pub(crate) requested: oneshot::Receiver<RemainderRequest>,
     held: HeldMap,
 }
 
 impl RemainderTable {
-    /// Holds a query.
+    /// Registers a query under a new token.
     pub(crate) fn hold(&self) -> HeldRemainder {
         let token = self.next.get();
         self.next.set(token.wrapping_add(1));
-        let (sender, asked) = oneshot::channel();
+        let (sender, requested) = oneshot::channel();
         self.held.borrow_mut().insert(token, sender);
-        HeldRemainder { token, asked, held: Rc::clone(&self.held) }
+        HeldRemainder { token, requested, held: Rc::clone(&self.held) }
     }
 
-    /// Hands an order to the query; one that is not held any more drops it, which the
-    /// front hears of.
-    pub(crate) fn ask(&self, token: u64, order: RemainderOrder) {
+    /// Passes a request to a held query. If the query is no longer held, the request is
+    /// dropped, which the peer receives as [`GatherReply::Stopping`].
+    pub(crate) fn request(&self, token: u64, request: RemainderRequest) {
         if let Some(sender) = self.held.borrow_mut().remove(&token) {
-            // The query may have ended in this moment.
-            let _ended = sender.send(order);
+            // The query may just have ended.
+            let _ended = sender.send(request);
         }
     }
 }
--- a/crates/hawthorn-edge/src/request/story.rs
+++ b/crates/hawthorn-edge/src/request/request_log.rs
@@ -1,4 +1,4 @@
-//! The lines of one request, written together when it has ended.
+//! The log lines of one request, written together when it has ended.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -12,38 +12,38 @@
 use crate::edge_event;
 use crate::process::events::EdgeEvent;
 
-/// One calm request in so many is told of with all its attempts.
-const CALM_SAMPLE: u32 = 64;
+/// One in this number of requests that succeed on time is logged, with all its attempts.
+const SAMPLE_INTERVAL: u32 = 64;
 
-/// What happened to one attempt.
+/// The log record of one attempt.
 #[derive(Clone, Debug)]
-pub(crate) struct AttemptNote {
+pub(crate) struct AttemptRecord {
     pub(crate) service: Rc<str>,
     pub(crate) target: Rc<str>,
     pub(crate) zone: Rc<str>,
     pub(crate) after: Duration,
-    pub(crate) took: Duration,
+    pub(crate) elapsed: Duration,
     pub(crate) end: AttemptEnd,
     pub(crate) load: u32,
-    pub(crate) speed: f64,
+    pub(crate) slowdown: f64,
 }
 
-/// What came of shards that a peer gathered.
+/// The log record of shards that a peer gathered.
 #[derive(Clone, Debug)]
-pub(crate) struct DelegateNote {
+pub(crate) struct DelegationRecord {
     pub(crate) peer: SocketAddr,
     pub(crate) zone: Rc<str>,
     pub(crate) shards: usize,
-    pub(crate) took: Duration,
+    pub(crate) elapsed: Duration,
     pub(crate) outcome: &'static str,
 }
 
-/// What is told of one request.
+/// What is logged of one request.
 #[derive(Debug, Default)]
-pub(crate) struct RequestStory {
-    notes: Vec<AttemptNote>,
+pub(crate) struct RequestLog {
+    attempts: Vec<AttemptRecord>,
     late: Vec<(String, Duration, &'static str)>,
-    delegated: Vec<DelegateNote>,
+    delegated: Vec<DelegationRecord>,
     missing: Vec<(String, &'static str)>,
 }
 
@@ -58,41 +58,42 @@
     pub(crate) version: u64,
     pub(crate) outcome: &'static str,
     pub(crate) status: u16,
-    pub(crate) took: Duration,
+    pub(crate) elapsed: Duration,
     pub(crate) left: Duration,
-    /// Milliseconds before the time at which it had to leave; below zero after it.
-    pub(crate) early: f64,
-    /// The way to the caller and back, if the kernel told it.
+    /// Milliseconds between the end of the request and its scheduled send time; negative if it
+    /// was late.
+    pub(crate) early_ms: f64,
+    /// Round-trip time to the caller, if the kernel measured it.
     pub(crate) round_trip: Option<Duration>,
     pub(crate) parts: Option<(usize, usize)>,
-    /// Shards that were not asked for.
+    /// Number of skipped shards.
     pub(crate) skipped: usize,
 }
 
-impl RequestStory {
-    /// An attempt ended.
-    pub(crate) fn note(&mut self, note: AttemptNote) {
-        self.notes.push(note);
+impl RequestLog {
+    /// Adds an attempt that ended.
+    pub(crate) fn add_attempt(&mut self, record: AttemptRecord) {
+        self.attempts.push(record);
     }
 
-    /// An attempt at a service was late after `waited`.
-    pub(crate) fn late(&mut self, service: &str, waited: Duration, decision: &'static str) {
+    /// Adds the decision on a hedge for an attempt that was late after `waited`.
+    pub(crate) fn add_late(&mut self, service: &str, waited: Duration, decision: &'static str) {
         self.late.push((service.to_owned(), waited, decision));
     }
 
-    /// A peer's shards came, or did not.
-    pub(crate) fn delegated(&mut self, note: DelegateNote) {
-        self.delegated.push(note);
+    /// Adds the result of a delegation to a peer.
+    pub(crate) fn add_delegation(&mut self, record: DelegationRecord) {
+        self.delegated.push(record);
     }
 
-    /// A shard that was to be had here has no part.
-    pub(crate) fn missing(&mut self, service: &str, why: &'static str) {
+    /// Adds a local shard that has no part.
+    pub(crate) fn add_missing(&mut self, service: &str, why: &'static str) {
         self.missing.push((service.to_owned(), why));
     }
 
-    /// Writes which shards have no part, and why. A host that gathered some for a
-    /// peer writes this line alone: the peer tells the rest.
-    pub(crate) fn tell_missing(&self, id: &str) {
+    /// Logs which shards have no part, and why. A host that gathered shards for a peer logs
+    /// only this line; the peer logs the rest.
+    pub(crate) fn write_missing(&self, id: &str) {
         if self.missing.is_empty() {
             return;
         }
@@ -106,31 +107,31 @@
         );
     }
 
-    /// Writes the lines: all of a request that did not go well, of the others
-    /// one in [`CALM_SAMPLE`], or every one when debug lines are written.
-    pub(crate) fn tell(&self, summary: &RequestSummary<'_>, calm: bool) {
-        let sampled = summary.number.is_multiple_of(CALM_SAMPLE);
-        if calm && !sampled && !log::log_enabled!(target: "edge", Level::Debug) {
+    /// Logs the request: always if it failed or was late, otherwise one in [`SAMPLE_INTERVAL`],
+    /// or every one if debug logging is enabled.
+    pub(crate) fn write(&self, summary: &RequestSummary<'_>, on_time: bool) {
+        let sampled = summary.number.is_multiple_of(SAMPLE_INTERVAL);
+        if on_time && !sampled && !log::log_enabled!(target: "edge", Level::Debug) {
             return;
         }
-        // How many requests the line stands for.
-        let weight = if calm && sampled { CALM_SAMPLE } else { 1 };
+        // Number of requests that the line represents.
+        let weight = if on_time && sampled { SAMPLE_INTERVAL } else { 1 };
         let RequestSummary { id, fingerprint, route, version, outcome, status, .. } = summary;
         let caller = summary.caller.map_or_else(|| "-".to_owned(), |caller| caller.to_string());
-        let (had, all) = summary.parts.unwrap_or((0, 0));
+        let (received, all) = summary.parts.unwrap_or((0, 0));
         edge_event!(
             Level::Info,
             EdgeEvent::RequestEnded,
             "request={id} route={route} version={version} outcome={outcome} status={status} \
-             ms={:.1} left_ms={} early_ms={:.1} way_ms={:.1} parts={had}/{all} skipped={} \
+             ms={:.1} left_ms={} early_ms={:.1} way_ms={:.1} parts={received}/{all} skipped={} \
              weight={weight} caller={caller} fingerprint={fingerprint}",
-            millis(summary.took),
+            millis(summary.elapsed),
             summary.left.as_millis(),
-            summary.early,
+            summary.early_ms,
             summary.round_trip.map_or(-1.0, millis),
             summary.skipped
         );
-        self.tell_missing(id);
+        self.write_missing(id);
         for (service, waited, decision) in &self.late {
             edge_event!(
                 Level::Info,
@@ -139,26 +140,26 @@
                 millis(*waited)
             );
         }
-        for note in &self.delegated {
-            let DelegateNote { peer, zone, shards, outcome, .. } = note;
+        for record in &self.delegated {
+            let DelegationRecord { peer, zone, shards, outcome, .. } = record;
             edge_event!(
                 Level::Info,
                 EdgeEvent::ShardsDelegated,
                 "request={id} peer={peer} zone={zone} shards={shards} decision=delegated \
                  outcome={outcome} took_ms={:.1}",
-                millis(note.took)
+                millis(record.elapsed)
             );
         }
-        for note in &self.notes {
-            let AttemptNote { service, target, zone, end, load, .. } = note;
+        for record in &self.attempts {
+            let AttemptRecord { service, target, zone, end, load, .. } = record;
             edge_event!(
                 Level::Info,
                 EdgeEvent::AttemptEnded,
                 "request={id} service={service} target={target} zone={zone} end={end} at_ms={:.1} \
                  took_ms={:.1} load={load} speed={:.2}",
-                millis(note.after),
-                millis(note.took),
-                note.speed
+                millis(record.after),
+                millis(record.elapsed),
+                record.slowdown
             );
         }
     }
--- a/crates/hawthorn-edge/src/settings.rs
+++ b/crates/hawthorn-edge/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a host that routes requests is told at its start.
+//! Settings of a host that routes requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use serde_with::serde_as;
 
 quick_error! {
-    /// Why settings were not accepted.
+    /// The reason why settings were rejected.
     #[derive(Debug)]
     pub enum Error {
         /// The text is not TOML, or a key is missing or of the wrong type.
@@ -23,11 +23,11 @@
             display("{source}")
             from()
         }
-        /// A value makes no sense.
+        /// A value is out of range.
         Value(key: &'static str, why: &'static str) {
             display("{key}: {why}")
         }
-        /// A limit of the policy makes no sense.
+        /// A value of the policy is out of range.
         Policy(source: policy::Error) {
             display("{source}")
             from()
@@ -35,56 +35,56 @@
     }
 }
 
-/// The largest factor, and number of requests, by which cold targets' rates may be exceeded.
-const MOST_COLD: f64 = 1000.0;
+/// The maximum of `overshoot` and `slack` in the settings of cold targets.
+const MAX_COLD_EXCESS: f64 = 1000.0;
 
-/// All settings. Unknown keys are ignored, so that older hosts read newer files.
+/// All settings. Unknown keys are ignored, so that older hosts can read newer files.
 #[derive(Clone, Debug, Deserialize)]
 pub struct RouteSettings {
-    /// Who this host is.
+    /// The identity and capacity of this host.
     pub host: HostSettings,
     /// The region of each availability zone.
     #[serde(default)]
     pub zones: RegionMap,
-    /// Where it listens.
+    /// The addresses on which the host listens.
     pub listen: ListenSettings,
-    /// What holds of all callers.
+    /// Settings that apply to all callers.
     #[serde(default)]
     pub callers: CallerSettings,
-    /// How it finds the others.
+    /// Discovery of the other hosts of the fleet.
     #[serde(default)]
     pub fleet: FleetSettings,
-    /// Where the platform's store is.
+    /// The platform's store.
     pub store: StoreSettings,
-    /// What holds of all targets.
+    /// Settings that apply to all targets.
     pub targets: TargetSettings,
-    /// How it stops.
+    /// Settings of the shutdown.
     pub stop: StopSettings,
-    /// Extra attempts.
+    /// The budget of extra attempts.
     pub budget: BudgetSettings,
-    /// What cold targets bear.
+    /// Limits on requests to cold targets.
     #[serde(default, rename = "cold_targets")]
     pub cold: cold::Options,
-    /// How requests are decided on. Here an unknown key is refused: a limit that is
-    /// mistyped would hold nothing back.
+    /// The routing policy. Unlike elsewhere, an unknown key is an error here: a limit with a
+    /// misspelled key would not be enforced.
     #[serde(default)]
     pub policy: RoutePolicy,
 }
 
-/// Who this host is.
+/// The identity and capacity of this host.
 #[derive(Clone, Debug, Deserialize)]
 pub struct HostSettings {
-    /// Its name, unique in the fleet.
+    /// Host name, unique in the fleet.
     pub name: String,
-    /// Its availability zone.
+    /// The host's availability zone.
     pub zone: String,
-    /// Part of one core that it may use, and of how many; 1 where it is not said.
+    /// Share of each core that the host may use; 1 if not given.
     #[serde(default = "one")]
     pub core_share: f64,
-    /// See `core_share`.
+    /// Number of cores; 1 if not given.
     #[serde(default = "one")]
     pub cores: f64,
-    /// Megabits a second of its link; bulk messages are not paced where it is not said.
+    /// Link bandwidth in Mbit/s; bulk messages are not paced if not given.
     pub link_mbps: Option<f64>,
 }
 
@@ -92,26 +92,26 @@
     1.0
 }
 
-/// Where it listens.
+/// The addresses on which the host listens.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListenSettings {
-    /// Callers' requests.
+    /// Address for callers' requests.
     pub callers: SocketAddr,
-    /// Whether it takes callers.
+    /// Address of the readiness probe.
     pub ready: SocketAddr,
-    /// Other hosts of the fleet.
+    /// Address for other hosts of the fleet.
     pub peers: SocketAddr,
-    /// Counters and histograms.
+    /// Address of the metrics page.
     pub metrics: SocketAddr,
 }
 
-/// What holds of all callers.
+/// Settings that apply to all callers.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct CallerSettings {
-    /// The way to a caller and back where the kernel does not tell it: a usual
-    /// one within a region.
+    /// Round-trip time to a caller, used if the kernel has no measurement: a typical value
+    /// within a region.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "round_trip_ms")]
     pub round_trip: Duration,
@@ -123,62 +123,62 @@
     }
 }
 
-/// How it finds the others.
+/// Discovery of the other hosts of the fleet.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct FleetSettings {
-    /// Addresses of hosts that may be running; only the IP number counts, as
-    /// all hosts listen for peers at the same port.
+    /// Addresses of hosts that may be running. Only the IP address is used, as all hosts listen
+    /// for peers on the same port.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
 }
 
-/// Where the platform's store is.
+/// The platform's store.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StoreSettings {
-    /// Its address.
+    /// The store's address.
     pub address: SocketAddr,
 }
 
-/// What holds of all targets.
+/// Settings that apply to all targets.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize)]
 pub struct TargetSettings {
-    /// How often a target tells the store that it is there.
+    /// Interval of a target's heartbeats to the store.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "beat_ms")]
-    pub beat: Duration,
-    /// How long a target that leaves goes on serving.
+    pub heartbeat: Duration,
+    /// Time for which a draining target continues to serve.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "leave_ms")]
-    pub leave: Duration,
+    pub drain_time: Duration,
 }
 
-/// How it stops.
+/// Settings of the shutdown.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize)]
 pub struct StopSettings {
-    /// Time between the order to stop and the end by force.
+    /// Time between the stop signal and forced termination.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "grace_ms")]
     pub grace: Duration,
 }
 
-/// Extra attempts, for each service.
+/// The budget of extra attempts, for each service.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct BudgetSettings {
-    /// Extra attempts for each request of the window, over all hosts.
+    /// Extra attempts per request in the window, over all hosts.
     pub share: f64,
-    /// Length of the window that slides.
+    /// Length of the sliding window.
     #[serde_as(as = "DurationSeconds<u64>")]
     #[serde(rename = "window_s")]
     pub window: Duration,
-    /// Extra attempts beyond the share, of all hosts together.
+    /// Extra attempts beyond the share, over all hosts.
     pub allowance: f64,
 }
 
 impl RouteSettings {
-    /// Reads and checks settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
     /// When the text is not TOML, or a value is missing or makes no sense.
@@ -188,23 +188,28 @@
         settings.policy.departure.round_trip = settings.callers.round_trip;
         let share = settings.budget.share;
         if !(0.0..=1.0).contains(&share) {
-            return Err(Error::Value("budget.share", "not between 0 and 1"));
+            return Err(Error::Value("budget.share", "must be between 0 and 1"));
         }
         let cold::Options { overshoot, slack } = settings.cold;
-        if !(0.0..=MOST_COLD).contains(&overshoot) || !(0.0..=MOST_COLD).contains(&slack) {
-            return Err(Error::Value("cold_targets", "overshoot or slack not within 0 to 1000"));
+        if !(0.0..=MAX_COLD_EXCESS).contains(&overshoot)
+            || !(0.0..=MAX_COLD_EXCESS).contains(&slack)
+        {
+            return Err(Error::Value(
+                "cold_targets",
+                "overshoot and slack must be between 0 and 1000",
+            ));
         }
         if settings.budget.window.is_zero() {
-            return Err(Error::Value("budget.window_s", "is zero"));
+            return Err(Error::Value("budget.window_s", "must not be zero"));
         }
         if !(settings.host.core_share > 0.0 && settings.host.cores > 0.0) {
-            return Err(Error::Value("host.core_share", "not above zero"));
+            return Err(Error::Value("host.core_share", "must be positive"));
         }
         if settings.host.link_mbps.is_some_and(|mbps| mbps <= 0.0) {
-            return Err(Error::Value("host.link_mbps", "not above zero"));
+            return Err(Error::Value("host.link_mbps", "must be positive"));
         }
         if settings.host.name.is_empty() {
-            return Err(Error::Value("host.name", "is empty"));
+            return Err(Error::Value("host.name", "must not be empty"));
         }
         Ok(settings)
     }
--- a/crates/hawthorn-edge/src/version/mod.rs
+++ b/crates/hawthorn-edge/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a version of the routes, or a belief about targets.
+//! State with the lifetime of a version of the routes, and state of targets.
 
-pub mod beliefs;
-mod reach;
+mod reachability;
+pub mod state;
--- a/crates/hawthorn-edge/src/version/reach.rs
+++ b/crates/hawthorn-edge/src/version/reachability.rs
@@ -1,4 +1,4 @@
-//! Beliefs about zones: which can be reached, and who should serve callers.
+//! Reachability of zones, and whether this host should accept callers.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -11,56 +11,57 @@
 use hawthorn_route::scatter;
 use rand::RngExt;
 
-use crate::version::beliefs::Beliefs;
+use crate::version::state::RoutingState;
 
-/// Seconds that the counts of demand stand for: half of a count is left after
-/// five, which is five over the logarithm of two on the whole.
+/// Seconds of requests that the decayed counts represent. They are halved every five seconds,
+/// and 5 s / ln 2 = 7.2 s.
 const DEMAND_SPAN: f64 = 7.2;
-impl Beliefs {
-    /// A request was sent to a target of the zone.
-    pub fn zone_sent(&self, zone: &str, now: Duration, usual: Duration) {
+
+impl RoutingState {
+    /// Records that a request was sent to a target of the zone.
+    pub fn zone_sent(&self, zone: &str, now: Duration, service_time: Duration) {
         let mut zones = self.zones.borrow_mut();
-        if let Some(reach) = zones.get_mut(zone) {
-            reach.sent(now, usual);
+        if let Some(reachability) = zones.get_mut(zone) {
+            reachability.sent(now, service_time);
         } else {
-            zones.entry(zone.to_owned()).or_default().sent(now, usual);
+            zones.entry(zone.to_owned()).or_default().sent(now, service_time);
         }
     }
 
-    /// Something of the zone answered.
+    /// Records that a host or target of the zone answered.
     pub fn zone_answered(&self, zone: &str) {
-        if let Some(reach) = self.zones.borrow_mut().get_mut(zone) {
-            reach.answered();
+        if let Some(reachability) = self.zones.borrow_mut().get_mut(zone) {
+            reachability.answered();
         }
     }
 
-    /// The zones that are believed cut off.
-    pub fn cut_zones(&self, now: Duration) -> Vec<String> {
+    /// The zones that are considered unreachable.
+    pub fn unreachable_zones(&self, now: Duration) -> Vec<String> {
         let zones = self.zones.borrow();
         zones
             .iter()
-            .filter(|(_, reach)| reach.is_unreachable(now))
+            .filter(|(_, reachability)| reachability.is_unreachable(now))
             .map(|(zone, _)| zone.clone())
             .collect()
     }
 
-    /// The zones that may be cut off.
-    pub fn doubtful_zones(&self, now: Duration) -> Vec<String> {
+    /// The zones that are suspected to be unreachable.
+    pub fn suspected_zones(&self, now: Duration) -> Vec<String> {
         let zones = self.zones.borrow();
-        let doubtful = zones.iter().filter(|(_, reach)| reach.is_suspected(now));
+        let doubtful = zones.iter().filter(|(_, reachability)| reachability.is_suspected(now));
         doubtful.map(|(zone, _)| zone.clone()).collect()
     }
 
-    /// Any target of a zone, to try the way to it.
+    /// A random target of a zone, to probe its reachability.
     pub fn any_target(&self, zone: &str) -> Option<SocketAddr> {
         let registry = self.registry.borrow();
-        let there: Vec<SocketAddr> = registry
+        let addresses: Vec<SocketAddr> = registry
             .iter()
             .filter(|(_, state)| *state.entry.zone == *zone)
             .map(|(_, state)| state.entry.address)
             .collect();
-        let lot = self.lots.borrow_mut().random_range(0..there.len().max(1));
-        there.get(lot).copied()
+        let index = self.rng.borrow_mut().random_range(0..addresses.len().max(1));
+        addresses.get(index).copied()
     }
 
     /// Treats a zone's targets as cold; see
@@ -90,12 +91,12 @@
         }
     }
 
-    /// No query over shards of the version in force is more urgent than the route's.
+    /// Whether no scatter-gather route of the current version is more urgent than this one.
     pub fn is_urgent(&self, route: &RouteRule) -> bool {
         self.table().is_none_or(|table| table.is_urgent(route))
     }
 
-    /// Queries over shards that came here lately, a second.
+    /// Rate of recent scatter-gather queries, per second.
     pub fn query_rate(&self) -> f64 {
         let Some(table) = self.table() else { return 0.0 };
         let demand = self.demand.borrow();
@@ -106,59 +107,61 @@
         counted / DEMAND_SPAN
     }
 
-    /// Has earlier requests count less, by the factor.
-    pub fn fade_demand(&self, factor: f64) {
+    /// Multiplies all demand counts by `factor`.
+    pub fn decay_demand(&self, factor: f64) {
         let mut demand = self.demand.borrow_mut();
         demand.values_mut().for_each(|count| *count *= factor);
         demand.retain(|_, count| *count > 0.01);
     }
 
-    /// Whether this host should leave callers to others if these zones are cut
-    /// off; see [`reachability::should_fail_readiness`].
-    pub fn find_stranded(&self, cut: &[String], now: Duration) -> bool {
-        let Some(table) = self.table().filter(|_| !cut.is_empty()) else {
+    /// Whether this host should fail its readiness probe if these zones are unreachable; see
+    /// [`reachability::should_fail_readiness`].
+    pub fn should_fail_readiness(&self, unreachable: &[String], now: Duration) -> bool {
+        let Some(table) = self.table().filter(|_| !unreachable.is_empty()) else {
             return false;
         };
         let zones = {
             let registry = self.registry.borrow();
-            let mine = std::iter::once(self.settings.host.zone.as_str());
+            let own_zone = std::iter::once(self.settings.host.zone.as_str());
             registry
                 .iter()
                 .map(|(_, state)| &*state.entry.zone)
-                .chain(mine)
+                .chain(own_zone)
                 .collect::<HashSet<_>>()
                 .len()
         };
         let demand = self.demand.borrow();
-        let asked = |route: &RouteRule| demand.get(&route.name).copied().unwrap_or_default();
+        let demand_of = |route: &RouteRule| demand.get(&route.name).copied().unwrap_or_default();
         let routes = &table.document().routes;
-        let all: f64 = routes.iter().map(asked).sum();
-        let lost: f64 =
-            routes.iter().filter(|route| !self.can_answer(route, cut, now)).map(asked).sum();
+        let total: f64 = routes.iter().map(demand_of).sum();
+        let lost: f64 = routes
+            .iter()
+            .filter(|route| !self.can_answer(route, unreachable, now))
+            .map(demand_of)
+            .sum();
         reachability::should_fail_readiness(
             zones,
-            cut.len(),
-            if all > 0.0 { lost / all } else { 0.0 },
+            unreachable.len(),
+            if total > 0.0 { lost / total } else { 0.0 },
         )
     }
 
-    /// Whether enough of a route's services have a target that takes work outside
-    /// these zones.
-    fn can_answer(&self, route: &RouteRule, cut: &[String], now: Duration) -> bool {
-        let takes = |service: &str| {
-            self.with_view(route, cut, now, |view, lots| {
-                placement::select_target(view, service, &[], lots, &self.policy.get().placing)
+    /// Whether a route can be answered without these zones.
+    fn can_answer(&self, route: &RouteRule, unreachable: &[String], now: Duration) -> bool {
+        let has_target = |service: &str| {
+            self.with_view(route, unreachable, now, |view, rng| {
+                placement::select_target(view, service, &[], rng, &self.policy.get().placing)
                     .is_some()
             })
         };
         match &route.destination {
-            RouteDestination::Single(service) => takes(service),
-            RouteDestination::Weighted(parts) => parts.iter().any(|part| takes(&part.service)),
+            RouteDestination::Single(service) => has_target(service),
+            RouteDestination::Weighted(parts) => parts.iter().any(|part| has_target(&part.service)),
             RouteDestination::Gather(rule) => {
-                let spread = self.with_view(route, cut, now, |view, lots| {
-                    scatter::plan(view, rule, lots, &self.policy.get().placing)
+                let scatter_plan = self.with_view(route, unreachable, now, |view, rng| {
+                    scatter::plan(view, rule, rng, &self.policy.get().placing)
                 });
-                spread.can_answer(rule)
+                scatter_plan.can_answer(rule)
             }
         }
     }
--- a/crates/hawthorn-edge/tests/catalog.rs
+++ b/crates/hawthorn-edge/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! What a host believes after news from the store.
+//! The registered targets of a host after updates from the store.
 
 use std::net::SocketAddr;
 
@@ -33,7 +33,7 @@
 "#;
 
 fn host() -> RouteHost {
-    let settings = RouteSettings::from_toml(SETTINGS).expect("the settings are whole");
+    let settings = RouteSettings::from_toml(SETTINGS).expect("the settings are valid");
     RouteHost::new(settings).expect("metrics can be set up")
 }
 
@@ -42,40 +42,40 @@
     MirrorItem { key: operator::entry_key(id), revision, value }
 }
 
-fn good(id: &str, revision: u64) -> MirrorItem {
+fn valid_entry(id: &str, revision: u64) -> MirrorItem {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     entry(id, revision, &operator::entry("s", address, "east", "ready"))
 }
 
-fn reading(items: Vec<MirrorItem>, as_of: u64) -> MirrorUpdate {
+fn full_read(items: Vec<MirrorItem>, as_of: u64) -> MirrorUpdate {
     MirrorUpdate { items, as_of, complete: true }
 }
 
 fn ready_ids(host: &RouteHost) -> Vec<String> {
-    let registry = host.beliefs.registry.borrow();
+    let registry = host.routing.registry.borrow();
     let ready = registry.iter().filter(|(_, state)| state.phase == TargetPhase::Ready);
     let mut ids: Vec<String> = ready.map(|(_, state)| state.entry.id.to_string()).collect();
     ids.sort();
     ids
 }
 
-/// The store forgets its history while a target leaves, and the host reads
-/// everything anew. The target is missing from that reading, and the duty that
-/// follows the store must take it for gone and live on: it once ended there,
-/// and a shard's new targets were never heard of.
+/// Guards against lost updates after compaction: the store drops its history while a target
+/// leaves, and the host reads a full snapshot that lacks the target. The task that follows the
+/// store must remove the target and continue; if it ended, the host would never learn of new
+/// targets.
 #[test]
-fn a_target_missing_from_a_second_reading_is_gone() {
+fn a_target_missing_from_a_second_snapshot_is_removed() {
     let host = host();
-    catalog::take(&host, reading(vec![good("a", 1), good("b", 2)], 2));
+    catalog::apply(&host, full_read(vec![valid_entry("a", 1), valid_entry("b", 2)], 2));
     assert_eq!(ready_ids(&host), ["a", "b"]);
-    catalog::take(&host, reading(vec![good("b", 2), good("c", 5)], 5));
+    catalog::apply(&host, full_read(vec![valid_entry("b", 2), valid_entry("c", 5)], 5));
     assert_eq!(ready_ids(&host), ["b", "c"]);
 }
 
-/// An operator's script, or another program, writes under the targets' keys.
-/// What cannot be read names no target, and the others hold.
+/// Guards against foreign writes under the targets' keys, by a script or another program:
+/// unreadable entries are ignored and the other targets stay.
 #[test]
-fn an_entry_that_cannot_be_read_names_no_target() {
+fn unreadable_entries_are_ignored() {
     struct Case {
         name: &'static str,
         text: &'static str,
@@ -88,11 +88,11 @@
             text: r#"{"service":"s","address":"127.0.0.1:9","zone":"z","concurrency":2,"state":"lost"}"#,
         },
         Case {
-            name: "slots as text",
+            name: "concurrency as text",
             text: r#"{"service":"s","address":"127.0.0.1:9","zone":"z","concurrency":"2","state":"ready"}"#,
         },
         Case {
-            name: "an address that is none",
+            name: "an invalid address",
             text: r#"{"service":"s","address":"here","zone":"z","concurrency":2,"state":"ready"}"#,
         },
         Case {
@@ -102,8 +102,8 @@
     ];
     for case in cases {
         let host = host();
-        let items = vec![good("a", 1), entry("b", 2, case.text), good("c", 3)];
-        catalog::take(&host, reading(items, 3));
+        let items = vec![valid_entry("a", 1), entry("b", 2, case.text), valid_entry("c", 3)];
+        catalog::apply(&host, full_read(items, 3));
         assert_eq!(ready_ids(&host), ["a", "c"], "{}", case.name);
     }
 }
--- a/crates/hawthorn-edge/tests/house.rs
+++ b/crates/hawthorn-edge/tests/settings.rs
@@ -8,8 +8,8 @@
 
 const TEMPLATE: &str = include_str!("../../../platform/settings.toml");
 
-/// The template as the platform fills it in.
-fn filled() -> String {
+/// The settings template as rendered by the platform.
+fn rendered_template() -> String {
     let values = [
         ("{{nodeName|json}}", "\"front-1\""),
         ("{{zone|json}}", "\"east\""),
@@ -41,13 +41,14 @@
     for (name, value) in values {
         text = text.replace(name, value);
     }
-    assert!(!text.contains("{{"), "a name that this test does not know: {text}");
+    assert!(!text.contains("{{"), "unknown placeholder: {text}");
     text
 }
 
 #[test]
-fn the_template_makes_settings_that_are_accepted() {
-    let settings = RouteSettings::from_toml(&filled()).expect("the template is whole");
+fn the_template_yields_valid_settings() {
+    let settings =
+        RouteSettings::from_toml(&rendered_template()).expect("the template yields valid settings");
     assert_eq!(settings.fleet.seeds.len(), 2);
     assert_eq!(settings.host.link_mbps, Some(21.0));
     assert_eq!(settings.stop.grace.as_secs(), 6);
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn a_fault_in_settings_is_named() {
+fn errors_in_settings_name_the_key() {
     struct Case {
         name: &'static str,
         from: &'static str,
@@ -88,24 +89,24 @@
         },
         Case { name: "no name", from: "\"front-1\"", to: "\"\"", named: "host.name" },
         Case {
-            name: "no core",
+            name: "no core share",
             from: "core_share = 0.25",
             to: "core_share = 0",
             named: "host.core_share",
         },
     ];
     for case in cases {
-        let text = filled().replace(case.from, case.to);
-        assert_ne!(text, filled(), "{}", case.name);
+        let text = rendered_template().replace(case.from, case.to);
+        assert_ne!(text, rendered_template(), "{}", case.name);
         let error = RouteSettings::from_toml(&text).expect_err(case.name).to_string();
         assert!(error.contains(case.named), "{}: {error}", case.name);
     }
-    let more = format!("{}\n[new]\nkey = 1\n", filled());
-    assert!(RouteSettings::from_toml(&more).is_ok(), "unknown keys are ignored");
+    let extended = format!("{}\n[new]\nkey = 1\n", rendered_template());
+    assert!(RouteSettings::from_toml(&extended).is_ok(), "unknown keys are ignored");
 }
 
 #[test]
-fn the_catalogue_lists_every_event_and_no_other() {
+fn the_catalogue_lists_exactly_the_known_events() {
     let page = include_str!("../../../docs/operators/events-route.md");
     let listed: BTreeSet<String> = page
         .lines()
--- a/crates/hawthorn-edge/tests/traffic.rs
+++ b/crates/hawthorn-edge/tests/traffic.rs
@@ -1,11 +1,11 @@
-//! The account of bytes between zones.
+//! Accounting of cross-zone traffic.
 
 use std::sync::atomic::Ordering;
 
 use hawthorn_edge::process::traffic::TrafficAccount;
 use hawthorn_edge::process::traffic::TrafficPurpose;
 
-/// Bytes within the zone cost nothing and are not told of; others are by purpose.
+/// Traffic within the zone is free and not reported; other traffic is reported by purpose.
 #[test]
 fn bytes_to_other_zones_are_counted_by_purpose() {
     let account = TrafficAccount::new("east");
