--- a/crates/hawthorn-edge/src/request/parts.rs
+++ b/crates/hawthorn-edge/src/request/parts.rs
@@ -383,7 +383,7 @@
                 edge_event!(
                     Level::Warn,
                     EdgeEvent::PeerMessageBroken,
-                    "from={peer} error=\"remainder of {} parts exceeds the {missing} missing ones\"",
+                    "from={peer} error=\"remainder of {} parts, but {missing} missing\"",
                     remainder.parts
                 );
             }
