--- a/crates/hawthorn-daemon/src/owner/reload.rs
+++ b/crates/hawthorn-daemon/src/owner/reload.rs
@@ -92,8 +92,8 @@
             return;
         }
         let options = pool::Options {
-            connections,
-            held_bytes: self.options.max_answer_bytes,
+            max_connections: connections,
+            max_buffered_bytes: self.options.max_answer_bytes,
             connect_timeout: self.options.connect_timeout,
         };
         let pool = Arc::new(TargetPool::new(record.address, options));
--- a/crates/hawthorn-daemon/src/process/daemon.rs
+++ b/crates/hawthorn-daemon/src/process/daemon.rs
@@ -12,7 +12,7 @@
 use dropshot::ServerBuilder;
 use hawthorn_fleet::MemberPlace;
 use hawthorn_intent::DaemonSettings;
-use hawthorn_store::ClaimKeeper;
+use hawthorn_store::ClaimClient;
 use hawthorn_store::StoreClient;
 use hawthorn_store::claim::ProcessSeed;
 use log::Level;
@@ -145,7 +145,7 @@
     let workers = start_workers(&settings, &runtime, &metrics, &stop)?;
     let _entered = runtime.enter();
     let claims = StoreClient::new(settings.platform, options::store_client());
-    let keeper = ClaimKeeper::spawn(
+    let keeper = ClaimClient::spawn(
         Arc::new(claims.clone()),
         ProcessSeed(rand::random()),
         &stop,
--- a/crates/hawthorn-daemon/src/request/front.rs
+++ b/crates/hawthorn-daemon/src/request/front.rs
@@ -10,7 +10,7 @@
 use hawthorn_plan::RetryBudget;
 use hawthorn_plan::admit;
 use hawthorn_plan::track;
-use hawthorn_store::ClaimKeeper;
+use hawthorn_store::ClaimClient;
 use hawthorn_types::CallerAnswer;
 use hawthorn_types::CallerOutcome;
 use hawthorn_types::ConfigStamp;
@@ -62,7 +62,7 @@
     pub(crate) tables: TableCache,
     pub(crate) load: Mutex<FrontLoad>,
     pub(crate) budget: Mutex<RetryBudget>,
-    pub(crate) keeper: ClaimKeeper,
+    pub(crate) keeper: ClaimClient,
     pub(crate) metrics: MetricSet,
     synced: AtomicBool,
     stopping: AtomicBool,
@@ -88,7 +88,7 @@
     /// Owned targets that are not in the desired state.
     pub drift: watch::Receiver<Arc<DriftSnapshot>>,
     /// Claims non-idempotent requests.
-    pub keeper: ClaimKeeper,
+    pub keeper: ClaimClient,
     /// Metrics of the process.
     pub metrics: MetricSet,
 }
--- a/crates/hawthorn-daemon/src/request/once.rs
+++ b/crates/hawthorn-daemon/src/request/once.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use hawthorn_store::claim;
-use hawthorn_store::claim::ClaimAsk;
 use hawthorn_store::claim::ClaimGrant;
+use hawthorn_store::claim::ClaimRequest;
 use hawthorn_types::CallerAnswer;
 use hawthorn_types::CallerOutcome;
 use hawthorn_types::HostKey;
@@ -127,7 +127,7 @@
     checked: &CheckedOnce,
     request: RequestId,
 ) -> OnceResult {
-    let claim_request = ClaimAsk {
+    let claim_request = ClaimRequest {
         caller: checked.once.caller.clone(),
         request_id: checked.once.request_id.clone(),
         deadline: front.started + checked.deadline,
--- a/crates/hawthorn-edge/src/connection/head.rs
+++ b/crates/hawthorn-edge/src/connection/head.rs
@@ -101,8 +101,8 @@
     /// event loop was last idle.
     fn head_began(&self, stream: &TcpStream) {
         let now = host_now();
-        let report = hawthorn_socket::path(stream).ok();
-        let queued = report.map_or(Duration::ZERO, |report| report.quiet);
+        let report = hawthorn_socket::tcp_info(stream).ok();
+        let queued = report.map_or(Duration::ZERO, |report| report.since_received);
         let age = queued.max(loop_clock::busy_for(now));
         self.arrived.set(now.saturating_sub(age));
         self.head_count.set(self.head_count.get().saturating_add(1));
--- a/crates/hawthorn-edge/src/connection/listen.rs
+++ b/crates/hawthorn-edge/src/connection/listen.rs
@@ -60,7 +60,7 @@
 pub(crate) async fn callers(host: Rc<RouteHost>, listener: TcpListener) {
     loop {
         let stream = accept(&listener).await;
-        if let Err(error) = hawthorn_pool::end_when_silent(&stream) {
+        if let Err(error) = hawthorn_pool::enable_dead_peer_detection(&stream) {
             edge_event!(Level::Warn, EdgeEvent::DutyFailed, "duty=socket error=\"{error}\"");
             continue;
         }
--- a/crates/hawthorn-edge/src/connection/peer.rs
+++ b/crates/hawthorn-edge/src/connection/peer.rs
@@ -152,7 +152,7 @@
         }
         let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(endpoint.address)).await;
         let Ok(Ok(stream)) = connected else { return Err(PeerError::NotSent) };
-        hawthorn_pool::end_when_silent(&stream).map_err(|_| PeerError::NotSent)?;
+        hawthorn_pool::enable_dead_peer_detection(&stream).map_err(|_| PeerError::NotSent)?;
         let stream = traffic::counted(stream, &endpoint.counter);
         let transport = tarpc::serde_transport::new(
             LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_framed(stream),
@@ -352,7 +352,7 @@
 }
 
 fn serve_connection(stream: TcpStream, server: PeerServer) {
-    if let Err(error) = hawthorn_pool::end_when_silent(&stream) {
+    if let Err(error) = hawthorn_pool::enable_dead_peer_detection(&stream) {
         edge_event!(Level::Warn, EdgeEvent::DutyFailed, "duty=peer-socket error=\"{error}\"");
         return;
     }
--- a/crates/hawthorn-edge/src/request/attempt.rs
+++ b/crates/hawthorn-edge/src/request/attempt.rs
@@ -7,10 +7,10 @@
 use bytes::Bytes;
 use hawthorn_platform::target;
 use hawthorn_platform::target::RunWord;
-use hawthorn_pool::AnswerRest;
 use hawthorn_pool::Error;
 use hawthorn_pool::PoolAnswer;
 use hawthorn_pool::PoolConnection;
+use hawthorn_pool::RemainingBody;
 use hawthorn_pool::TargetPool;
 use hawthorn_route::document::RouteDestination;
 use hawthorn_route::outcome::AttemptEnd;
@@ -52,7 +52,7 @@
     /// The body, or the beginning of a long one.
     pub(crate) body: Bytes,
     /// The remaining body of a long answer; its target is busy until it ends.
-    pub(crate) rest: Option<AnswerRest>,
+    pub(crate) rest: Option<RemainingBody>,
     pub(crate) receipt: Option<HeaderValue>,
 }
 
@@ -196,7 +196,7 @@
         let answer = async {
             let answer = connection.send(request).await?;
             match self.context.route.destination {
-                RouteDestination::Gather(_) => answer.whole(MAX_PART_BYTES).await,
+                RouteDestination::Gather(_) => answer.collect(MAX_PART_BYTES).await,
                 RouteDestination::Single(_) | RouteDestination::Weighted(_) => Ok(answer),
             }
         };
@@ -215,7 +215,7 @@
         let no_connection = |_| Err(Error::NotSent("no free connection in time".into()));
         tokio::select! {
             biased;
-            connection = timeout_at(end, self.pool.connection()) => {
+            connection = timeout_at(end, self.pool.acquire()) => {
                 Some(connection.unwrap_or_else(no_connection))
             }
             () = self.context.answered.cancelled() => None,
@@ -285,7 +285,7 @@
             status: answer.status,
             headers: answer.headers,
             body: answer.body,
-            rest: answer.rest,
+            rest: answer.remaining,
             receipt: head.receipt,
         };
         AttemptReply { end, answer: Some(answer), crashed: false }
--- a/crates/hawthorn-edge/src/request/passing.rs
+++ b/crates/hawthorn-edge/src/request/passing.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hawthorn_pool::AnswerRest;
 use hawthorn_pool::Error;
+use hawthorn_pool::RemainingBody;
 use hyper::body::Body;
 use hyper::body::Frame;
 use hyper::body::SizeHint;
@@ -30,13 +30,13 @@
 #[derive(Debug)]
 pub(crate) struct PassedBody {
     held: Option<Bytes>,
-    rest: AnswerRest,
+    rest: RemainingBody,
     context: Rc<RequestContext>,
     deadline_timer: Pin<Box<Sleep>>,
 }
 
 impl PassedBody {
-    pub(crate) fn new(held: Bytes, rest: AnswerRest, context: Rc<RequestContext>) -> Self {
+    pub(crate) fn new(held: Bytes, rest: RemainingBody, context: Rc<RequestContext>) -> Self {
         let left = context.time_left(host_now());
         let held = Some(held).filter(|held| !held.is_empty());
         Self { held, rest, context, deadline_timer: Box::pin(sleep(left)) }
--- a/crates/hawthorn-edge/src/version/state.rs
+++ b/crates/hawthorn-edge/src/version/state.rs
@@ -407,15 +407,17 @@
         let mut pools = self.pools.borrow_mut();
         if !pools.contains_key(key) {
             let options = hawthorn_pool::Options {
-                connections: (share.round() as usize).max(1),
-                held_bytes: self.policy.get().answers.held_kb as usize * 1024,
+                max_connections: (share.round() as usize).max(1),
+                max_buffered_bytes: self.policy.get().answers.held_kb as usize * 1024,
                 connect_timeout: CONNECT_TIMEOUT,
             };
             pools.insert(key, Arc::new(TargetPool::new(entry.address, options)));
         }
         let pool = pools.get(key)?;
         // Peers may still consider this host a gatherer after it has stopped being one.
-        pool.keep(share >= 1.0 || matches!(route.destination, RouteDestination::Gather(_)));
+        pool.set_keep_alive(
+            share >= 1.0 || matches!(route.destination, RouteDestination::Gather(_)),
+        );
         Some(Arc::clone(pool))
     }
 
--- a/crates/hawthorn-pool/src/lib.rs
+++ b/crates/hawthorn-pool/src/lib.rs
@@ -11,7 +11,7 @@
 #![deny(missing_docs, rust_2018_idioms)]
 
 mod driven;
-mod rest;
+mod remaining;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -40,7 +40,7 @@
 use tokio::sync::Semaphore;
 
 use crate::driven::DrivenSender;
-pub use crate::rest::AnswerRest;
+pub use crate::remaining::RemainingBody;
 
 /// A connection that carries nothing is probed after so long, and so often, by
 /// the kernel. Failure: a path goes silent without a reset, and every request on
@@ -79,9 +79,9 @@
 pub struct Options {
     /// Connections open at once, at the most: the target's limit, or half of
     /// it while another host may still own the target.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Bytes of an answer that are held. What is longer comes as its rest.
-    pub held_bytes: usize,
+    pub max_buffered_bytes: usize,
     /// How long opening a connection may take.
     pub connect_timeout: Duration,
 }
@@ -96,7 +96,7 @@
     /// The body, or as much of it as is held.
     pub body: Bytes,
     /// The rest of a body that is longer.
-    pub rest: Option<AnswerRest>,
+    pub remaining: Option<RemainingBody>,
 }
 
 /// Connections that carry nothing at the moment.
@@ -139,7 +139,7 @@
     sender: Option<DrivenSender>,
     kept: bool,
     idle: Arc<IdleSenders>,
-    held_bytes: usize,
+    max_buffered_bytes: usize,
     _permit: OwnedSemaphorePermit,
 }
 
@@ -181,7 +181,7 @@
     pub async fn send(mut self, request: Request<Full<Bytes>>) -> Result<PoolAnswer, Error> {
         let gone = || Error::NotSent("the connection was given back".into());
         let sender = self.sender.take().ok_or_else(gone)?;
-        let held_bytes = self.held_bytes;
+        let max_buffered_bytes = self.max_buffered_bytes;
         let mut busy = BusySender { sender, connection: self };
         let response = busy.sender.send(request).await.map_err(|error| {
             // hyper cancels a request that it never wrote; anything else may have arrived.
@@ -192,14 +192,14 @@
             }
         })?;
         let (head, mut incoming) = response.into_parts();
-        let (body, whole) = busy.sender.drive(hold(&mut incoming, held_bytes)).await?;
+        let (body, whole) = busy.sender.drive(hold(&mut incoming, max_buffered_bytes)).await?;
         let rest = if whole {
             busy.give_back();
             None
         } else {
-            Some(AnswerRest::new(incoming, busy))
+            Some(RemainingBody::new(incoming, busy))
         };
-        Ok(PoolAnswer { status: head.status, headers: head.headers, body, rest })
+        Ok(PoolAnswer { status: head.status, headers: head.headers, body, remaining: rest })
     }
 }
 
@@ -219,7 +219,7 @@
         Self {
             address,
             options,
-            permits: Arc::new(Semaphore::new(options.connections.max(1))),
+            permits: Arc::new(Semaphore::new(options.max_connections.max(1))),
             idle: Arc::default(),
             kept: AtomicBool::new(true),
         }
@@ -228,7 +228,7 @@
     /// Whether connections stay open after their exchange, as they do at first. Where
     /// more hosts use a target than it accepts connections, those that use it seldom
     /// keep none.
-    pub fn keep(&self, kept: bool) {
+    pub fn set_keep_alive(&self, kept: bool) {
         self.kept.store(kept, Ordering::Relaxed);
     }
 
@@ -251,7 +251,7 @@
     async fn open(&self) -> Result<DrivenSender, Error> {
         let connect = async {
             let stream = TcpStream::connect(self.address).await.map_err(|e| e.to_string())?;
-            end_when_silent(&stream).map_err(|e| e.to_string())?;
+            enable_dead_peer_detection(&stream).map_err(|e| e.to_string())?;
             http1::handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())
         };
         let (sender, connection) = tokio::time::timeout(self.options.connect_timeout, connect)
@@ -280,7 +280,7 @@
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::new(Bytes::from(body)))
             .map_err(|error| Error::NotSent(error.to_string()))?;
-        self.send(request, timeout).await?.whole(self.options.held_bytes).await
+        self.send(request, timeout).await?.collect(self.options.max_buffered_bytes).await
     }
 
     /// One request and its answer, within `timeout`: whole, or as far as it is
@@ -297,7 +297,7 @@
         timeout: Duration,
     ) -> Result<PoolAnswer, Error> {
         let end = tokio::time::Instant::now() + timeout;
-        let connection = tokio::time::timeout_at(end, self.connection())
+        let connection = tokio::time::timeout_at(end, self.acquire())
             .await
             .map_err(|_| Error::NotSent("no free connection in time".into()))??;
         tokio::time::timeout_at(end, connection.send(request)).await.map_err(|_| Error::TimedOut)?
@@ -319,16 +319,16 @@
     ///
     /// # Errors
     /// [`Error::NotSent`].
-    pub async fn connection(&self) -> Result<PoolConnection, Error> {
+    pub async fn acquire(&self) -> Result<PoolConnection, Error> {
         let permit = Arc::clone(&self.permits)
             .acquire_owned()
             .await
             .map_err(|_| Error::NotSent("the pool is closed".into()))?;
-        let held_bytes = self.options.held_bytes;
+        let max_buffered_bytes = self.options.max_buffered_bytes;
         let kept = self.kept.load(Ordering::Relaxed);
         let ready = |sender| {
             let idle = Arc::clone(&self.idle);
-            PoolConnection { sender: Some(sender), kept, idle, held_bytes, _permit: permit }
+            PoolConnection { sender: Some(sender), kept, idle, max_buffered_bytes, _permit: permit }
         };
         while let Some(mut sender) = self.idle.take() {
             if sender.ready().await.is_ok() {
@@ -372,11 +372,11 @@
     ///
     /// # Errors
     /// [`Error::TooLarge`] if it has more, [`Error::Broken`] if its rest does not come.
-    pub async fn whole(self, most: usize) -> Result<Self, Error> {
+    pub async fn collect(self, most: usize) -> Result<Self, Error> {
         if self.body.len() > most {
             return Err(Error::TooLarge);
         }
-        let Some(mut rest) = self.rest else { return Ok(self) };
+        let Some(mut rest) = self.remaining else { return Ok(self) };
         let mut body = BytesMut::from(&self.body[..]);
         while let Some(frame) = rest.frame().await {
             if let Ok(data) = frame?.into_data() {
@@ -386,7 +386,7 @@
                 return Err(Error::TooLarge);
             }
         }
-        Ok(Self { body: body.freeze(), rest: None, ..self })
+        Ok(Self { body: body.freeze(), remaining: None, ..self })
     }
 }
 
@@ -394,7 +394,7 @@
 ///
 /// # Errors
 /// When the kernel refuses an option.
-pub fn end_when_silent(stream: &TcpStream) -> std::io::Result<()> {
+pub fn enable_dead_peer_detection(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
--- a/crates/hawthorn-pool/src/rest.rs
+++ b/crates/hawthorn-pool/src/remaining.rs
@@ -19,19 +19,19 @@
 /// Its connection is used again once it has ended; dropped before, it is closed,
 /// so that what is left of it cannot reach another request.
 #[derive(Debug)]
-pub struct AnswerRest {
+pub struct RemainingBody {
     incoming: Incoming,
     /// Boxed, as nearly all answers have no rest and are handed about.
     busy: Option<Box<BusySender>>,
 }
 
-impl AnswerRest {
+impl RemainingBody {
     pub(crate) fn new(incoming: Incoming, busy: BusySender) -> Self {
         Self { incoming, busy: Some(Box::new(busy)) }
     }
 }
 
-impl Body for AnswerRest {
+impl Body for RemainingBody {
     type Data = Bytes;
     type Error = Error;
 
--- a/crates/hawthorn-pool/tests/written.rs
+++ b/crates/hawthorn-pool/tests/connection.rs
@@ -17,8 +17,11 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::timeout;
 
-const OPTIONS: Options =
-    Options { connections: 4, held_bytes: 1024, connect_timeout: Duration::from_secs(5) };
+const OPTIONS: Options = Options {
+    max_connections: 4,
+    max_buffered_bytes: 1024,
+    connect_timeout: Duration::from_secs(5),
+};
 
 /// Longer than anything here takes.
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -57,7 +60,7 @@
     let (pool, ends) = pool().await;
     let first = Arc::clone(&pool);
     let first = tokio::spawn(async move {
-        let connection = first.connection().await.expect("two connections stand");
+        let connection = first.acquire().await.expect("two connections stand");
         connection.send(request("/first")).await
     });
     let next = tokio::spawn(async move { ends.iter().filter(|end| has_bytes(end)).count() });
@@ -75,7 +78,7 @@
     let held = Arc::clone(&pool);
     // Until the runtime has seen the end: what is polled before is a race by nature.
     tokio::time::sleep(Duration::from_millis(50)).await;
-    let connection = timeout(PATIENCE, held.connection()).await.expect("one stands");
+    let connection = timeout(PATIENCE, held.acquire()).await.expect("one stands");
     let sent = tokio::spawn(connection.expect("one stands").send(request("/kept")));
     tokio::time::sleep(Duration::from_millis(50)).await;
     assert!(has_bytes(&kept), "the request went to the connection that stands");
@@ -107,7 +110,7 @@
             }
         });
         let pool = TargetPool::new(address, OPTIONS);
-        pool.keep(kept);
+        pool.set_keep_alive(kept);
         for _ in 0..3 {
             pool.send(request("/"), PATIENCE).await.expect("the target answers");
         }
--- a/crates/hawthorn-socket/src/lib.rs
+++ b/crates/hawthorn-socket/src/lib.rs
@@ -14,7 +14,7 @@
 
 /// A connection as the kernel sees it at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PathReport {
+pub struct TcpInfo {
     /// The smoothed time from sending to the acknowledgement, to the
     /// microsecond; `None` before the first was measured. Of a peer that delays
     /// acknowledgements it holds that delay, but for the handshake's.
@@ -22,7 +22,7 @@
     /// Mean deviation of it, to the microsecond: half of it after the first.
     pub deviation: Duration,
     /// How long ago the last bytes came, read or not, to the millisecond.
-    pub quiet: Duration,
+    pub since_received: Duration,
 }
 
 /// Bytes of the kernel's answer that hold all that is used here: kernels add
@@ -33,7 +33,7 @@
 ///
 /// # Errors
 /// When it is no TCP connection, or the kernel does not tell.
-pub fn path(stream: &impl AsFd) -> io::Result<PathReport> {
+pub fn tcp_info(stream: &impl AsFd) -> io::Result<TcpInfo> {
     let mut info = MaybeUninit::<libc::tcp_info>::zeroed();
     let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
     // SAFETY: the pointer and the length describe `info`, which lives through the
@@ -58,9 +58,9 @@
     #[allow(unsafe_code)]
     let info = unsafe { info.assume_init() };
     let round_trip = Duration::from_micros(u64::from(info.tcpi_rtt));
-    Ok(PathReport {
+    Ok(TcpInfo {
         round_trip: Some(round_trip).filter(|round_trip| !round_trip.is_zero()),
         deviation: Duration::from_micros(u64::from(info.tcpi_rttvar)),
-        quiet: Duration::from_millis(u64::from(info.tcpi_last_data_recv)),
+        since_received: Duration::from_millis(u64::from(info.tcpi_last_data_recv)),
     })
 }
--- a/crates/hawthorn-socket/tests/path.rs
+++ b/crates/hawthorn-socket/tests/tcp_info.rs
@@ -18,11 +18,11 @@
     let (mut held, _) = listener.accept()?;
     caller.write_all(b"request")?;
     sleep(Duration::from_millis(150));
-    let report = hawthorn_socket::path(&held)?;
-    assert!(report.quiet >= Duration::from_millis(100), "{report:?}");
+    let report = hawthorn_socket::tcp_info(&held)?;
+    assert!(report.since_received >= Duration::from_millis(100), "{report:?}");
     held.read_exact(&mut [0; 7])?;
-    let read = hawthorn_socket::path(&held)?;
-    assert!(read.quiet >= report.quiet, "reading makes it no younger: {read:?}");
+    let read = hawthorn_socket::tcp_info(&held)?;
+    assert!(read.since_received >= report.since_received, "reading makes it no younger: {read:?}");
     assert!(report.round_trip.is_some_and(|way| way < Duration::from_secs(1)), "{report:?}");
     Ok(())
 }
@@ -30,6 +30,6 @@
 #[test]
 fn what_is_no_tcp_connection_is_refused() -> std::io::Result<()> {
     let socket = UdpSocket::bind("127.0.0.1:0")?;
-    assert!(hawthorn_socket::path(&socket).is_err());
+    assert!(hawthorn_socket::tcp_info(&socket).is_err());
     Ok(())
 }
--- a/crates/hawthorn-store/src/claim/keeper.rs
+++ b/crates/hawthorn-store/src/claim/client.rs
@@ -14,7 +14,7 @@
 use tokio_util::sync::CancellationToken;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::ClaimAsk;
+use super::ClaimRequest;
 use super::Options;
 use super::Outcome;
 use super::ProcessSeed;
@@ -34,7 +34,7 @@
 
 /// Claims for one host; clones share their tasks and counts.
 #[derive(Clone, Debug)]
-pub struct ClaimKeeper {
+pub struct ClaimClient {
     buckets: Arc<[mpsc::Sender<WaitingClaim>]>,
     counts: Arc<ClaimCounts>,
     options: Options,
@@ -47,7 +47,7 @@
     u32::try_from(bucket).expect("a remainder of a u32 fits one")
 }
 
-impl ClaimKeeper {
+impl ClaimClient {
     /// Starts one task for each bucket; they end, and give back what they
     /// can, when `cancel` is cancelled.
     pub fn spawn<S: Store>(
@@ -76,7 +76,7 @@
     }
 
     /// Claims a request. Returns by the deadline of `ask`.
-    pub async fn claim(&self, ask: ClaimAsk) -> Outcome {
+    pub async fn claim(&self, ask: ClaimRequest) -> Outcome {
         let outcome = match self.check(&ask) {
             Ok(stamp) => self.record(ask, stamp).await,
             Err(reason) => return Outcome::Refused(reason),
@@ -106,7 +106,7 @@
         }
     }
 
-    fn check(&self, ask: &ClaimAsk) -> Result<RequestStamp, RefusalReason> {
+    fn check(&self, ask: &ClaimRequest) -> Result<RequestStamp, RefusalReason> {
         let stamp = RequestStamp::parse(&ask.request_id);
         let stamp = stamp.map_err(|_| RefusalReason::BadRequestId)?;
         stamp.check(ask.unix_now, &self.options)?;
@@ -116,7 +116,7 @@
         Ok(stamp)
     }
 
-    async fn record(&self, ask: ClaimAsk, stamp: RequestStamp) -> Outcome {
+    async fn record(&self, ask: ClaimRequest, stamp: RequestStamp) -> Outcome {
         let bucket = bucket_of(&ask.caller, &ask.request_id, self.options.buckets);
         let (reply, answer) = oneshot::channel();
         let taken = Arc::new(AtomicBool::new(false));
--- a/crates/hawthorn-store/src/claim/mod.rs
+++ b/crates/hawthorn-store/src/claim/mod.rs
@@ -9,7 +9,7 @@
 mod count;
 mod grant;
 mod group;
-mod keeper;
+mod client;
 mod ledger;
 mod stamp;
 mod sweep;
@@ -21,13 +21,13 @@
 use hawthorn_types::UnknownReason;
 use tokio::time::Instant;
 
+pub use self::client::ClaimClient;
+pub use self::client::bucket_of;
 pub use self::count::ClaimCounts;
 pub use self::count::ClaimEvent;
 pub use self::grant::ClaimGrant;
 pub use self::grant::DispatchPermit;
 pub use self::grant::GrantExpired;
-pub use self::keeper::ClaimKeeper;
-pub use self::keeper::bucket_of;
 pub use self::stamp::ParseError;
 pub use self::stamp::RequestStamp;
 pub use self::sweep::SweepOutcome;
@@ -97,7 +97,7 @@
 
 /// A request that wants to run.
 #[derive(Clone, Debug)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     /// The caller.
     pub caller: String,
     /// The caller's own request id.
--- a/crates/hawthorn-store/src/lib.rs
+++ b/crates/hawthorn-store/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod edit;
 pub mod store;
 
-pub use claim::ClaimKeeper;
+pub use claim::ClaimClient;
 pub use client::StoreClient;
 pub use store::DeleteOutcome;
 pub use store::NotRunCause;
--- a/crates/hawthorn-store/tests/claim.rs
+++ b/crates/hawthorn-store/tests/claim.rs
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hawthorn_store::ClaimKeeper;
+use hawthorn_store::ClaimClient;
 use hawthorn_store::claim;
-use hawthorn_store::claim::ClaimAsk;
 use hawthorn_store::claim::ClaimEvent;
+use hawthorn_store::claim::ClaimRequest;
 use hawthorn_store::claim::GrantExpired;
 use hawthorn_store::claim::Outcome;
 use hawthorn_store::claim::ProcessSeed;
@@ -165,7 +165,7 @@
         (601, CallerOutcome::NotRun(RefusalReason::RequestIdTooOld)),
     ] {
         sleep(SETTLED).await;
-        let ask = ClaimAsk { unix_now: unix(NOW + age), ..ask("1700000000-a") };
+        let ask = ClaimRequest { unix_now: unix(NOW + age), ..ask("1700000000-a") };
         assert_eq!(second.claim(ask).await.refusal(), Some(told), "{age} s later");
     }
     Ok(())
@@ -313,7 +313,7 @@
 async fn a_stopping_keeper_grants_nothing() -> TestResult {
     let store = FakeStore::new(LATENCY);
     let cancel = CancellationToken::new();
-    let keeper = ClaimKeeper::spawn(Arc::new(store), ProcessSeed(1), &cancel, options());
+    let keeper = ClaimClient::spawn(Arc::new(store), ProcessSeed(1), &cancel, options());
     cancel.cancel();
     sleep(SETTLED).await;
     let outcome = keeper.claim(ask("1700000000-a")).await;
--- a/crates/hawthorn-store/tests/claim_interleaving.rs
+++ b/crates/hawthorn-store/tests/claim_interleaving.rs
@@ -6,7 +6,7 @@
 use std::error::Error;
 use std::time::Duration;
 
-use hawthorn_store::ClaimKeeper;
+use hawthorn_store::ClaimClient;
 use hawthorn_store::claim::Outcome;
 use proptest::prelude::*;
 use proptest::test_runner::Config;
@@ -46,7 +46,7 @@
 async fn interleave(sends: Vec<Send>, seed: u64) -> Result<u32, String> {
     let rates = FaultRates { outage: 12, lost_answer: 15, runs_later: 15, rate_limited: 5 };
     let store = FakeStore::seeded(LATENCY, rates, seed);
-    let hosts: Vec<ClaimKeeper> = (0..3).map(|host| keeper(&store, host)).collect();
+    let hosts: Vec<ClaimClient> = (0..3).map(|host| keeper(&store, host)).collect();
     let mut claims = JoinSet::new();
     for send in sends {
         let keeper = hosts[send.host].clone();
--- a/crates/hawthorn-store/tests/support/claims.rs
+++ b/crates/hawthorn-store/tests/support/claims.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hawthorn_store::ClaimKeeper;
+use hawthorn_store::ClaimClient;
 use hawthorn_store::claim;
-use hawthorn_store::claim::ClaimAsk;
 use hawthorn_store::claim::ClaimGrant;
+use hawthorn_store::claim::ClaimRequest;
 use hawthorn_store::claim::GrantExpired;
 use hawthorn_store::claim::Outcome;
 use hawthorn_store::claim::ProcessSeed;
@@ -28,13 +28,13 @@
     claim::Options { buckets: 1, ..claim::Options::default() }
 }
 
-pub fn keeper(store: &FakeStore, seed: u64) -> ClaimKeeper {
+pub fn keeper(store: &FakeStore, seed: u64) -> ClaimClient {
     let cancel = CancellationToken::new();
-    ClaimKeeper::spawn(Arc::new(store.clone()), ProcessSeed(seed), &cancel, options())
+    ClaimClient::spawn(Arc::new(store.clone()), ProcessSeed(seed), &cancel, options())
 }
 
-pub fn ask(request_id: &str) -> ClaimAsk {
-    ClaimAsk {
+pub fn ask(request_id: &str) -> ClaimRequest {
+    ClaimRequest {
         caller: "port-desk".to_owned(),
         request_id: request_id.to_owned(),
         deadline: Instant::now() + Duration::from_millis(800),
--- a/crates/hawthorn-store/tests/support/load.rs
+++ b/crates/hawthorn-store/tests/support/load.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hawthorn_store::ClaimKeeper;
+use hawthorn_store::ClaimClient;
 use hawthorn_store::claim;
-use hawthorn_store::claim::ClaimAsk;
 use hawthorn_store::claim::ClaimEvent;
+use hawthorn_store::claim::ClaimRequest;
 use hawthorn_store::claim::Outcome;
 use hawthorn_store::claim::ProcessSeed;
 use tokio::task::JoinSet;
@@ -53,9 +53,9 @@
     let cancel = CancellationToken::new();
     let keeper = |host| {
         let seed = ProcessSeed(TYPICAL_SEED + host);
-        ClaimKeeper::spawn(Arc::new(store.clone()), seed, &cancel, options)
+        ClaimClient::spawn(Arc::new(store.clone()), seed, &cancel, options)
     };
-    let keepers: Vec<ClaimKeeper> = (0..hosts).map(keeper).collect();
+    let keepers: Vec<ClaimClient> = (0..hosts).map(keeper).collect();
     let started = Instant::now();
     let mut claims = JoinSet::new();
     for number in 0..rate * seconds {
@@ -64,7 +64,7 @@
         let keeper = keepers[(number % hosts) as usize].clone();
         claims.spawn(async move {
             let second = FIRST_SECOND + at.as_secs();
-            let ask = ClaimAsk {
+            let ask = ClaimRequest {
                 caller: "port-desk".to_owned(),
                 request_id: format!("{second}-{number:06}"),
                 deadline: Instant::now() + PATIENCE,
