--- a/crates/hawthorn-metrics/src/lib.rs
+++ b/crates/hawthorn-metrics/src/lib.rs
@@ -1,7 +1,7 @@
-//! Instruments of a process and their text at its metrics address.
+//! Metric instruments of a process, exported in the Prometheus text format.
 //!
-//! What is counted is the matter of whoever makes instruments of the meter; here
-//! is only how they come to be shown.
+//! The instruments themselves are defined by the users of the meter; this crate only
+//! exports them.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms)]
 
@@ -14,17 +14,17 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why metrics could not be set up.
+    /// Failure to set up metrics.
     #[derive(Debug)]
     pub enum Error {
-        /// The exporter refused its registry.
+        /// The exporter could not be built on the registry.
         Exporter(text: String) {
             display("metrics exporter: {text}")
         }
     }
 }
 
-/// All instruments of a process, as they are shown.
+/// Exports all instruments of a process.
 #[derive(Clone, Debug)]
 pub struct MetricExporter {
     registry: Registry,
@@ -32,7 +32,7 @@
 }
 
 impl MetricExporter {
-    /// An exporter without instruments yet.
+    /// Creates an exporter without instruments.
     ///
     /// # Errors
     /// When the exporter cannot be built.
@@ -46,12 +46,12 @@
         Ok(Self { registry, provider })
     }
 
-    /// Makes instruments that this exporter shows.
+    /// Returns the meter whose instruments are exported.
     pub fn meter(&self) -> Meter {
         self.provider.meter("hawthornroute")
     }
 
-    /// All of them in Prometheus' text format.
+    /// Renders all instruments in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut text = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut text) {
--- a/crates/hawthorn-socket/src/lib.rs
+++ b/crates/hawthorn-socket/src/lib.rs
@@ -1,7 +1,7 @@
-//! What the kernel tells of a TCP connection.
+//! The kernel's statistics of a TCP connection.
 //!
-//! The one crate with an unsafe call: `getsockopt(TCP_INFO)`, which no library
-//! of the workspace offers by a safe function.
+//! The only crate with unsafe code: `getsockopt(TCP_INFO)`, for which no dependency of
+//! the workspace offers a safe wrapper.
 #![deny(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms)]
 
@@ -12,32 +12,34 @@
 use std::os::fd::AsRawFd;
 use std::time::Duration;
 
-/// A connection as the kernel sees it at one moment.
+/// Kernel statistics of a connection at one point in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TcpInfo {
-    /// The smoothed time from sending to the acknowledgement, to the
-    /// microsecond; `None` before the first was measured. Of a peer that delays
-    /// acknowledgements it holds that delay, but for the handshake's.
+    /// Smoothed round-trip time, in microsecond resolution; `None` before the first
+    /// sample. If the peer delays acknowledgements it includes that delay, except in the
+    /// sample from the handshake.
     pub round_trip: Option<Duration>,
-    /// Mean deviation of it, to the microsecond: half of it after the first.
+    /// Mean deviation of the round-trip time, in microsecond resolution; half the
+    /// round-trip time after the first sample.
     pub deviation: Duration,
-    /// How long ago the last bytes came, read or not, to the millisecond.
+    /// Time since data was last received, whether it has been read or not, in
+    /// millisecond resolution.
     pub since_received: Duration,
 }
 
-/// Bytes of the kernel's answer that hold all that is used here: kernels add
-/// fields at its end.
-const NEEDED_BYTES: usize = offset_of!(libc::tcp_info, tcpi_snd_ssthresh);
+/// Length of the prefix of `tcp_info` that contains all fields used here. Newer kernels
+/// append fields, so the length returned varies.
+const MIN_INFO_BYTES: usize = offset_of!(libc::tcp_info, tcpi_snd_ssthresh);
 
-/// Asks the kernel for the state of a connection.
+/// Reads the kernel's statistics of a connection.
 ///
 /// # Errors
-/// When it is no TCP connection, or the kernel does not tell.
+/// If `stream` is not a TCP socket, or the kernel returns fewer fields than are used here.
 pub fn tcp_info(stream: &impl AsFd) -> io::Result<TcpInfo> {
     let mut info = MaybeUninit::<libc::tcp_info>::zeroed();
     let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
-    // SAFETY: the pointer and the length describe `info`, which lives through the
-    // call, and the kernel writes no more than `length` bytes.
+    // SAFETY: the pointer and the length describe `info`, which outlives the call, and
+    // the kernel writes at most `length` bytes.
     #[allow(unsafe_code)]
     let code = unsafe {
         libc::getsockopt(
@@ -51,10 +53,10 @@
     if code != 0 {
         return Err(io::Error::last_os_error());
     }
-    if (length as usize) < NEEDED_BYTES {
-        return Err(io::Error::new(io::ErrorKind::Unsupported, "the kernel tells too little"));
+    if (length as usize) < MIN_INFO_BYTES {
+        return Err(io::Error::new(io::ErrorKind::Unsupported, "TCP_INFO lacks required fields"));
     }
-    // SAFETY: all bytes were zeroed, and any bytes are a value of a struct of integers.
+    // SAFETY: all bytes are initialized, and any bit pattern is valid for integer fields.
     #[allow(unsafe_code)]
     let info = unsafe { info.assume_init() };
     let round_trip = Duration::from_micros(u64::from(info.tcpi_rtt));
