--- a/crates/hawthorn-store/src/client/call.rs
+++ b/crates/hawthorn-store/src/client/call.rs
@@ -1,4 +1,5 @@
-//! One call: waits for a connection, sends, backs off from 429, gives up at its deadline.
+//! Executes a call: waits for a connection, sends, backs off after 429, and fails at its
+//! deadline.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -29,23 +30,25 @@
 use crate::store::NotRunCause;
 use crate::store::UncertainCause;
 
-/// A connection on which nothing comes is probed by the kernel after so long.
-/// Failure: a watch waits on a connection that went silent without a reset, and
-/// a change is heard of only when the watch would have ended anyway.
-const SILENCE_PROBE: Duration = Duration::from_millis(1000);
-/// Probes without an answer that end a connection.
-const SILENCE_PROBES: u32 = 2;
-/// An answer may be so many times the largest value: JSON escapes, and a list of keys.
-const ANSWER_FACTOR: usize = 4;
-
-/// A call as it is to be sent.
+/// Idle time before the first TCP keepalive probe, and interval between probes.
+///
+/// Failure: a watch waits on a connection that was lost without a reset, and a change is
+/// noticed only when the watch times out.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(1000);
+/// Unanswered keepalive probes after which the kernel closes the connection.
+const KEEPALIVE_RETRIES: u32 = 2;
+/// Maximum size of an answer as a multiple of the largest value: JSON escapes and lists of
+/// keys make it larger than the value.
+const ANSWER_SIZE_FACTOR: usize = 4;
+
+/// A call to the store.
 #[derive(Clone, Debug)]
 pub(super) struct StoreCall {
     kind: CallKind,
     method: Method,
     path: String,
     body: Bytes,
-    lasts: Duration,
+    server_wait: Duration,
 }
 
 impl StoreCall {
@@ -54,16 +57,16 @@
     }
 
     pub(super) fn with_body(kind: CallKind, method: Method, path: String, body: Vec<u8>) -> Self {
-        Self { kind, method, path, body: body.into(), lasts: Duration::ZERO }
+        Self { kind, method, path, body: body.into(), server_wait: Duration::ZERO }
     }
 
-    /// The store itself waits so long before it answers.
-    pub(super) fn lasting(self, lasts: Duration) -> Self {
-        Self { lasts, ..self }
+    /// Sets how long the store may wait before it answers, which extends the deadline.
+    pub(super) fn with_server_wait(self, server_wait: Duration) -> Self {
+        Self { server_wait, ..self }
     }
 }
 
-/// What a call came to, before its meaning for the key is read.
+/// Result of a call, before it is interpreted for its kind.
 #[derive(Clone, Debug)]
 pub(super) enum CallReply {
     Answered(StatusCode, Bytes),
@@ -72,7 +75,7 @@
 }
 
 #[derive(Debug)]
-pub(super) struct Caller {
+pub(super) struct CallExecutor {
     http: Client<HttpConnector, Full<Bytes>>,
     address: SocketAddr,
     options: Options,
@@ -82,18 +85,18 @@
     counts: CallCounts,
 }
 
-impl Caller {
+impl CallExecutor {
     pub(super) fn new(address: SocketAddr, options: Options) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_local_address(options.source);
         connector.set_connect_timeout(Some(options.connect_timeout));
-        connector.set_keepalive(Some(SILENCE_PROBE));
-        connector.set_keepalive_interval(Some(SILENCE_PROBE));
-        connector.set_keepalive_retries(Some(SILENCE_PROBES));
+        connector.set_keepalive(Some(KEEPALIVE_INTERVAL));
+        connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
+        connector.set_keepalive_retries(Some(KEEPALIVE_RETRIES));
         let http = Client::builder(TokioExecutor::new())
             .pool_max_idle_per_host(options.max_calls + options.max_watches)
-            // A write sent again by the library would be a second write.
+            // A write retried by the library could be applied twice.
             .retry_canceled_requests(false)
             .build(connector);
         Self {
@@ -115,37 +118,37 @@
         &self.counts
     }
 
-    /// Makes the call. Only a 429 is tried again: it says that nothing ran.
+    /// Executes the call. Only a 429 is retried, as it guarantees that nothing ran.
     pub(super) async fn call(&self, call: StoreCall) -> CallReply {
-        let deadline = Instant::now() + self.options.call_deadline + call.lasts;
+        let deadline = Instant::now() + self.options.call_deadline + call.server_wait;
         let mut backoff = self.options.min_backoff;
-        let mut limited = false;
+        let mut rate_limited = false;
         loop {
             match self.exchange(&call, deadline).await {
-                CallReply::Answered(StatusCode::TOO_MANY_REQUESTS, _) => limited = true,
-                // The time ran out while backing off.
-                CallReply::NotRun(NotRunCause::QueueFull) if limited => {
+                CallReply::Answered(StatusCode::TOO_MANY_REQUESTS, _) => rate_limited = true,
+                // The deadline passed during a backoff.
+                CallReply::NotRun(NotRunCause::QueueFull) if rate_limited => {
                     return CallReply::NotRun(NotRunCause::RateLimited);
                 }
                 reply => return reply,
             }
-            let pause = self.spread(backoff);
-            if Instant::now() + pause + self.options.min_exchange > deadline {
+            let delay = self.jittered(backoff);
+            if Instant::now() + delay + self.options.min_exchange > deadline {
                 return CallReply::NotRun(NotRunCause::RateLimited);
             }
-            sleep(pause).await;
+            sleep(delay).await;
             backoff = (backoff * 2).min(self.options.max_backoff);
         }
     }
 
     async fn exchange(&self, call: &StoreCall, deadline: Instant) -> CallReply {
-        let turns = if call.kind == CallKind::Watch { &self.watches } else { &self.calls };
-        let Ok(Ok(_turn)) = timeout_at(deadline, turns.acquire()).await else {
+        let permits = if call.kind == CallKind::Watch { &self.watches } else { &self.calls };
+        let Ok(Ok(_permit)) = timeout_at(deadline, permits.acquire()).await else {
             self.counts.add(call.kind, CallOutcome::QueueFull);
             return CallReply::NotRun(NotRunCause::QueueFull);
         };
-        // A write sent without time for its answer is a doubt of our own making:
-        // when the store hangs, all that queued would be sent at the deadline.
+        // A write sent without enough time for its answer would needlessly become
+        // uncertain: when the store hangs, all queued calls would be sent at their deadline.
         if Instant::now() + self.options.min_exchange > deadline {
             self.counts.add(call.kind, CallOutcome::QueueFull);
             return CallReply::NotRun(NotRunCause::QueueFull);
@@ -158,8 +161,8 @@
         reply
     }
 
-    /// Sends once. A failure to connect is the only one after which it is
-    /// certain that the store never saw the request.
+    /// Sends the request once. Only a failure to connect guarantees that the store did not
+    /// receive it.
     async fn send(&self, call: &StoreCall) -> CallReply {
         let request = Request::builder()
             .method(call.method.clone())
@@ -177,9 +180,9 @@
             Err(_) => return CallReply::Uncertain(UncertainCause::ConnectionLost),
         };
         let status = response.status();
-        let limit = self.options.max_value * ANSWER_FACTOR;
-        // The body of an outage is read as well: a connection left with an
-        // unread body is closed, and an outage would become a storm of connects.
+        let limit = self.options.max_value * ANSWER_SIZE_FACTOR;
+        // The body of a 503 is read as well: a connection with an unread body is closed, and
+        // an outage would cause a burst of reconnects.
         match Limited::new(response.into_body(), limit).collect().await {
             _ if status == StatusCode::SERVICE_UNAVAILABLE => {
                 CallReply::Uncertain(UncertainCause::Outage)
@@ -189,10 +192,11 @@
         }
     }
 
-    /// Between half and all of `pause`, so that hosts limited together return apart.
-    fn spread(&self, pause: Duration) -> Duration {
+    /// Returns a random delay of 50 to 100 % of `backoff`, so that hosts that were rate
+    /// limited at the same time do not retry at the same time.
+    fn jittered(&self, backoff: Duration) -> Duration {
         let mut jitter = self.jitter.lock().expect("no holder of the lock panics");
-        pause.mul_f64(jitter.random_range(0.5..1.0))
+        backoff.mul_f64(jitter.random_range(0.5..1.0))
     }
 }
 
--- a/crates/hawthorn-store/src/client/count.rs
+++ b/crates/hawthorn-store/src/client/count.rs
@@ -1,4 +1,4 @@
-//! Counts of calls, by kind and outcome.
+//! Call counters by kind and outcome.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -9,7 +9,7 @@
 use strum::IntoEnumIterator;
 use strum::IntoStaticStr;
 
-/// What a call asks for.
+/// Kind of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumCount, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum CallKind {
@@ -25,33 +25,33 @@
     Watch,
     /// Grant or renew a lease.
     Lease,
-    /// Read the list of hosts.
+    /// Read the platform's list of hosts.
     Hosts,
 }
 
-/// What one exchange with the store came to.
+/// Outcome of one exchange with the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumCount, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum CallOutcome {
-    /// Answered as asked.
+    /// The store returned success.
     Ok,
-    /// Answered that the key is absent or the lease lapsed.
+    /// The key does not exist, or the lease has expired.
     Absent,
-    /// Answered that the expectation did not hold.
+    /// The key did not have the expected revision.
     Conflict,
-    /// Answered 429.
+    /// The store returned 429.
     RateLimited,
-    /// Answered 503.
+    /// The store returned 503.
     Outage,
-    /// Not answered before the deadline.
+    /// No answer arrived before the deadline.
     Timeout,
-    /// No connection was made.
+    /// No connection could be established.
     Unreachable,
     /// The connection broke after the request was sent.
     ConnectionLost,
-    /// Never sent: no connection became free in time.
+    /// Not sent: no connection became available in time.
     QueueFull,
-    /// Answered something else.
+    /// Any other outcome.
     Other,
 }
 
@@ -62,12 +62,12 @@
 }
 
 impl CallCounts {
-    /// Exchanges of `kind` that came to `outcome`.
+    /// Number of exchanges of `kind` with `outcome`.
     pub fn get(&self, kind: CallKind, outcome: CallOutcome) -> u64 {
         self.cells[kind as usize][outcome as usize].load(Ordering::Relaxed)
     }
 
-    /// Every counter that is not zero.
+    /// All counters that are not zero.
     pub fn iter(&self) -> impl Iterator<Item = (CallKind, CallOutcome, u64)> {
         let cells = CallKind::iter()
             .flat_map(|kind| CallOutcome::iter().map(move |outcome| (kind, outcome)));
@@ -76,7 +76,7 @@
             .filter(|(_, _, count)| *count > 0)
     }
 
-    /// Exchanges that reached the store, over all kinds.
+    /// Number of exchanges of all kinds that were sent to the store.
     pub fn sent(&self) -> u64 {
         let sent = |outcome: &CallOutcome| {
             !matches!(outcome, CallOutcome::QueueFull | CallOutcome::Unreachable)
--- a/crates/hawthorn-store/src/client/mod.rs
+++ b/crates/hawthorn-store/src/client/mod.rs
@@ -1,5 +1,5 @@
-//! The store over HTTP/1.1: bounded connections, a deadline for each call,
-//! every call counted by kind and outcome.
+//! HTTP/1.1 client of the store: bounded connections, a deadline for each call, and counters
+//! by kind and outcome.
 
 mod call;
 mod count;
@@ -20,8 +20,8 @@
 use http::StatusCode;
 use serde::de::DeserializeOwned;
 
+use self::call::CallExecutor;
 use self::call::CallReply;
-use self::call::Caller;
 use self::call::StoreCall;
 pub use self::count::CallCounts;
 pub use self::count::CallKind;
@@ -36,27 +36,28 @@
 /// Limits of the client.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Calls at a time, watches apart, and so connections. Bounds what a host
-    /// adds to a store that is slow: later calls wait here, not there.
+    /// Maximum number of concurrent calls, and so of connections, excluding watches.
+    /// Limits the load of a host on a slow store: further calls queue in the client.
     pub max_calls: usize,
-    /// Watches at a time; each holds a connection and counts as a call.
+    /// Maximum number of concurrent watches; each uses a connection and counts as a call.
     pub max_watches: usize,
-    /// How long a call may take, the wait for a connection and all backing off included.
+    /// Deadline of a call, including the wait for a connection and all backoffs.
     pub call_deadline: Duration,
-    /// Time that must be left of a call when it is sent: a few answers of a
-    /// healthy store.
+    /// Minimum time until the deadline when a call is sent: a few response times of a healthy
+    /// store.
     pub min_exchange: Duration,
-    /// How long connecting may take.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// First pause after a 429; doubles with each further one.
+    /// Backoff after the first 429; doubles with each further one.
     pub min_backoff: Duration,
-    /// Longest pause after a 429.
+    /// Maximum backoff after a 429.
     pub max_backoff: Duration,
-    /// The largest value the store takes, in bytes.
+    /// Maximum size of a value in bytes.
     pub max_value: usize,
-    /// The address that connections come from; any where none is named.
+    /// Local address of connections; chosen by the kernel if `None`.
     pub source: Option<IpAddr>,
-    /// Seeds the jitter; different on each host, so that hosts do not return together.
+    /// Seed of the backoff jitter; different on each host, so that hosts do not retry at the
+    /// same time.
     pub seed: u64,
 }
 
@@ -77,30 +78,30 @@
     }
 }
 
-/// What a watch came to.
+/// Outcome of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchOutcome {
-    /// The key is newer than asked.
+    /// The key has a newer revision.
     Changed(StoreEntry),
-    /// Nothing new within the wait.
+    /// The key did not change within the wait.
     Unchanged,
 }
 
-/// A client of the platform's store; clones share connections and counts.
+/// Client of the platform's store. Clones share connections and counters.
 #[derive(Clone, Debug)]
 pub struct StoreClient {
-    caller: Arc<Caller>,
+    executor: Arc<CallExecutor>,
 }
 
 impl StoreClient {
-    /// A client of the store at `address`. Connects at the first call.
+    /// Creates a client of the store at `address`. Connects at the first call.
     pub fn new(address: SocketAddr, options: Options) -> Self {
-        Self { caller: Arc::new(Caller::new(address, options)) }
+        Self { executor: Arc::new(CallExecutor::new(address, options)) }
     }
 
-    /// All calls made, by kind and outcome.
+    /// Call counters by kind and outcome.
     pub fn counts(&self) -> &CallCounts {
-        self.caller.counts()
+        self.executor.counts()
     }
 
     /// Waits up to `wait` for `key` to have a revision greater than `after`.
@@ -111,26 +112,26 @@
         wait: Duration,
     ) -> Result<WatchOutcome, ReadError> {
         let path = format!("/watch/{key}?after={after}&wait_ms={}", wait.as_millis());
-        let call = StoreCall::read(CallKind::Watch, path).lasting(wait);
-        let reply = self.caller.call(call).await;
+        let call = StoreCall::read(CallKind::Watch, path).with_server_wait(wait);
+        let reply = self.executor.call(call).await;
         match reply {
             CallReply::Answered(StatusCode::NO_CONTENT, _) => Ok(WatchOutcome::Unchanged),
             reply => Ok(WatchOutcome::Changed(read_body(reply)?)),
         }
     }
 
-    /// Reads a path of a store that speaks another dialect: counted, bounded and
-    /// backed off as every call. `lasting` is how long the store itself may wait.
+    /// Reads a path of a store with another API, with the limits, backoff and counters of every
+    /// call. `server_wait` is how long the store may wait before it answers.
     ///
     /// # Errors
-    /// When no answer came, or the store says that nothing was done.
+    /// If the store did not answer or did not run the call.
     pub async fn read_path(
         &self,
         kind: CallKind,
         path: String,
-        lasting: Duration,
+        server_wait: Duration,
     ) -> Result<(StatusCode, Bytes), ReadError> {
-        match self.caller.call(StoreCall::read(kind, path).lasting(lasting)).await {
+        match self.executor.call(StoreCall::read(kind, path).with_server_wait(server_wait)).await {
             CallReply::Answered(status, body) => Ok((status, body)),
             CallReply::NotRun(cause) => Err(ReadError::NotRun(cause)),
             CallReply::Uncertain(cause) => Err(ReadError::NoAnswer(cause)),
@@ -139,67 +140,67 @@
 
     /// Posts a body to a path of a store with another API, as
     /// [`read_path`](Self::read_path) does for reads. The call is not idempotent: it may
-    /// have taken effect even if no answer came.
+    /// have taken effect even if no answer arrived.
     ///
     /// # Errors
-    /// When no answer came, or the store says that nothing was done.
+    /// If the store did not answer or did not run the call.
     pub async fn post_path(
         &self,
         kind: CallKind,
         path: String,
         body: Vec<u8>,
     ) -> Result<(StatusCode, Bytes), ReadError> {
-        match self.caller.call(StoreCall::with_body(kind, Method::POST, path, body)).await {
+        match self.executor.call(StoreCall::with_body(kind, Method::POST, path, body)).await {
             CallReply::Answered(status, body) => Ok((status, body)),
             CallReply::NotRun(cause) => Err(ReadError::NotRun(cause)),
             CallReply::Uncertain(cause) => Err(ReadError::NoAnswer(cause)),
         }
     }
 
-    /// Asks for a lease of `ttl`.
+    /// Requests a lease with time to live `ttl`.
     ///
-    /// A lease says who should act, never who may: a paused holder does not
-    /// notice that it lapsed. What must happen once is a [`crate::claim`].
+    /// A lease is advisory and does not exclude others: a paused holder does not notice that it
+    /// has expired. Use [`crate::claim`] for requests that must run at most once.
     pub async fn grant_lease(&self, ttl: Duration) -> Result<LeaseAnswer, ReadError> {
         let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX);
         let body = encode(&LeaseGrant { ttl_ms });
         let call = StoreCall::with_body(CallKind::Lease, Method::POST, "/leases".to_owned(), body);
-        read_body(self.caller.call(call).await)
+        read_body(self.executor.call(call).await)
     }
 
-    /// Renews a lease; `None` when it has lapsed.
+    /// Renews a lease; `None` if it has expired.
     pub async fn renew_lease(&self, lease: u64) -> Result<Option<LeaseAnswer>, ReadError> {
         let path = format!("/leases/{lease}/renew");
         let call = StoreCall::with_body(CallKind::Lease, Method::POST, path, Vec::new());
-        match self.caller.call(call).await {
+        match self.executor.call(call).await {
             CallReply::Answered(StatusCode::NOT_FOUND, _) => Ok(None),
             reply => read_body(reply).map(Some),
         }
     }
 
-    /// The platform's list of hosts, which lags.
+    /// Reads the platform's list of hosts, which may be stale.
     pub async fn hosts(&self) -> Result<Vec<HostEntry>, ReadError> {
         let call = StoreCall::read(CallKind::Hosts, "/hosts".to_owned());
-        read_body(self.caller.call(call).await)
+        read_body(self.executor.call(call).await)
     }
 }
 
 impl Store for StoreClient {
     async fn get(&self, key: &str) -> Result<Option<StoreEntry>, ReadError> {
         let call = StoreCall::read(CallKind::Get, format!("/kv/{key}"));
-        match self.caller.call(call).await {
+        match self.executor.call(call).await {
             CallReply::Answered(StatusCode::NOT_FOUND, _) => Ok(None),
             reply => read_body(reply).map(Some),
         }
     }
 
     async fn put(&self, key: &str, put: StorePut) -> WriteOutcome {
-        if put.value.len() > self.caller.options().max_value {
+        if put.value.len() > self.executor.options().max_value {
             return WriteOutcome::NotRun(NotRunCause::BadRequest);
         }
         let path = format!("/kv/{key}");
         let call = StoreCall::with_body(CallKind::Put, Method::PUT, path, encode(&put));
-        match self.caller.call(call).await {
+        match self.executor.call(call).await {
             CallReply::NotRun(cause) => WriteOutcome::NotRun(cause),
             CallReply::Uncertain(cause) => WriteOutcome::Uncertain(cause),
             CallReply::Answered(StatusCode::OK, body) => match decode::<StoreEntry>(&body) {
@@ -219,7 +220,7 @@
     async fn delete(&self, key: &str, expect: u64) -> DeleteOutcome {
         let path = format!("/kv/{key}?expect={expect}");
         let call = StoreCall::with_body(CallKind::Delete, Method::DELETE, path, Vec::new());
-        match self.caller.call(call).await {
+        match self.executor.call(call).await {
             CallReply::NotRun(cause) => DeleteOutcome::NotRun(cause),
             CallReply::Uncertain(cause) => DeleteOutcome::Uncertain(cause),
             CallReply::Answered(StatusCode::OK, _) => DeleteOutcome::Deleted,
@@ -231,7 +232,7 @@
 
     async fn list(&self, prefix: &str) -> Result<Vec<StoreEntry>, ReadError> {
         let call = StoreCall::read(CallKind::List, format!("/list/{prefix}"));
-        read_body(self.caller.call(call).await)
+        read_body(self.executor.call(call).await)
     }
 }
 
--- a/crates/hawthorn-store/src/edit/document.rs
+++ b/crates/hawthorn-store/src/edit/document.rs
@@ -1,4 +1,4 @@
-//! The document that holds the operators' configuration.
+//! The stored configuration document.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,15 +6,15 @@
 /// One revision of the configuration, as JSON at [`super::CURRENT_KEY`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigDocument {
-    /// Counts up by one with each edit; has nothing to do with the store's revisions.
+    /// Increases by one with each edit; independent of the store's revisions.
     pub revision: u64,
-    /// The id of the edit that made it.
+    /// The id of the edit that created this revision.
     pub edit_id: String,
-    /// Who made it.
+    /// The author of the edit.
     pub author: String,
-    /// When, in Unix milliseconds, by the author's clock.
+    /// Time of the edit in Unix milliseconds, by the author's clock.
     pub changed_at: u64,
-    /// The id of the edit that it replaced; `None` for the first.
+    /// The id of the edit that this one replaced; `None` for the first.
     pub parent: Option<String>,
     /// The inventory, as TOML.
     pub inventory: String,
@@ -23,12 +23,12 @@
 }
 
 impl ConfigDocument {
-    /// The document as JSON.
+    /// Encodes the document as JSON.
     pub fn encode(&self) -> String {
         serde_json::to_string(self).expect("the document is a plain struct with string keys")
     }
 
-    /// Reads a document from JSON; `None` when it is none.
+    /// Decodes a document from JSON; `None` if it is invalid.
     pub fn decode(value: &str) -> Option<Self> {
         serde_json::from_str(value).ok()
     }
--- a/crates/hawthorn-store/src/edit/history.rs
+++ b/crates/hawthorn-store/src/edit/history.rs
@@ -1,7 +1,7 @@
-//! Earlier revisions of the configuration, a bounded number of them.
+//! A bounded number of earlier configuration revisions.
 //!
-//! A revision enters the history before it is replaced, so the history holds
-//! only what was once in force, and every replaced revision is in it.
+//! A revision is added to the history before it is replaced, so the history contains only
+//! revisions that were in force, and every replaced revision is added to it.
 
 use hawthorn_types::platform::StorePut;
 
@@ -11,38 +11,38 @@
 use crate::store::Store;
 use crate::store::WriteOutcome;
 
-/// The keys of earlier revisions begin so; the revision follows.
+/// Key prefix of earlier revisions, followed by the revision.
 pub const PREFIX: &str = "config/history/";
 
-/// The earlier revisions kept, ascending.
+/// Lists the earlier revisions kept, in ascending order.
 pub async fn list(store: &impl Store) -> Result<Vec<u64>, ReadError> {
     let entries = store.list(PREFIX).await?;
-    let numbers = entries.iter().filter_map(|entry| entry.key.strip_prefix(PREFIX)?.parse().ok());
-    let mut revisions: Vec<u64> = numbers.collect();
+    let parsed = entries.iter().filter_map(|entry| entry.key.strip_prefix(PREFIX)?.parse().ok());
+    let mut revisions: Vec<u64> = parsed.collect();
     revisions.sort_unstable();
     Ok(revisions)
 }
 
-/// An earlier revision; `None` when it is not kept.
+/// Reads an earlier revision; `None` if it is not kept.
 pub async fn read(store: &impl Store, revision: u64) -> Result<Option<ConfigDocument>, Error> {
     let found = super::read(store, &key(revision)).await?;
     Ok(found.map(|(_, document)| document))
 }
 
-/// Keeps `value` as `revision`. When its answer is lost the edit that needs it
-/// has written nothing, so that counts as a read that failed.
-pub(super) async fn keep(store: &impl Store, revision: u64, value: &str) -> Result<(), Error> {
+/// Adds `value` to the history as `revision`. An uncertain write is reported as a failed read,
+/// since the edit has not written the configuration yet.
+pub(super) async fn append(store: &impl Store, revision: u64, value: &str) -> Result<(), Error> {
     let put = StorePut { expect: 0, value: value.to_owned(), lease: None };
     match store.put(&key(revision), put).await {
-        // A conflict means that another editor kept the same document.
+        // A conflict means that another editor added the same document.
         WriteOutcome::Written { .. } | WriteOutcome::Conflict { .. } => Ok(()),
         WriteOutcome::NotRun(cause) => Err(Error::NotRun(cause)),
         WriteOutcome::Uncertain(cause) => Err(Error::Read(ReadError::NoAnswer(cause))),
     }
 }
 
-/// Deletes what is older than `kept` revisions before `newest`. What fails to
-/// be deleted is deleted after a later edit.
+/// Deletes revisions that precede `newest` by more than `kept`. Failed deletions are retried
+/// after a later edit.
 pub(super) async fn trim(store: &impl Store, newest: u64, kept: u64) {
     let Ok(entries) = store.list(PREFIX).await else {
         return;
--- a/crates/hawthorn-store/src/edit/mod.rs
+++ b/crates/hawthorn-store/src/edit/mod.rs
@@ -1,7 +1,7 @@
-//! One configuration edit, made by compare-and-swap on what the editor saw.
+//! Configuration edits by compare-and-swap on the revision that the editor read.
 //!
-//! The edit carries an id of its own, so that an answer lost after the write
-//! took effect is told from a race lost to another editor.
+//! Each edit has a unique id, which distinguishes an answer lost after the write took effect
+//! from a conflict with another editor.
 
 mod document;
 pub mod history;
@@ -26,30 +26,31 @@
 /// Limits of an edit.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Earlier revisions kept.
+    /// Number of earlier revisions kept.
     pub kept_revisions: u64,
-    /// Writes and reads made before an edit is left uncertain.
+    /// Maximum number of attempts, each a read and a write, before the edit fails or remains
+    /// uncertain.
     pub max_attempts: u32,
-    /// Pause between attempts.
-    pub pause: Duration,
+    /// Delay between attempts.
+    pub retry_delay: Duration,
 }
 
 impl Default for Options {
     fn default() -> Self {
-        Self { kept_revisions: 50, max_attempts: 6, pause: Duration::from_millis(100) }
+        Self { kept_revisions: 50, max_attempts: 6, retry_delay: Duration::from_millis(100) }
     }
 }
 
-/// What an operator wants the configuration to become.
+/// A configuration edit proposed by an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProposedEdit {
-    /// The revision that the operator looked at; 0 for the first configuration.
+    /// The revision that the operator read; 0 for the first configuration.
     pub base: u64,
-    /// An id that no other edit has.
+    /// Unique id of the edit.
     pub edit_id: String,
-    /// Who edits.
+    /// The author of the edit.
     pub author: String,
-    /// When, in Unix milliseconds.
+    /// Time of the edit in Unix milliseconds.
     pub changed_at: u64,
     /// The inventory, as TOML.
     pub inventory: String,
@@ -57,30 +58,30 @@
     pub rules: String,
 }
 
-/// What became of an edit.
+/// Outcome of an edit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It is in force, or was until a later edit replaced it.
+    /// The edit is in force, or was until a later edit replaced it.
     Applied {
-        /// Its revision.
+        /// The revision of the edit.
         revision: u64,
     },
-    /// Another edit came first; this one had no effect and never will.
+    /// Another edit replaced the base revision first; this one had no effect and never will.
     Conflict {
-        /// What is in force; `None` when nothing is.
+        /// The configuration in force; `None` if there is none.
         current: Option<Box<ConfigDocument>>,
     },
-    /// The store did not say. The same edit, made again with the same id,
-    /// finds out and is never applied twice.
+    /// It is unknown whether the edit took effect. Repeating it with the same id resolves
+    /// this and never applies it twice.
     Uncertain {
-        /// The last cause.
+        /// The cause in the last uncertain attempt.
         cause: UncertainCause,
     },
 }
 
 quick_error! {
-    /// Why an edit was not made. This making of it had no effect and never
-    /// will; an earlier one of the same id that was uncertain still may.
+    /// Why an edit failed. This attempt had no effect and never will; an earlier uncertain
+    /// attempt with the same id may still take effect.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum Error {
         /// The store could not be read.
@@ -92,15 +93,15 @@
         NotRun(cause: NotRunCause) {
             display("the store did not run the write: {}", cause)
         }
-        /// Others wrote the key between each read and the write after it.
-        Moved {
+        /// Other editors wrote the key between each read and the following write.
+        Contended {
             display("the configuration kept changing while it was edited")
         }
-        /// The stored configuration is no document.
+        /// The stored configuration is not a valid document.
         Malformed(key: String) {
             display("the store holds no readable configuration at {}", key)
         }
-        /// The store holds an older revision than the editor saw.
+        /// The store contains an older revision than the editor read.
         Reverted(found: u64, seen: u64) {
             display("the store went back to revision {} after {} was seen", found, seen)
         }
@@ -108,133 +109,132 @@
 }
 
 impl Error {
-    /// Whether another attempt may fare better.
-    fn may_pass(&self) -> bool {
-        matches!(self, Self::Read(_) | Self::NotRun(_) | Self::Moved)
+    /// Whether another attempt may succeed.
+    fn is_transient(&self) -> bool {
+        matches!(self, Self::Read(_) | Self::NotRun(_) | Self::Contended)
     }
 }
 
-/// The configuration in force; `None` before the first edit.
+/// Reads the configuration in force; `None` before the first edit.
 pub async fn current(store: &impl Store) -> Result<Option<ConfigDocument>, Error> {
     read(store, CURRENT_KEY).await.map(|found| found.map(|(_, document)| document))
 }
 
-/// Makes one edit.
+/// Applies an edit, with retries.
 pub async fn edit(
     store: &impl Store,
     proposed: &ProposedEdit,
     options: &Options,
 ) -> Result<Outcome, Error> {
-    let mut doubt: Option<UncertainCause> = None;
-    let mut refusal = Error::NotRun(NotRunCause::QueueFull);
+    let mut uncertain: Option<UncertainCause> = None;
+    let mut last_error = Error::NotRun(NotRunCause::QueueFull);
     for attempt in 0..options.max_attempts.max(1) {
         if attempt > 0 {
-            sleep(options.pause).await;
+            sleep(options.retry_delay).await;
         }
-        match try_once(store, proposed, doubt.is_some()).await {
+        match try_once(store, proposed, uncertain.is_some()).await {
             Ok(Outcome::Applied { revision }) => {
                 history::trim(store, revision, options.kept_revisions).await;
                 return Ok(Outcome::Applied { revision });
             }
             Ok(Outcome::Conflict { current }) => return Ok(Outcome::Conflict { current }),
-            Ok(Outcome::Uncertain { cause }) => doubt = Some(cause),
+            Ok(Outcome::Uncertain { cause }) => uncertain = Some(cause),
             Err(error) => {
-                let is_final = !error.may_pass();
-                refusal = error;
+                let is_final = !error.is_transient();
+                last_error = error;
                 if is_final {
                     break;
                 }
             }
         }
     }
-    // A doubt outweighs any later refusal: the doubted write may still take effect.
-    match doubt {
+    // Uncertainty takes precedence over a later error: the write may still take effect.
+    match uncertain {
         Some(cause) => Ok(Outcome::Uncertain { cause }),
-        None => Err(refusal),
+        None => Err(last_error),
     }
 }
 
-/// Reads, and writes if the revision is still free.
+/// Reads the current revision, and writes if it is still the base of the edit.
 async fn try_once(
     store: &impl Store,
     proposed: &ProposedEdit,
-    in_doubt: bool,
+    is_uncertain: bool,
 ) -> Result<Outcome, Error> {
     let found = read(store, CURRENT_KEY).await?;
-    match place(store, proposed, found.as_ref(), in_doubt).await? {
-        Place::Applied => return Ok(Outcome::Applied { revision: proposed.base + 1 }),
-        Place::Behind => {
+    match edit_state(store, proposed, found.as_ref(), is_uncertain).await? {
+        EditState::Applied => return Ok(Outcome::Applied { revision: proposed.base + 1 }),
+        EditState::Superseded => {
             let current = found.map(|(_, document)| Box::new(document));
             return Ok(Outcome::Conflict { current });
         }
-        Place::Forgotten => {
+        EditState::Trimmed => {
             return Ok(Outcome::Uncertain { cause: UncertainCause::Timeout });
         }
-        Place::Next => {}
+        EditState::Pending => {}
     }
     match write(store, proposed, found.as_ref()).await? {
         WriteOutcome::Written { .. } => Ok(Outcome::Applied { revision: proposed.base + 1 }),
-        WriteOutcome::Conflict { .. } => Err(Error::Moved),
+        WriteOutcome::Conflict { .. } => Err(Error::Contended),
         WriteOutcome::NotRun(cause) => Err(Error::NotRun(cause)),
         WriteOutcome::Uncertain(cause) => Ok(Outcome::Uncertain { cause }),
     }
 }
 
-/// Whether the proposed edit is in force or was.
-enum Place {
-    /// It is, or was.
+/// State of a proposed edit, according to the store.
+enum EditState {
+    /// The edit is or was in force.
     Applied,
-    /// Another took its revision.
-    Behind,
-    /// Its revision is still free.
-    Next,
-    /// Its revision is no longer in the history.
-    Forgotten,
+    /// Another edit has its revision.
+    Superseded,
+    /// Its revision has not been written yet.
+    Pending,
+    /// Its revision has been removed from the history.
+    Trimmed,
 }
 
-/// Tells a lost answer from a lost race.
+/// Distinguishes a lost answer from a conflict.
 ///
-/// Failure: the write takes effect, its answer is lost, and a second editor
-/// builds on it at once. To the first editor the store now holds someone
-/// else's document at a later revision, as if the race were lost. An editor
-/// copies the document it replaces to the history first, so the first edit's
-/// id is found there.
-async fn place(
+/// Failure: a write takes effect, its answer is lost, and another editor immediately
+/// replaces the document. The first editor then reads a document by someone else at a later
+/// revision, which looks like a conflict. Since an editor copies the document that it replaces
+/// to the history, the id of the first edit is found there.
+async fn edit_state(
     store: &impl Store,
     proposed: &ProposedEdit,
     found: Option<&(StoreEntry, ConfigDocument)>,
-    in_doubt: bool,
-) -> Result<Place, Error> {
+    is_uncertain: bool,
+) -> Result<EditState, Error> {
     let revision = found.map_or(0, |(_, document)| document.revision);
     if revision < proposed.base {
         return Err(Error::Reverted(revision, proposed.base));
     }
     if revision == proposed.base {
-        return Ok(Place::Next);
+        return Ok(EditState::Pending);
     }
-    let own = proposed.base + 1;
-    let holder = match found {
-        Some((_, document)) if document.revision == own => Some(document.edit_id.clone()),
-        _ => history::read(store, own).await?.map(|document| document.edit_id),
+    let own_revision = proposed.base + 1;
+    let stored_id = match found {
+        Some((_, document)) if document.revision == own_revision => Some(document.edit_id.clone()),
+        _ => history::read(store, own_revision).await?.map(|document| document.edit_id),
     };
-    match holder {
-        Some(edit_id) if edit_id == proposed.edit_id => Ok(Place::Applied),
-        None if in_doubt => Ok(Place::Forgotten),
-        _ => Ok(Place::Behind),
+    match stored_id {
+        Some(edit_id) if edit_id == proposed.edit_id => Ok(EditState::Applied),
+        None if is_uncertain => Ok(EditState::Trimmed),
+        _ => Ok(EditState::Superseded),
     }
 }
 
-/// Copies what is replaced to the history, then replaces it.
+/// Copies the current document to the history, then replaces it.
 ///
-/// An earlier write of this edit that is still on its way expects the same
-/// revision as this one, so only one of them can take effect.
+/// An earlier write of this edit that is still in flight expects the same revision as this
+/// one, so only one of them can take effect.
 async fn write(
     store: &impl Store,
     proposed: &ProposedEdit,
     found: Option<&(StoreEntry, ConfigDocument)>,
 ) -> Result<WriteOutcome, Error> {
     if let Some((entry, document)) = found {
-        history::keep(store, document.revision, &entry.value).await?;
+        history::append(store, document.revision, &entry.value).await?;
     }
     let document = ConfigDocument {
         revision: proposed.base + 1,
--- a/crates/hawthorn-store/src/lib.rs
+++ b/crates/hawthorn-store/src/lib.rs
@@ -1,14 +1,14 @@
-//! The platform's key-value service: client, configuration edits and at-most-once claims.
+//! Client of the platform's key-value service, configuration edits and at-most-once claims.
 //!
-//! | module | its one job |
+//! | module | purpose |
 //! |---|---|
-//! | [`store`] | what the rest needs of a store, and the outcomes of a call |
-//! | [`client`] | that over HTTP, bounded and counted |
-//! | [`edit`] | one configuration edit by compare-and-swap |
-//! | [`claim`] | at most one run for each caller and request id |
+//! | [`store`] | store interface and outcomes of its calls |
+//! | [`client`] | HTTP client with bounded connections and counters |
+//! | [`edit`] | configuration edits by compare-and-swap |
+//! | [`claim`] | at-most-once execution for each caller and request id |
 //!
-//! Outcomes are values. A write whose answer was lost is `Uncertain`, never a
-//! failure: it may have taken effect, or still may.
+//! Outcomes are values. A write whose answer was lost is `Uncertain`, not a failure: it may
+//! have taken effect, or may still do so.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms)]
 
--- a/crates/hawthorn-store/src/store.rs
+++ b/crates/hawthorn-store/src/store.rs
@@ -1,4 +1,4 @@
-//! What edits and claims need of a store, and what a call can come to.
+//! The store interface that edits and claims use, and the outcomes of its calls.
 
 use std::future::Future;
 
@@ -14,76 +14,76 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumCount, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum NotRunCause {
-    /// Answered 429 until the call's deadline.
+    /// The store returned 429 until the deadline of the call.
     RateLimited,
-    /// No connection could be made.
+    /// No connection could be established.
     Unreachable,
-    /// No connection became free before the call's deadline.
+    /// No connection became available before the deadline of the call.
     QueueFull,
-    /// The request could not be built, or is larger than the store takes.
+    /// The request could not be built, or exceeds the size limit of the store.
     BadRequest,
 }
 
-/// Why it is not known whether a write had an effect.
+/// Why it is unknown whether a write took effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumCount, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum UncertainCause {
-    /// Answered 503.
+    /// The store returned 503.
     Outage,
     /// The deadline passed after the request was sent.
     Timeout,
     /// The connection broke after the request was sent.
     ConnectionLost,
-    /// The answer could not be read.
+    /// The answer could not be decoded.
     BadAnswer,
 }
 
 quick_error! {
-    /// Why a read gave nothing. A read has no effect, so all causes are equal to a caller.
+    /// Why a read failed. A read has no effect, so callers may treat all causes alike.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum ReadError {
-        /// The store did not run it.
+        /// The store did not run the read.
         NotRun(cause: NotRunCause) {
             display("the store did not run the read: {}", cause)
         }
-        /// The store did not answer it.
+        /// The store did not return a usable answer.
         NoAnswer(cause: UncertainCause) {
             display("the store did not answer the read: {}", cause)
         }
     }
 }
 
-/// What a write came to.
+/// Outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It took effect.
+    /// The write took effect.
     Written {
         /// The key's new revision.
         revision: u64,
     },
-    /// The key had another revision; no effect.
+    /// The key had another revision; the write had no effect.
     Conflict {
         /// The revision found; 0 when the key is absent.
         found: u64,
     },
-    /// No effect.
+    /// The call had no effect.
     NotRun(NotRunCause),
-    /// It may have taken effect, and may still.
+    /// The call may have taken effect, or may still do so.
     Uncertain(UncertainCause),
 }
 
-/// What a deletion came to.
+/// Outcome of a deletion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeleteOutcome {
-    /// The key is gone.
+    /// The key was deleted.
     Deleted,
-    /// There was no such key.
+    /// The key did not exist.
     Absent,
-    /// The key had another revision; no effect.
+    /// The key had another revision; the deletion had no effect.
     Conflict,
-    /// No effect.
+    /// The call had no effect.
     NotRun(NotRunCause),
-    /// It may have taken effect, and may still.
+    /// The call may have taken effect, or may still do so.
     Uncertain(UncertainCause),
 }
 
@@ -98,7 +98,7 @@
     /// Deletes a key if it has the expected revision.
     fn delete(&self, key: &str, expect: u64) -> impl Future<Output = DeleteOutcome> + Send;
 
-    /// The keys that begin with `prefix`, without their values.
+    /// Lists the entries whose keys start with `prefix`, without their values.
     fn list(&self, prefix: &str)
     -> impl Future<Output = Result<Vec<StoreEntry>, ReadError>> + Send;
 }
--- a/crates/hawthorn-store/tests/client.rs
+++ b/crates/hawthorn-store/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client over real sockets on loopback: what each answer means.
+//! The client on loopback sockets: the outcome that follows from each answer.
 
 use std::error::Error;
 use std::future::pending;
@@ -34,17 +34,17 @@
 
 type TestResult = Result<(), Box<dyn Error>>;
 
-/// What the server does with one request.
+/// Behaviour of the server for one request.
 #[derive(Clone, Copy, Debug)]
 enum Reply {
-    Say(u16, &'static str),
+    Answer(u16, &'static str),
     /// Never answers.
     Hang,
     /// Reads the request and closes the connection.
-    HangUp,
+    Disconnect,
 }
 
-/// Serves `replies` in order, the last one for ever.
+/// Serves `replies` in order and repeats the last one.
 async fn serve(replies: Vec<Reply>) -> Result<SocketAddr, Box<dyn Error>> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
@@ -66,12 +66,12 @@
 
 async fn reply(reply: Reply) -> Result<Response<Full<Bytes>>, std::io::Error> {
     match reply {
-        Reply::Say(status, body) => {
+        Reply::Answer(status, body) => {
             let response = Response::builder().status(status).body(Full::from(body));
             response.map_err(std::io::Error::other)
         }
         Reply::Hang => pending::<Result<_, _>>().await,
-        Reply::HangUp => Err(std::io::Error::other("hang up")),
+        Reply::Disconnect => Err(std::io::Error::other("connection closed")),
     }
 }
 
@@ -97,11 +97,10 @@
     counted: CallOutcome,
 }
 
-/// Whether a write had an effect is read from its answer alone. Taken for "not
-/// run", a lost answer has an edit made twice; taken for "may have run", a 429
-/// has an order wait for nothing.
+/// The answer alone determines whether a write may have taken effect. A lost answer treated as
+/// "not run" applies an edit twice; a 429 treated as "may have run" delays an order needlessly.
 #[tokio::test]
-async fn a_write_means_what_its_answer_says() -> TestResult {
+async fn the_outcome_of_a_write_follows_from_its_answer() -> TestResult {
     let case = |name, replies: &[Reply], outcome, counted| WriteCase {
         name,
         replies: replies.to_vec(),
@@ -109,28 +108,33 @@
         counted,
     };
     let written = WriteOutcome::Written { revision: 5 };
-    let moved = WriteOutcome::Conflict { found: 7 };
-    let limited = WriteOutcome::NotRun(NotRunCause::RateLimited);
-    let doubt = WriteOutcome::Uncertain;
-    let (well, limit) = (Reply::Say(200, ENTRY), Reply::Say(429, ""));
-    let conflict = Reply::Say(409, r#"{"found":7}"#);
+    let conflicted = WriteOutcome::Conflict { found: 7 };
+    let rate_limited = WriteOutcome::NotRun(NotRunCause::RateLimited);
+    let uncertain = WriteOutcome::Uncertain;
+    let (success, limit) = (Reply::Answer(200, ENTRY), Reply::Answer(429, ""));
+    let conflict = Reply::Answer(409, r#"{"found":7}"#);
     let cases = [
-        case("written", &[well], written, CallOutcome::Ok),
-        case("another revision", &[conflict], moved, CallOutcome::Conflict),
-        case("limited once", &[limit, well], written, CallOutcome::RateLimited),
-        case("limited until the deadline", &[limit], limited, CallOutcome::RateLimited),
-        case("outage", &[Reply::Say(503, "")], doubt(UncertainCause::Outage), CallOutcome::Outage),
-        case("no answer", &[Reply::Hang], doubt(UncertainCause::Timeout), CallOutcome::Timeout),
+        case("written", &[success], written, CallOutcome::Ok),
+        case("another revision", &[conflict], conflicted, CallOutcome::Conflict),
+        case("rate limited once", &[limit, success], written, CallOutcome::RateLimited),
+        case("rate limited until the deadline", &[limit], rate_limited, CallOutcome::RateLimited),
+        case(
+            "outage",
+            &[Reply::Answer(503, "")],
+            uncertain(UncertainCause::Outage),
+            CallOutcome::Outage,
+        ),
+        case("no answer", &[Reply::Hang], uncertain(UncertainCause::Timeout), CallOutcome::Timeout),
         case(
             "connection closed",
-            &[Reply::HangUp],
-            doubt(UncertainCause::ConnectionLost),
+            &[Reply::Disconnect],
+            uncertain(UncertainCause::ConnectionLost),
             CallOutcome::ConnectionLost,
         ),
         case(
-            "unreadable",
-            &[Reply::Say(200, "{")],
-            doubt(UncertainCause::BadAnswer),
+            "malformed answer",
+            &[Reply::Answer(200, "{")],
+            uncertain(UncertainCause::BadAnswer),
             CallOutcome::Ok,
         ),
     ];
@@ -143,7 +147,7 @@
 }
 
 #[tokio::test]
-async fn what_never_left_certainly_did_not_run() -> TestResult {
+async fn an_unsent_write_is_reported_as_not_run() -> TestResult {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     drop(listener);
@@ -157,34 +161,35 @@
 }
 
 #[tokio::test]
-async fn reads_leases_and_watches_mean_what_they_say() -> TestResult {
-    let one = |status, body| serve(vec![Reply::Say(status, body)]);
+async fn answers_of_reads_leases_and_watches_are_decoded() -> TestResult {
+    let serve_one = |status, body| serve(vec![Reply::Answer(status, body)]);
     let client = |address| StoreClient::new(address, options());
     let entry = StoreEntry { key: "k".to_owned(), revision: 5, value: "v".to_owned() };
-    assert_eq!(client(one(200, ENTRY).await?).get("k").await, Ok(Some(entry.clone())));
-    assert_eq!(client(one(404, "").await?).get("k").await, Ok(None));
+    assert_eq!(client(serve_one(200, ENTRY).await?).get("k").await, Ok(Some(entry.clone())));
+    assert_eq!(client(serve_one(404, "").await?).get("k").await, Ok(None));
     let outage = Err(ReadError::NoAnswer(UncertainCause::Outage));
-    assert_eq!(client(one(503, "").await?).get("k").await, outage);
+    assert_eq!(client(serve_one(503, "").await?).get("k").await, outage);
     let wait = Duration::from_millis(10);
-    let changed = client(one(200, ENTRY).await?).watch("k", 4, wait).await;
+    let changed = client(serve_one(200, ENTRY).await?).watch("k", 4, wait).await;
     assert_eq!(changed, Ok(WatchOutcome::Changed(entry)));
-    let unchanged = client(one(204, "").await?).watch("k", 5, wait).await;
+    let unchanged = client(serve_one(204, "").await?).watch("k", 5, wait).await;
     assert_eq!(unchanged, Ok(WatchOutcome::Unchanged));
-    assert_eq!(client(one(404, "").await?).renew_lease(7).await, Ok(None));
-    let lease = client(one(200, r#"{"lease":7,"ttl_ms":900}"#).await?).grant_lease(wait).await?;
+    assert_eq!(client(serve_one(404, "").await?).renew_lease(7).await, Ok(None));
+    let lease =
+        client(serve_one(200, r#"{"lease":7,"ttl_ms":900}"#).await?).grant_lease(wait).await?;
     assert_eq!((lease.lease, lease.ttl_ms), (7, 900));
-    assert_eq!(client(one(200, "[]").await?).list("p").await, Ok(Vec::new()));
-    assert_eq!(client(one(200, "[]").await?).hosts().await, Ok(Vec::new()));
-    assert_eq!(client(one(200, "").await?).delete("k", 5).await, DeleteOutcome::Deleted);
-    assert_eq!(client(one(404, "").await?).delete("k", 5).await, DeleteOutcome::Absent);
-    assert_eq!(client(one(409, "").await?).delete("k", 5).await, DeleteOutcome::Conflict);
+    assert_eq!(client(serve_one(200, "[]").await?).list("p").await, Ok(Vec::new()));
+    assert_eq!(client(serve_one(200, "[]").await?).hosts().await, Ok(Vec::new()));
+    assert_eq!(client(serve_one(200, "").await?).delete("k", 5).await, DeleteOutcome::Deleted);
+    assert_eq!(client(serve_one(404, "").await?).delete("k", 5).await, DeleteOutcome::Absent);
+    assert_eq!(client(serve_one(409, "").await?).delete("k", 5).await, DeleteOutcome::Conflict);
     Ok(())
 }
 
-/// The store slows down while a host has much to ask. Without a bound each call
-/// opens a connection, and the store that was slow is down.
+/// Guards against overload of a slow store: without a limit every call of a busy host opens
+/// another connection.
 #[tokio::test]
-async fn a_slow_store_gets_a_bounded_number_of_calls() -> TestResult {
+async fn concurrent_calls_to_a_slow_store_are_bounded() -> TestResult {
     let address = serve(vec![Reply::Hang]).await?;
     let client = StoreClient::new(address, Options { max_calls: 2, ..options() });
     let mut calls = JoinSet::new();
--- a/crates/hawthorn-store/tests/edit.rs
+++ b/crates/hawthorn-store/tests/edit.rs
@@ -1,4 +1,4 @@
-//! Configuration edits: racing editors, lost answers, outages, history.
+//! Configuration edits: concurrent editors, lost answers, outages and history.
 
 mod support;
 
@@ -34,7 +34,7 @@
     }
 }
 
-async fn make(store: &FakeStore, base: u64, id: &str) -> Result<Outcome, edit::Error> {
+async fn apply(store: &FakeStore, base: u64, id: &str) -> Result<Outcome, edit::Error> {
     edit::edit(store, &proposed(base, id), &Options::default()).await
 }
 
@@ -47,19 +47,18 @@
 
 struct EditCase {
     name: &'static str,
-    /// What the writes of the edit meet, in order: the history first, then the document.
+    /// Faults of the edit's writes in order: the history first, then the document.
     faults: Vec<Fault>,
     outcome: Result<Outcome, edit::Error>,
     in_force: (u64, &'static str),
 }
 
-/// The second edit of a configuration meets a store that fails. Whatever it
-/// meets, the operator is not told that an edit in force failed, nor the other
-/// way round.
+/// Guards against an edit in force that is reported as failed, and the reverse, when the store
+/// fails during the second edit of a configuration.
 #[tokio::test(start_paused = true)]
-async fn an_edit_is_told_as_it_is() -> TestResult {
+async fn an_edit_reports_its_actual_outcome() -> TestResult {
     use Fault::LostAnswer;
-    use Fault::None as Well;
+    use Fault::None as NoFault;
     use Fault::Outage;
     let later = |ms| Fault::RunsLater(Duration::from_millis(ms));
     let case = |name, faults: &[Fault], outcome, in_force| EditCase {
@@ -68,22 +67,22 @@
         outcome,
         in_force,
     };
-    let limited = Err(edit::Error::NotRun(NotRunCause::RateLimited));
+    let rate_limited = Err(edit::Error::NotRun(NotRunCause::RateLimited));
     let outage = Ok(Outcome::Uncertain { cause: UncertainCause::Outage });
     let cases = [
-        case("well", &[], APPLIED, (2, "b")),
-        case("answer lost", &[Well, LostAnswer], APPLIED, (2, "b")),
-        case("history's answer lost", &[LostAnswer], APPLIED, (2, "b")),
-        case("runs before it is read", &[Well, later(50)], APPLIED, (2, "b")),
-        case("runs after the second write", &[Well, later(900)], APPLIED, (2, "b")),
-        case("never run", &[Fault::RateLimited; 6], limited, (1, "a")),
-        case("outage at each write", &[Well, Outage].repeat(6), outage, (1, "a")),
+        case("no fault", &[], APPLIED, (2, "b")),
+        case("answer lost", &[NoFault, LostAnswer], APPLIED, (2, "b")),
+        case("answer of the history write lost", &[LostAnswer], APPLIED, (2, "b")),
+        case("runs before it is read", &[NoFault, later(50)], APPLIED, (2, "b")),
+        case("runs after the second write", &[NoFault, later(900)], APPLIED, (2, "b")),
+        case("never run", &[Fault::RateLimited; 6], rate_limited, (1, "a")),
+        case("outage at each write", &[NoFault, Outage].repeat(6), outage, (1, "a")),
     ];
     for case in cases {
         let store = FakeStore::new(LATENCY);
-        make(&store, 0, "a").await?;
+        apply(&store, 0, "a").await?;
         store.script(case.faults);
-        assert_eq!(make(&store, 1, "b").await, case.outcome, "{}", case.name);
+        assert_eq!(apply(&store, 1, "b").await, case.outcome, "{}", case.name);
         sleep(Duration::from_secs(2)).await;
         let (revision, edit_id) = in_force(&store).await?;
         assert_eq!((revision, edit_id.as_str()), case.in_force, "{}", case.name);
@@ -91,13 +90,13 @@
     Ok(())
 }
 
-/// Two operators save at once. One wins; the other is shown what is in force
-/// now, and nothing of its edit ever takes effect.
+/// Two operators edit at the same time. One edit is applied; the other is rejected with the
+/// configuration in force and never takes effect.
 #[tokio::test(start_paused = true)]
-async fn of_two_racing_editors_one_is_told_of_the_other() -> TestResult {
+async fn of_two_concurrent_edits_one_is_applied_and_one_conflicts() -> TestResult {
     let store = FakeStore::new(LATENCY);
-    make(&store, 0, "a").await?;
-    let (first, second) = tokio::join!(make(&store, 1, "b"), make(&store, 1, "c"));
+    apply(&store, 0, "a").await?;
+    let (first, second) = tokio::join!(apply(&store, 1, "b"), apply(&store, 1, "c"));
     let (winner, loser) = if first == APPLIED { ("b", second?) } else { ("c", first?) };
     let Outcome::Conflict { current: Some(current) } = loser else {
         return Err(format!("not a conflict: {loser:?}").into());
@@ -108,57 +107,56 @@
     Ok(())
 }
 
-/// An edit takes effect, its answer is lost, and before its operator can look
-/// another one builds on it. The first reads a stranger's document two
-/// revisions on: a lost race, were the history not asked.
+/// Guards against an applied edit that is reported as a conflict: its answer is lost, and
+/// another edit replaces it before it is read back. Only the history contains its id.
 #[tokio::test(start_paused = true)]
-async fn an_edit_that_was_built_upon_is_still_applied() -> TestResult {
+async fn an_edit_replaced_before_it_is_read_back_counts_as_applied() -> TestResult {
     let store = FakeStore::new(LATENCY);
-    make(&store, 0, "a").await?;
+    apply(&store, 0, "a").await?;
     store.script([Fault::None, Fault::LostAnswer]);
-    let (first, second) = tokio::join!(make(&store, 1, "b"), async {
+    let (first, second) = tokio::join!(apply(&store, 1, "b"), async {
         sleep(LATENCY * 5).await;
-        make(&store, 2, "c").await
+        apply(&store, 2, "c").await
     });
     assert_eq!(first, APPLIED);
     assert_eq!(second, Ok(Outcome::Applied { revision: 3 }));
     Ok(())
 }
 
-/// The store goes down after the write. The operator is told that it is not
-/// known, makes the same edit again an hour later, and learns what became of it.
+/// The store fails after the write, so the outcome is uncertain. Repeating the edit with the
+/// same id, after other edits, returns its actual outcome.
 #[tokio::test(start_paused = true)]
-async fn the_same_edit_made_again_finds_out() -> TestResult {
+async fn repeating_an_uncertain_edit_resolves_its_outcome() -> TestResult {
     let store = FakeStore::new(LATENCY);
-    make(&store, 0, "a").await?;
+    apply(&store, 0, "a").await?;
     store.script([Fault::None, Fault::LostAnswer]);
-    let (first, ()) = tokio::join!(make(&store, 1, "b"), async {
+    let (first, ()) = tokio::join!(apply(&store, 1, "b"), async {
         sleep(LATENCY * 4).await;
         store.set_down(true);
     });
     assert!(matches!(first, Ok(Outcome::Uncertain { .. })), "{first:?}");
-    let while_down = make(&store, 1, "c").await;
+    let while_down = apply(&store, 1, "c").await;
     assert!(matches!(while_down, Err(edit::Error::Read(_))), "{while_down:?}");
     store.set_down(false);
-    make(&store, 2, "d").await?;
-    assert_eq!(make(&store, 1, "b").await, APPLIED);
+    apply(&store, 2, "d").await?;
+    assert_eq!(apply(&store, 1, "b").await, APPLIED);
     assert_eq!(in_force(&store).await?, (3, "d".to_owned()));
     Ok(())
 }
 
-/// The store comes back from an old copy. An edit on top of it would bring a
-/// configuration into force that was replaced long ago.
+/// Guards against edits on a store restored from an old backup, which would bring a
+/// configuration into force that was replaced before.
 #[tokio::test(start_paused = true)]
-async fn a_store_that_went_back_is_not_built_upon() -> TestResult {
+async fn an_edit_on_a_reverted_store_is_rejected() -> TestResult {
     let store = FakeStore::new(LATENCY);
-    make(&store, 0, "a").await?;
+    apply(&store, 0, "a").await?;
     let backup = store.backup();
-    make(&store, 1, "b").await?;
+    apply(&store, 1, "b").await?;
     store.restore(backup);
-    assert_eq!(make(&store, 2, "c").await, Err(edit::Error::Reverted(1, 2)));
+    assert_eq!(apply(&store, 2, "c").await, Err(edit::Error::Reverted(1, 2)));
     store.force(edit::CURRENT_KEY, "not JSON");
     let malformed = edit::Error::Malformed(edit::CURRENT_KEY.to_owned());
-    assert_eq!(make(&store, 2, "c").await, Err(malformed));
+    assert_eq!(apply(&store, 2, "c").await, Err(malformed));
     Ok(())
 }
 
@@ -166,7 +164,7 @@
 async fn a_bounded_number_of_revisions_is_kept() -> TestResult {
     let store = FakeStore::new(LATENCY);
     for base in 0..60 {
-        make(&store, base, &format!("edit-{base}")).await?;
+        apply(&store, base, &format!("edit-{base}")).await?;
     }
     let kept: Vec<u64> = (10..60).collect();
     assert_eq!(history::list(&store).await?, kept);
@@ -176,15 +174,15 @@
     Ok(())
 }
 
-/// Makes `count` edits one after the other, each on what is in force, until
-/// each is known to be applied.
+/// Makes `count` edits in sequence, each on the configuration in force. Repeats each until it
+/// is known to be applied.
 async fn keep_editing(store: FakeStore, editor: u32, count: u32) -> Result<(), edit::Error> {
     for number in 0..count {
         let mut attempt = 0;
         let mut edit = proposed(0, "");
-        let mut settled = true;
+        let mut resolved = true;
         loop {
-            if settled {
+            if resolved {
                 let Ok(current) = edit::current(&store).await else {
                     continue;
                 };
@@ -194,12 +192,12 @@
             }
             match edit::edit(&store, &edit, &Options::default()).await {
                 Ok(Outcome::Applied { .. }) => break,
-                Ok(Outcome::Uncertain { .. }) => settled = false,
-                Ok(Outcome::Conflict { .. }) => settled = true,
+                Ok(Outcome::Uncertain { .. }) => resolved = false,
+                Ok(Outcome::Conflict { .. }) => resolved = true,
                 Err(error @ (edit::Error::Reverted(..) | edit::Error::Malformed(_))) => {
                     return Err(error);
                 }
-                // Nothing was written; an edit in doubt stays the same edit.
+                // Nothing was written; an uncertain edit keeps its id.
                 Err(_) => {}
             }
         }
@@ -207,9 +205,9 @@
     Ok(())
 }
 
-/// Three operators make five edits each on a store that loses answers. Were
-/// one lost answer taken for a lost race, an edit would be made twice; were a
-/// lost race taken for a lost answer, one would be missing.
+/// Three operators make five edits each on a store that loses answers. Guards against a lost
+/// answer taken for a conflict, which applies an edit twice, and against a conflict taken for a
+/// lost answer, which loses one.
 #[test]
 fn each_edit_is_applied_exactly_once() -> TestResult {
     let mut writes = 0;
@@ -234,7 +232,7 @@
         assert_eq!(revision, 15, "seed {seed}");
         writes += puts;
     }
-    // Fifteen edits of two writes each, had nothing gone wrong.
-    assert!(writes > 60 * 30, "the editors did not get in each other's way: {writes}");
+    // Without faults there are two writes for each of the fifteen edits.
+    assert!(writes > 60 * 30, "the editors did not conflict: {writes}");
     Ok(())
 }
