--- a/crates/hawthorn-store/benches/claim.rs
+++ b/crates/hawthorn-store/benches/claim.rs
@@ -1,5 +1,5 @@
-//! What claims cost the store, for a whole minute in virtual time: counts, not
-//! processor time, so that every run prints the same.
+//! Store calls and latencies of claims over one minute of virtual time. Processor time is not
+//! measured, so every run prints the same result.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
--- a/crates/hawthorn-store/src/claim/client.rs
+++ b/crates/hawthorn-store/src/claim/client.rs
@@ -1,4 +1,4 @@
-//! The handle through which a host claims.
+//! Client for claiming requests, shared by the tasks of a host.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -19,28 +19,28 @@
 use super::Outcome;
 use super::ProcessSeed;
 use super::UnavailableCause;
+use super::cache::ClaimName;
 use super::committer::Committer;
-use super::committer::WaitingClaim;
+use super::committer::PendingClaim;
 use super::count::ClaimCounts;
 use super::count::ClaimEvent;
-use super::ledger::ClaimName;
 use super::stamp::RequestStamp;
 use crate::store::Store;
 
-/// Writes after which a full bucket has taken in what waited.
-const BUSY_INTERVALS: u32 = 4;
-/// Attempts to take out a claim in doubt before the same id is worth sending.
-const DOUBT_DELAYS: u32 = 4;
+/// Write intervals after which a full bucket has written its pending claims.
+const QUEUE_FULL_INTERVALS: u32 = 4;
+/// Attempts to remove an uncertain claim after which the same id may be sent again.
+const UNCERTAIN_RELEASE_DELAYS: u32 = 4;
 
-/// Claims for one host; clones share their tasks and counts.
+/// Claims requests for one host. Clones share the bucket tasks and counters.
 #[derive(Clone, Debug)]
 pub struct ClaimClient {
-    buckets: Arc<[mpsc::Sender<WaitingClaim>]>,
+    buckets: Arc<[mpsc::Sender<PendingClaim>]>,
     counts: Arc<ClaimCounts>,
     options: Options,
 }
 
-/// The bucket of a claim; the same on every host.
+/// Returns the bucket of a claim, which is the same on every host.
 pub fn bucket_of(caller: &str, request_id: &str, buckets: u32) -> u32 {
     let name = format!("{caller}\n{request_id}");
     let bucket = xxh3_64(name.as_bytes()) % u64::from(buckets.max(1));
@@ -48,8 +48,8 @@
 }
 
 impl ClaimClient {
-    /// Starts one task for each bucket; they end, and give back what they
-    /// can, when `cancel` is cancelled.
+    /// Starts one task for each bucket. When `cancel` is cancelled, the tasks release what
+    /// they can and stop.
     pub fn spawn<S: Store>(
         store: Arc<S>,
         seed: ProcessSeed,
@@ -58,7 +58,7 @@
     ) -> Self {
         let counts = Arc::new(ClaimCounts::default());
         let start = |bucket| {
-            let (sender, receiver) = mpsc::channel(options.max_waiting.max(1));
+            let (sender, receiver) = mpsc::channel(options.max_pending.max(1));
             let counts = Arc::clone(&counts);
             let cancel = cancel.child_token();
             let committer =
@@ -70,15 +70,15 @@
         Self { buckets, counts, options }
     }
 
-    /// What the claims came to and cost.
+    /// Counters of claim outcomes and store calls.
     pub fn counts(&self) -> &ClaimCounts {
         &self.counts
     }
 
-    /// Claims a request. Returns by the deadline of `ask`.
-    pub async fn claim(&self, ask: ClaimRequest) -> Outcome {
-        let outcome = match self.check(&ask) {
-            Ok(stamp) => self.record(ask, stamp).await,
+    /// Claims a request. Returns no later than the deadline of `request`.
+    pub async fn claim(&self, request: ClaimRequest) -> Outcome {
+        let outcome = match self.check(&request) {
+            Ok(stamp) => self.record(request, stamp).await,
             Err(reason) => return Outcome::Refused(reason),
         };
         if let Some(event) = event_of(&outcome) {
@@ -87,46 +87,45 @@
         outcome
     }
 
-    /// When a request that was not run is worth sending again; `None` when the
-    /// same id would be refused again.
+    /// Returns when a request that did not run may be retried; `None` if the same id would be
+    /// refused again.
     ///
-    /// A refusal is given at once; the time until it is worth asking is told,
-    /// not waited out. After a failure of the store that is the time in which
-    /// a claim in doubt is taken out again.
+    /// A refusal is returned immediately, and the caller waits for this delay instead of the
+    /// host. After a store failure it is the time in which an uncertain claim is removed.
     pub fn retry_after(&self, outcome: &Outcome) -> Option<Duration> {
         match outcome {
             Outcome::Unavailable(UnavailableCause::QueueFull | UnavailableCause::Expired) => {
-                Some(self.options.min_interval * BUSY_INTERVALS)
+                Some(self.options.min_interval * QUEUE_FULL_INTERVALS)
             }
             Outcome::Unavailable(_) | Outcome::Uncertain => {
-                Some(self.options.release_delay * DOUBT_DELAYS)
+                Some(self.options.release_delay * UNCERTAIN_RELEASE_DELAYS)
             }
             Outcome::Refused(RefusalReason::RequestIdInFuture) => Some(self.options.skew),
             Outcome::Granted(_) | Outcome::HeldEarlier | Outcome::Refused(_) => None,
         }
     }
 
-    fn check(&self, ask: &ClaimRequest) -> Result<RequestStamp, RefusalReason> {
-        let stamp = RequestStamp::parse(&ask.request_id);
+    fn check(&self, request: &ClaimRequest) -> Result<RequestStamp, RefusalReason> {
+        let stamp = RequestStamp::parse(&request.request_id);
         let stamp = stamp.map_err(|_| RefusalReason::BadRequestId)?;
-        stamp.check(ask.unix_now, &self.options)?;
-        if ask.deadline <= Instant::now() {
+        stamp.check(request.unix_now, &self.options)?;
+        if request.deadline <= Instant::now() {
             return Err(RefusalReason::DeadlinePast);
         }
         Ok(stamp)
     }
 
-    async fn record(&self, ask: ClaimRequest, stamp: RequestStamp) -> Outcome {
-        let bucket = bucket_of(&ask.caller, &ask.request_id, self.options.buckets);
-        let (reply, answer) = oneshot::channel();
-        let taken = Arc::new(AtomicBool::new(false));
-        let claim = WaitingClaim {
-            name: ClaimName { caller: ask.caller, request_id: ask.request_id },
+    async fn record(&self, request: ClaimRequest, stamp: RequestStamp) -> Outcome {
+        let bucket = bucket_of(&request.caller, &request.request_id, self.options.buckets);
+        let (reply, receiver) = oneshot::channel();
+        let decided = Arc::new(AtomicBool::new(false));
+        let claim = PendingClaim {
+            name: ClaimName { caller: request.caller, request_id: request.request_id },
             span: stamp.span(&self.options),
-            deadline: ask.deadline,
-            unix_now: ask.unix_now,
+            deadline: request.deadline,
+            unix_now: request.unix_now,
             expires_at: stamp.expires_at(&self.options),
-            taken: Arc::clone(&taken),
+            decided: Arc::clone(&decided),
             reply,
         };
         match self.buckets[bucket as usize].try_send(claim) {
@@ -136,20 +135,20 @@
                 return Outcome::Unavailable(UnavailableCause::Stopping);
             }
         }
-        match timeout_at(ask.deadline, answer).await {
+        match timeout_at(request.deadline, receiver).await {
             Ok(Ok(outcome)) => outcome,
-            Ok(Err(_)) => given_up(&taken, UnavailableCause::Stopping),
-            Err(_) => given_up(&taken, UnavailableCause::Expired),
+            Ok(Err(_)) => outcome_without_reply(&decided, UnavailableCause::Stopping),
+            Err(_) => outcome_without_reply(&decided, UnavailableCause::Expired),
         }
     }
 }
 
-/// What to say of a claim that got no answer. Whoever sets `taken` first, the
-/// keeper by giving up or the committer by taking the claim into a write,
-/// decides whether it can have been recorded. An answer that is sent after
-/// this finds no receiver, and its grant goes back by being dropped.
-fn given_up(taken: &AtomicBool, cause: UnavailableCause) -> Outcome {
-    match taken.swap(true, Ordering::AcqRel) {
+/// Outcome of a claim that received no reply. The first to set `decided` determines whether it
+/// can have been recorded: the client when it stops waiting, or the committer when it adds the
+/// claim to a batch. A reply sent later has no receiver, and a grant in it is released when
+/// dropped.
+fn outcome_without_reply(decided: &AtomicBool, cause: UnavailableCause) -> Outcome {
+    match decided.swap(true, Ordering::AcqRel) {
         true => Outcome::Uncertain,
         false => Outcome::Unavailable(cause),
     }
--- a/crates/hawthorn-store/src/claim/committer.rs
+++ b/crates/hawthorn-store/src/claim/committer.rs
@@ -1,4 +1,4 @@
-//! One bucket's task: gathers the claims that wait, writes them together.
+//! The task of one bucket: batches pending claims and writes them to the store.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -19,28 +19,29 @@
 use super::Outcome;
 use super::ProcessSeed;
 use super::UnavailableCause;
+use super::batch::ClaimBatch;
+use super::cache::ClaimCache;
+use super::cache::ClaimName;
+use super::cache::Nonce;
 use super::count::ClaimCounts;
 use super::count::ClaimEvent;
 use super::grant::ClaimGrant;
 use super::grant::ReleasedNonce;
-use super::group::ClaimGroup;
-use super::ledger::ClaimLedger;
-use super::ledger::ClaimName;
-use super::ledger::Nonce;
-use super::stamp::forgotten_at;
+use super::stamp::retained_until;
 use crate::store::Store;
 
-/// A claim on its way to the store.
+/// A claim that waits to be written.
 #[derive(Debug)]
-pub(super) struct WaitingClaim {
+pub(super) struct PendingClaim {
     pub(super) name: ClaimName,
     pub(super) span: u64,
     pub(super) deadline: Instant,
     pub(super) unix_now: Duration,
-    /// When its id is too old for a claim, in Unix time.
+    /// When the request id becomes too old for a claim, in Unix time.
     pub(super) expires_at: Duration,
-    /// Set by the first of the two that may: see `keeper::given_up`.
-    pub(super) taken: Arc<AtomicBool>,
+    /// Set by whichever comes first, the client when it stops waiting or the committer when
+    /// it adds the claim to a batch: see `client::outcome_without_reply`.
+    pub(super) decided: Arc<AtomicBool>,
     pub(super) reply: oneshot::Sender<Outcome>,
 }
 
@@ -49,20 +50,20 @@
     pub(super) store: Arc<S>,
     pub(super) options: Options,
     pub(super) counts: Arc<ClaimCounts>,
-    pub(super) ledgers: BTreeMap<u64, ClaimLedger>,
-    /// Another host writes this bucket too. Its next write would most likely
-    /// meet a conflict, so the value is read first: two calls in place of three,
-    /// and reads are what the store has more of.
+    pub(super) caches: BTreeMap<u64, ClaimCache>,
+    /// Another host also writes this bucket, so the next write would probably conflict. The
+    /// value is read first: two calls instead of three, and the store has more capacity for
+    /// reads than for writes.
     pub(super) contended: bool,
     bucket: u32,
     seed: ProcessSeed,
-    arrivals: mpsc::Receiver<WaitingClaim>,
+    arrivals: mpsc::Receiver<PendingClaim>,
     releases: mpsc::UnboundedReceiver<ReleasedNonce>,
     releaser: mpsc::UnboundedSender<ReleasedNonce>,
-    waiting: VecDeque<WaitingClaim>,
+    pending: VecDeque<PendingClaim>,
     cancel: CancellationToken,
     next_write: Instant,
-    clean_at: Option<Instant>,
+    purge_at: Option<Instant>,
     unix_now: Duration,
     nonces: u64,
 }
@@ -73,7 +74,7 @@
         bucket: u32,
         seed: ProcessSeed,
         options: Options,
-        arrivals: mpsc::Receiver<WaitingClaim>,
+        arrivals: mpsc::Receiver<PendingClaim>,
         counts: Arc<ClaimCounts>,
         cancel: CancellationToken,
     ) -> Self {
@@ -82,17 +83,17 @@
             store,
             options,
             counts,
-            ledgers: BTreeMap::new(),
+            caches: BTreeMap::new(),
             contended: false,
             bucket,
             seed,
             arrivals,
             releases,
             releaser,
-            waiting: VecDeque::new(),
+            pending: VecDeque::new(),
             cancel,
             next_write: Instant::now(),
-            clean_at: None,
+            purge_at: None,
             unix_now: Duration::ZERO,
             nonces: 0,
         }
@@ -100,174 +101,176 @@
 
     pub(super) async fn run(mut self) {
         while self.wait().await {
-            if self.waiting.is_empty() {
-                self.clean().await;
+            if self.pending.is_empty() {
+                self.purge().await;
             } else {
                 self.commit_first().await;
             }
             self.next_write = Instant::now() + self.options.min_interval;
-            self.forget_old();
+            self.drop_expired_spans();
         }
         self.stop().await;
     }
 
-    /// Waits until there is something to write and a write is due; `false`
-    /// when the keeper stops.
+    /// Waits until a write is due. Returns `false` when the task is cancelled or its channel
+    /// is closed.
     ///
-    /// Load: a burst of claims. Each on its own write would fill the store's
-    /// several hundred writes a second, which all hosts share. A claim that
-    /// comes alone is written at once; those that come within `min_interval`
-    /// of a write, or while it lasts, go together in the next one.
+    /// Handles a burst of claims: one write for each would exhaust the store's several
+    /// hundred writes a second, which all hosts share. A single claim is written
+    /// immediately; claims that arrive during a write, or within `min_interval` after it, are
+    /// batched in the next one.
     async fn wait(&mut self) -> bool {
         loop {
-            self.take_arrivals();
+            self.drain_arrivals();
             let now = Instant::now();
-            let due = !self.waiting.is_empty() || self.clean_at.is_some_and(|at| at <= now);
+            let due = !self.pending.is_empty() || self.purge_at.is_some_and(|at| at <= now);
             if due && self.next_write <= now {
                 return !self.cancel.is_cancelled();
             }
-            let wake = if due { Some(self.next_write) } else { self.clean_at };
+            let wake = if due { Some(self.next_write) } else { self.purge_at };
             select! {
                 biased;
                 () = self.cancel.cancelled() => return false,
-                arrival = self.arrivals.recv(), if self.has_room() => match arrival {
-                    Some(claim) => self.waiting.push_back(claim),
+                arrival = self.arrivals.recv(), if self.has_capacity() => match arrival {
+                    Some(claim) => self.pending.push_back(claim),
                     None => return false,
                 },
-                released = self.releases.recv() => self.bury(released),
+                released = self.releases.recv() => self.abandon(released),
                 () = sleep_until(wake.unwrap_or(now)), if wake.is_some() => {}
             }
         }
     }
 
-    /// Beyond this, claims stay in the channel, and beyond that they are refused.
-    fn has_room(&self) -> bool {
-        self.waiting.len() < self.options.max_waiting
+    /// Whether more claims may be queued. Otherwise they stay in the channel; once that is
+    /// full as well, they are rejected.
+    fn has_capacity(&self) -> bool {
+        self.pending.len() < self.options.max_pending
     }
 
-    fn take_arrivals(&mut self) {
-        while self.has_room() {
+    fn drain_arrivals(&mut self) {
+        while self.has_capacity() {
             let Ok(claim) = self.arrivals.try_recv() else {
                 break;
             };
-            self.waiting.push_back(claim);
+            self.pending.push_back(claim);
         }
         while let Ok(released) = self.releases.try_recv() {
-            self.bury(Some(released));
+            self.abandon(Some(released));
         }
     }
 
-    fn bury(&mut self, released: Option<ReleasedNonce>) {
+    fn abandon(&mut self, released: Option<ReleasedNonce>) {
         let Some(ReleasedNonce { span, nonce }) = released else {
             return;
         };
         self.counts.add(ClaimEvent::Released);
-        self.ledgers.entry(span).or_default().bury(nonce);
-        self.clean_soon();
+        self.caches.entry(span).or_default().abandon(nonce);
+        self.schedule_purge();
     }
 
-    /// Sets the time of the next write that takes dead claims out.
-    pub(super) fn clean_soon(&mut self) {
-        let soon = Instant::now() + self.options.release_delay;
-        self.clean_at.get_or_insert(soon);
+    /// Schedules the next write that removes abandoned claims.
+    pub(super) fn schedule_purge(&mut self) {
+        let at = Instant::now() + self.options.release_delay;
+        self.purge_at.get_or_insert(at);
     }
 
-    /// Writes the claims that wait for the span of the first one.
+    /// Writes a batch of pending claims of the same span as the first one.
     async fn commit_first(&mut self) {
-        let Some(first) = self.waiting.front() else {
+        let Some(first) = self.pending.front() else {
             return;
         };
         let span = first.span;
-        let group = self.gather(span);
-        self.commit(span, group, self.options.max_attempts).await;
+        let batch = self.next_batch(span);
+        self.commit(span, batch, self.options.max_attempts).await;
     }
 
-    /// Takes the claims of `span` that still wait, each name once: a second
-    /// send of the same id goes in a later group and finds the first.
-    fn gather(&mut self, span: u64) -> ClaimGroup {
-        let mut group = ClaimGroup::default();
-        let mut left = VecDeque::new();
+    /// Removes a batch of claims of `span` from the queue. Each name occurs once: a second
+    /// send of the same id goes into a later batch and finds the first one's claim.
+    fn next_batch(&mut self, span: u64) -> ClaimBatch {
+        let mut batch = ClaimBatch::default();
+        let mut remaining = VecDeque::new();
         let now = Instant::now();
-        for claim in mem::take(&mut self.waiting) {
-            let full = group.len() >= self.options.max_group;
-            if claim.span != span || full || group.has(&claim.name) {
-                left.push_back(claim);
+        for claim in mem::take(&mut self.pending) {
+            let full = batch.len() >= self.options.max_batch;
+            if claim.span != span || full || batch.has(&claim.name) {
+                remaining.push_back(claim);
                 continue;
             }
             self.unix_now = self.unix_now.max(claim.unix_now);
-            // Whoever sets the mark first decides; see `keeper::given_up`.
-            let withdrawn = claim.taken.swap(true, Ordering::AcqRel);
-            if withdrawn {
+            // The first to set the flag decides; see `client::outcome_without_reply`.
+            let cancelled = claim.decided.swap(true, Ordering::AcqRel);
+            if cancelled {
                 continue;
             }
             if claim.deadline <= now {
-                answer(claim, Outcome::Unavailable(UnavailableCause::Expired));
+                reply(claim, Outcome::Unavailable(UnavailableCause::Expired));
                 continue;
             }
             let nonce = self.next_nonce();
-            group.push(claim, nonce);
+            batch.push(claim, nonce);
         }
-        self.waiting = left;
-        group
+        self.pending = remaining;
+        batch
     }
 
-    /// Unique within the bucket, and so within every value that this task writes.
+    /// Creates a nonce that is unique within the bucket, and so within every value that this
+    /// task writes.
     fn next_nonce(&mut self) -> Nonce {
         self.nonces += 1;
         format!("{:x}.{:x}", self.seed.0, self.nonces)
     }
 
-    /// Takes dead claims out of the values that may hold them.
-    async fn clean(&mut self) {
-        self.clean_at = None;
-        let dead = self.ledgers.iter().filter(|(_, ledger)| ledger.has_dead());
-        let spans: Vec<u64> = dead.map(|(span, _)| *span).collect();
+    /// Removes abandoned claims from the values that may contain them.
+    async fn purge(&mut self) {
+        self.purge_at = None;
+        let abandoned = self.caches.iter().filter(|(_, cache)| cache.has_abandoned());
+        let spans: Vec<u64> = abandoned.map(|(span, _)| *span).collect();
         for span in spans {
-            self.commit(span, ClaimGroup::default(), CLEAN_ATTEMPTS).await;
+            self.commit(span, ClaimBatch::default(), PURGE_ATTEMPTS).await;
         }
-        if self.ledgers.values().any(ClaimLedger::has_dead) {
-            self.clean_soon();
+        if self.caches.values().any(ClaimCache::has_abandoned) {
+            self.schedule_purge();
         }
     }
 
-    /// Drops what is known of spans whose ids every host refuses.
-    fn forget_old(&mut self) {
+    /// Drops the caches of spans whose ids every host rejects.
+    fn drop_expired_spans(&mut self) {
         let options = &self.options;
         let now = self.unix_now;
-        self.ledgers.retain(|span, _| now < forgotten_at(*span, options));
+        self.caches.retain(|span, _| now < retained_until(*span, options));
     }
 
     async fn stop(mut self) {
         self.arrivals.close();
-        self.take_arrivals();
-        for claim in mem::take(&mut self.waiting) {
-            // A claim that has withdrawn reads no answer.
-            let _ = claim.taken.swap(true, Ordering::AcqRel);
-            answer(claim, Outcome::Unavailable(UnavailableCause::Stopping));
+        self.drain_arrivals();
+        for claim in mem::take(&mut self.pending) {
+            // The client of a cancelled claim does not read the reply.
+            let _ = claim.decided.swap(true, Ordering::AcqRel);
+            reply(claim, Outcome::Unavailable(UnavailableCause::Stopping));
         }
-        self.clean().await;
+        self.purge().await;
     }
 
     pub(super) fn key(&self, span: u64) -> String {
         format!("claims/{}/{span}", self.bucket)
     }
 
-    /// Hands out a claim that is recorded.
-    pub(super) fn grant(&self, claim: WaitingClaim, nonce: Nonce) {
+    /// Grants a claim that is recorded.
+    pub(super) fn grant(&self, claim: PendingClaim, nonce: Nonce) {
         let grant = ClaimGrant {
             released: Some(ReleasedNonce { span: claim.span, nonce }),
             releases: self.releaser.clone(),
             deadline: claim.deadline,
             expires_at: claim.expires_at,
         };
-        answer(claim, Outcome::Granted(grant));
+        reply(claim, Outcome::Granted(grant));
     }
 }
 
-/// A read and a write; the next cleaning follows soon if they fail.
-const CLEAN_ATTEMPTS: u32 = 2;
+/// Enough for a read and a write. If they fail, another purge is scheduled.
+const PURGE_ATTEMPTS: u32 = 2;
 
-/// Answers a claim. If nobody reads the answer, dropping it gives a grant back.
-pub(super) fn answer(claim: WaitingClaim, outcome: Outcome) {
+/// Replies to a claim. A grant in a reply that nobody receives is released when dropped.
+pub(super) fn reply(claim: PendingClaim, outcome: Outcome) {
     let _ = claim.reply.send(outcome);
 }
--- a/crates/hawthorn-store/src/claim/count.rs
+++ b/crates/hawthorn-store/src/claim/count.rs
@@ -1,4 +1,4 @@
-//! Counts of what the claims of one host came to and what they cost.
+//! Counters of claim outcomes and of the store calls that they cost.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -9,33 +9,34 @@
 use strum::IntoEnumIterator;
 use strum::IntoStaticStr;
 
-/// Something that is counted.
+/// A counted event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumCount, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum ClaimEvent {
     /// A claim was granted.
     Granted,
-    /// A claim was held by an earlier send.
+    /// An earlier send held the claim.
     HeldEarlier,
     /// A claim was certainly not recorded.
     Unavailable,
-    /// It was not known whether a claim was recorded.
+    /// It is unknown whether a claim was recorded.
     Uncertain,
-    /// A claim was given back before it was dispatched.
+    /// A claim was released before it was dispatched.
     Released,
-    /// The store was asked to write.
+    /// A write was sent to the store.
     Write,
-    /// The store was asked to read.
+    /// A read was sent to the store.
     Read,
     /// A write found another revision.
     Conflict,
-    /// The answer to a write was lost.
+    /// The outcome of a write is unknown.
     LostAnswer,
-    /// The store was found at an older revision than before.
-    StoreWentBack,
-    /// A value was no table of claims.
+    /// The store returned an older revision than before.
+    #[strum(serialize = "store-went-back")]
+    StoreReverted,
+    /// A value was not a table of claims.
     Malformed,
-    /// Bytes written, not events.
+    /// Number of bytes written.
     BytesWritten,
 }
 
@@ -46,12 +47,12 @@
 }
 
 impl ClaimCounts {
-    /// How often `event` came about.
+    /// The count of `event`.
     pub fn get(&self, event: ClaimEvent) -> u64 {
         self.cells[event as usize].load(Ordering::Relaxed)
     }
 
-    /// Every counter.
+    /// All counters.
     pub fn iter(&self) -> impl Iterator<Item = (ClaimEvent, u64)> {
         ClaimEvent::iter().map(|event| (event, self.get(event)))
     }
--- a/crates/hawthorn-store/src/claim/grant.rs
+++ b/crates/hawthorn-store/src/claim/grant.rs
@@ -1,4 +1,4 @@
-//! A claim that was granted, from the answer of the store to the dispatch.
+//! A granted claim, from the store's answer to the dispatch of the request.
 
 use std::time::Duration;
 
@@ -6,9 +6,9 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::Instant;
 
-use super::ledger::Nonce;
+use super::cache::Nonce;
 
-/// A nonce to give up, and the span whose value holds it.
+/// A nonce to abandon, and the span whose value contains it.
 #[derive(Clone, Debug)]
 pub(super) struct ReleasedNonce {
     pub(super) span: u64,
@@ -17,8 +17,8 @@
 
 /// The right to dispatch one request once.
 ///
-/// Dropped without [`ClaimGrant::dispatch`], it is given back: the entry is
-/// taken out of the store, and the same request id may be sent again.
+/// If it is dropped without [`ClaimGrant::dispatch`] the claim is released: its entry is
+/// removed from the store, and the same request id may be sent again.
 #[derive(Debug)]
 pub struct ClaimGrant {
     pub(super) released: Option<ReleasedNonce>,
@@ -27,38 +27,38 @@
     pub(super) expires_at: Duration,
 }
 
-/// The right to send the request once, spent. Dropped, it stays spent.
+/// A grant that has been used. Dropping the permit does not release the claim.
 #[derive(Debug)]
-#[must_use = "the claim is spent: send the request now or report that it may have run"]
+#[must_use = "the claim is used: send the request now or report that it may have run"]
 pub struct DispatchPermit {
-    spent: ClaimGrant,
-    held: Option<ReleasedNonce>,
+    grant: ClaimGrant,
+    nonce: Option<ReleasedNonce>,
 }
 
 impl DispatchPermit {
-    /// When the claim may be gone from the store, as Unix time: whoever sends
-    /// the request on must not do so later.
+    /// Unix time after which the claim may be gone from the store. The request must not be
+    /// forwarded later.
     pub fn expires_at(&self) -> Duration {
-        self.spent.expires_at
+        self.grant.expires_at
     }
 
-    /// The request was sent on and certainly did not run and will not: the
-    /// claim is unspent again, to be sent elsewhere or given back.
+    /// Turns the permit into a grant again, after the request was forwarded but certainly did
+    /// not run and will not. The grant can be dispatched elsewhere or released.
     pub fn not_run(mut self) -> ClaimGrant {
-        self.spent.released = self.held.take();
-        self.spent
+        self.grant.released = self.nonce.take();
+        self.grant
     }
 }
 
 quick_error! {
-    /// Why a grant can no longer be used. The request was not run.
+    /// Why a grant can no longer be used. The request did not run.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum GrantExpired {
-        /// The caller no longer waits.
+        /// The deadline has passed, so the caller no longer waits.
         DeadlinePast {
             display("the deadline passed between the claim and the dispatch")
         }
-        /// The request id is older than ids for which claims are kept.
+        /// The request id is older than the window in which claims are kept.
         TooOld {
             display("the request id is older than the window of claims")
         }
@@ -66,13 +66,16 @@
 }
 
 impl ClaimGrant {
-    /// Spends the grant. To be called right before the request is sent.
+    /// Uses the grant. Call it immediately before the request is sent.
     ///
-    /// Failure: the process is paused between claim and dispatch and wakes
-    /// after the caller has given up; the caller sees a barge it no longer
-    /// expects. The monotonic clock tells that, except where it stands still
-    /// while a virtual machine is paused; then Unix time tells that the id has
-    /// left the window, beyond which the claim may be swept.
+    /// Failure: the process is paused between claim and dispatch and resumes after the caller
+    /// has given up, so that an order takes effect that nobody expects. The monotonic clock
+    /// detects this unless it stops while a virtual machine is paused; then Unix time shows
+    /// that the id has left the window, after which the claim may have been swept.
+    ///
+    /// # Errors
+    /// [`GrantExpired`] if the deadline has passed or the request id is too old. The claim is
+    /// released.
     pub fn dispatch(
         mut self,
         now: Instant,
@@ -84,15 +87,15 @@
         if unix_now > self.expires_at {
             return Err(GrantExpired::TooOld);
         }
-        let held = self.released.take();
-        Ok(DispatchPermit { spent: self, held })
+        let nonce = self.released.take();
+        Ok(DispatchPermit { grant: self, nonce })
     }
 }
 
 impl Drop for ClaimGrant {
     fn drop(&mut self) {
         if let Some(released) = self.released.take() {
-            // The keeper is gone: the entry stays until claims of its span are swept.
+            // If the committer has stopped, the entry stays until its span is swept.
             let _ = self.releases.send(released);
         }
     }
--- a/crates/hawthorn-store/src/claim/mod.rs
+++ b/crates/hawthorn-store/src/claim/mod.rs
@@ -1,16 +1,15 @@
-//! At most one run for each caller and request id.
+//! At-most-once execution for each caller and request id.
 //!
-//! A claim is an entry in a value of the store, written by compare-and-swap
-//! before anything is dispatched. Claims of one bucket that wait together are
-//! written together. No claim depends on a lease. The reasoning is in
-//! `docs/design/at-most-once.md`.
+//! A claim is an entry in a value of the store, written by compare-and-swap before the request
+//! is dispatched. Pending claims of one bucket are written in batches. Claims do not depend on
+//! leases. The design is explained in `docs/design/at-most-once.md`.
 
+mod batch;
+mod cache;
+mod client;
 mod committer;
 mod count;
 mod grant;
-mod group;
-mod client;
-mod ledger;
 mod stamp;
 mod sweep;
 
@@ -33,46 +32,45 @@
 pub use self::sweep::SweepOutcome;
 pub use self::sweep::sweep;
 
-/// Makes the nonces of two processes differ: a random number, drawn anew at
-/// each start of a process. Two processes with the same one would each take
-/// the other's claims for their own, so there is no default.
+/// Random number that makes nonces unique to a process, drawn at each start. There is no
+/// default: two processes with the same seed would each treat the other's claims as their own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessSeed(pub u64);
 
-/// Limits of the claims.
+/// Limits of claims.
 ///
-/// `buckets`, `span`, `window` and `margin` are the same on all hosts, and
-/// `buckets` and `span` of a fleet never change while ids of their window are
-/// in use: two hosts that look for one claim under two keys both grant it.
+/// `buckets`, `span`, `window` and `margin` must be the same on all hosts. `buckets` and
+/// `span` must not change while ids of the window are in use: two hosts that store the same
+/// claim under different keys both grant it.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Values that the claims of one span are spread over.
+    /// Number of values over which the claims of one span are distributed.
     pub buckets: u32,
-    /// Seconds of request ids that share a value. Each write repeats the whole
-    /// value, so a long span costs bytes: see `docs/design/at-most-once.md`.
+    /// Seconds of request ids that share a value. Each write contains the complete value, so
+    /// a longer span costs more bytes: see `docs/design/at-most-once.md`.
     pub span: u64,
-    /// How old a request id may be. Claims are kept at least as long.
+    /// Maximum age of a request id. Claims are kept at least as long.
     pub window: Duration,
-    /// How much longer claims are kept than `window`. Has to exceed the
-    /// difference between any two hosts' clocks, or a slow clock would accept
-    /// an id whose claim is already gone.
+    /// How much longer than `window` claims are kept. Must exceed the difference between any
+    /// two hosts' clocks: otherwise a host with a slow clock accepts an id whose claim is
+    /// already deleted.
     pub margin: Duration,
-    /// How far in the future a request id may be stamped.
+    /// How far in the future the timestamp of a request id may lie.
     pub skew: Duration,
-    /// Shortest time between two writes of a bucket. With `buckets` it bounds
-    /// the writes a second, `buckets / min_interval`, whatever the load.
+    /// Minimum interval between two writes of a bucket. Limits the writes per second to
+    /// `buckets / min_interval` at any load.
     pub min_interval: Duration,
-    /// Pause after a write that failed.
-    pub pause: Duration,
-    /// Exchanges with the store for one group of claims.
+    /// Delay after a failed read or write.
+    pub retry_delay: Duration,
+    /// Maximum number of exchanges with the store for one batch.
     pub max_attempts: u32,
-    /// Claims in one write.
-    pub max_group: usize,
-    /// Claims waiting in one bucket.
-    pub max_waiting: usize,
-    /// Largest value written, in bytes; below the megabyte the store takes.
+    /// Maximum number of claims in one write.
+    pub max_batch: usize,
+    /// Maximum number of pending claims in one bucket.
+    pub max_pending: usize,
+    /// Maximum size of a written value in bytes; below the megabyte that the store accepts.
     pub max_value: usize,
-    /// How long a claim given back waits for a write to go along with.
+    /// How long a released claim waits for a write that can also remove it.
     pub release_delay: Duration,
 }
 
@@ -85,52 +83,52 @@
             margin: Duration::from_secs(300),
             skew: Duration::from_secs(5),
             min_interval: Duration::from_millis(25),
-            pause: Duration::from_millis(20),
+            retry_delay: Duration::from_millis(20),
             max_attempts: 8,
-            max_group: 1024,
-            max_waiting: 4096,
+            max_batch: 1024,
+            max_pending: 4096,
             max_value: 900_000,
             release_delay: Duration::from_millis(250),
         }
     }
 }
 
-/// A request that wants to run.
+/// A request for a claim.
 #[derive(Clone, Debug)]
 pub struct ClaimRequest {
     /// The caller.
     pub caller: String,
-    /// The caller's own request id.
+    /// The request id, made by the caller.
     pub request_id: String,
     /// When the caller stops waiting.
     pub deadline: Instant,
-    /// Unix time now, by this host's clock.
+    /// Current Unix time, by this host's clock.
     pub unix_now: Duration,
 }
 
-/// What became of a claim.
+/// Outcome of a claim.
 #[derive(Debug)]
 pub enum Outcome {
-    /// Recorded; this send alone may run the request.
+    /// Recorded: only this send may run the request.
     Granted(ClaimGrant),
     /// Another send holds the claim and may have run the request.
     HeldEarlier,
-    /// Certainly not recorded: this send did not run and will not.
+    /// Certainly not recorded: this send did not run the request and will not.
     Unavailable(UnavailableCause),
-    /// Perhaps recorded, and never to be dispatched: this send did not run and
-    /// will not. The entry is taken out in the background, if it is there.
+    /// Possibly recorded, but never dispatched: this send did not run the request and will
+    /// not. If there is an entry, it is removed in the background.
     Uncertain,
-    /// The request id or the deadline does not allow a claim.
+    /// The request id or the deadline is not valid for a claim.
     Refused(RefusalReason),
 }
 
 impl Outcome {
-    /// What the caller is told; `None` when the request may run.
+    /// The outcome returned to the caller; `None` if the request may run.
     ///
-    /// An uncertain claim is `not-run`: nothing was dispatched, and the keeper
-    /// never will. `unknown` would be no lie, but would have the caller look
-    /// for an order that cannot exist. All `not-run` speak of this send; what
-    /// an earlier send of the same id was told stands.
+    /// An uncertain claim is `not-run`, as nothing was dispatched or ever will be. `unknown`
+    /// would also be correct, but would have the caller search for an order that cannot
+    /// exist. `not-run` refers to this send only; it does not replace the outcome of an
+    /// earlier send of the same id.
     pub fn refusal(&self) -> Option<CallerOutcome> {
         let reason = match self {
             Self::Granted(_) => return None,
@@ -160,14 +158,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum UnavailableCause {
-    /// Too many claims wait in the bucket.
+    /// Too many claims are pending in the bucket.
     QueueFull,
-    /// The deadline passed before it was the claim's turn.
+    /// The deadline passed before the claim was recorded.
     Expired,
-    /// The store did not run the writes.
+    /// The store did not apply the writes.
     Store,
-    /// The value has no room for further claims of this span.
+    /// The value of this span has reached its maximum size.
     SpanFull,
-    /// The keeper is stopping.
+    /// The bucket task is stopping.
     Stopping,
 }
--- a/crates/hawthorn-store/src/claim/stamp.rs
+++ b/crates/hawthorn-store/src/claim/stamp.rs
@@ -1,4 +1,4 @@
-//! The caller's own request id, `SECONDS-REST`.
+//! Request ids made by callers, `SECONDS-REST`.
 
 use std::time::Duration;
 
@@ -7,33 +7,33 @@
 
 use super::Options;
 
-/// The longest request id, in bytes: a claim's value holds thousands of them.
+/// Maximum length of a request id in bytes: one stored value contains thousands of them.
 pub const MAX_LENGTH: usize = 128;
 
 quick_error! {
-    /// Why a text is no request id.
+    /// Why a text is not a request id.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum ParseError {
         /// Longer than [`MAX_LENGTH`].
         TooLong {
             display("the request id is longer than {} bytes", MAX_LENGTH)
         }
-        /// There is no hyphen, or nothing after it.
-        NoRest {
+        /// There is no hyphen, or nothing follows it.
+        MissingSuffix {
             display("the request id is not SECONDS-REST")
         }
-        /// What is before the first hyphen is no Unix time.
+        /// The part before the first hyphen is not a Unix time.
         BadSeconds {
             display("the request id does not begin with a Unix time in seconds")
         }
-        /// There is a control character or one outside ASCII.
+        /// A character is not visible ASCII.
         BadCharacter {
             display("the request id has a character other than visible ASCII")
         }
     }
 }
 
-/// A request id and the second that it was made.
+/// A request id and the second in which it was created.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RequestStamp {
     second: u64,
@@ -41,7 +41,10 @@
 }
 
 impl RequestStamp {
-    /// Reads `SECONDS-REST`. The text is kept as it is: `07-a` and `7-a` are two ids.
+    /// Parses `SECONDS-REST`. The text is not normalized: `07-a` and `7-a` are different ids.
+    ///
+    /// # Errors
+    /// [`ParseError`] if the text is too long or malformed.
     pub fn parse(text: &str) -> Result<Self, ParseError> {
         if text.len() > MAX_LENGTH {
             return Err(ParseError::TooLong);
@@ -49,9 +52,9 @@
         if !text.bytes().all(|byte| byte.is_ascii_graphic()) {
             return Err(ParseError::BadCharacter);
         }
-        let (seconds, rest) = text.split_once('-').ok_or(ParseError::NoRest)?;
-        if rest.is_empty() {
-            return Err(ParseError::NoRest);
+        let (seconds, suffix) = text.split_once('-').ok_or(ParseError::MissingSuffix)?;
+        if suffix.is_empty() {
+            return Err(ParseError::MissingSuffix);
         }
         if !seconds.bytes().all(|byte| byte.is_ascii_digit()) {
             return Err(ParseError::BadSeconds);
@@ -60,34 +63,37 @@
         Ok(Self { second, text: text.to_owned() })
     }
 
-    /// The id as the caller wrote it.
+    /// The id as the caller sent it.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// The Unix second that the caller made it.
+    /// The Unix second in which the caller created it.
     pub fn second(&self) -> u64 {
         self.second
     }
 
-    /// The span of [`Options::span`] seconds that it lies in; it chooses the claim's key.
+    /// The span of [`Options::span`] seconds that contains it, which is part of the claim's
+    /// key.
     pub fn span(&self, options: &Options) -> u64 {
         self.second / options.span.max(1)
     }
 
-    /// The last moment at which it is accepted, in Unix time.
+    /// The last point in time at which it is accepted, in Unix time.
     pub fn expires_at(&self, options: &Options) -> Duration {
         Duration::from_secs(self.second).saturating_add(options.window)
     }
 
-    /// Whether the id lies in the time for which claims are kept.
+    /// Checks that the id lies within the window in which claims are kept.
+    ///
+    /// Failure: an id older than the window would find no claim and run a second time. It is
+    /// refused as not run, which is true of this send.
     ///
-    /// Failure: an id older than the claims that are kept would find no claim
-    /// and run a second time. It is refused instead, which is true: it was
-    /// not run by this send and will not be.
+    /// # Errors
+    /// The reason for the refusal: the id is too old, or too far in the future.
     pub fn check(&self, unix_now: Duration, options: &Options) -> Result<(), RefusalReason> {
-        let made = Duration::from_secs(self.second);
-        if made > unix_now.saturating_add(options.skew) {
+        let created = Duration::from_secs(self.second);
+        if created > unix_now.saturating_add(options.skew) {
             return Err(RefusalReason::RequestIdInFuture);
         }
         if unix_now > self.expires_at(options) {
@@ -97,8 +103,8 @@
     }
 }
 
-/// The first moment at which no host accepts an id of `span` any more.
-pub(super) fn forgotten_at(span: u64, options: &Options) -> Duration {
+/// The time from which no host accepts an id of `span`, so that its claims may be deleted.
+pub(super) fn retained_until(span: u64, options: &Options) -> Duration {
     let end = Duration::from_secs(span.saturating_add(1).saturating_mul(options.span.max(1)));
     end.saturating_add(options.window).saturating_add(options.margin)
 }
--- a/crates/hawthorn-store/tests/claim.rs
+++ b/crates/hawthorn-store/tests/claim.rs
@@ -1,4 +1,4 @@
-//! Claims: at most one run for a request id, whatever the store does.
+//! Claims: a request id runs at most once, whatever the store does.
 
 mod support;
 
@@ -25,36 +25,36 @@
 use support::Fault;
 use support::claims::LATENCY;
 use support::claims::NOW;
-use support::claims::SETTLED;
-use support::claims::ask;
+use support::claims::SETTLE_TIME;
+use support::claims::client;
 use support::claims::dispatch;
 use support::claims::granted;
-use support::claims::keeper;
 use support::claims::options;
+use support::claims::request;
 use support::claims::unix;
 use support::load;
 use support::load::ClaimLoad;
 
 type TestResult = Result<(), Box<dyn Error>>;
 
-/// One entry per fault: the writes of the first send meet these, in order.
+/// Faults of the writes of the first send, in order, and the expected store calls.
 struct LostCase {
     name: &'static str,
     faults: Vec<Fault>,
-    /// Exchanges with the store until the claim is granted.
+    /// Store calls until the claim is granted.
     writes: u64,
     reads: u64,
 }
 
-/// The store writes a claim and its answer is lost, or is slow to take effect.
-/// Written again without a look, it would meet itself, be taken for another
-/// host's, and the order would be refused as already sent.
+/// Guards against a claim that conflicts with itself: the answer to its write is lost or the
+/// write takes effect late. A retry without a read would attribute the claim to another host
+/// and refuse the order as already sent.
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_is_told_from_a_lost_race() -> TestResult {
+async fn a_lost_answer_is_distinguished_from_a_conflict() -> TestResult {
     let later = Fault::RunsLater(Duration::from_millis(24));
     let much_later = Fault::RunsLater(Duration::from_millis(500));
     let cases = [
-        LostCase { name: "nothing wrong", faults: vec![], writes: 1, reads: 0 },
+        LostCase { name: "no fault", faults: vec![], writes: 1, reads: 0 },
         LostCase { name: "rate limited", faults: vec![Fault::RateLimited], writes: 2, reads: 0 },
         LostCase { name: "outage", faults: vec![Fault::Outage], writes: 2, reads: 1 },
         LostCase { name: "answer lost", faults: vec![Fault::LostAnswer], writes: 1, reads: 1 },
@@ -74,18 +74,18 @@
     ];
     for case in cases {
         let store = FakeStore::new(LATENCY);
-        let (first, second) = (keeper(&store, 1), keeper(&store, 2));
+        let (first, second) = (client(&store, 1), client(&store, 2));
         store.script(case.faults);
-        let grant = granted(first.claim(ask("1700000000-a")).await)?;
+        let grant = granted(first.claim(request("1700000000-a")).await)?;
         let calls = store.calls();
         assert_eq!((calls.puts, calls.gets), (case.writes, case.reads), "{}", case.name);
         dispatch(grant)?;
-        sleep(SETTLED).await;
-        for keeper in [&first, &second] {
-            let outcome = keeper.claim(ask("1700000000-a")).await;
+        sleep(SETTLE_TIME).await;
+        for client in [&first, &second] {
+            let outcome = client.claim(request("1700000000-a")).await;
             assert!(matches!(outcome, Outcome::HeldEarlier), "{}: {outcome:?}", case.name);
-            let told = CallerOutcome::Unknown(UnknownReason::ClaimedEarlier);
-            assert_eq!(outcome.refusal(), Some(told), "{}", case.name);
+            let expected = CallerOutcome::Unknown(UnknownReason::ClaimedEarlier);
+            assert_eq!(outcome.refusal(), Some(expected), "{}", case.name);
         }
     }
     Ok(())
@@ -94,15 +94,15 @@
 struct OutageCase {
     name: &'static str,
     first_write: Fault,
-    /// The first send is in doubt, as opposed to certainly not recorded.
+    /// The first send is uncertain, as opposed to certainly not recorded.
     uncertain: bool,
 }
 
-/// The store goes down in the middle of a claim and comes back a minute later.
-/// The agent is told `not-run` and sends the same id again to another host.
-/// Left in the store, the first claim would block that order for ten minutes.
+/// Guards against an order blocked for ten minutes by its own unused claim. The store fails
+/// during a claim and recovers a minute later; the caller receives `not-run` and sends the same
+/// id to another host.
 #[tokio::test(start_paused = true)]
-async fn a_claim_in_doubt_is_taken_out_when_the_store_is_back() -> TestResult {
+async fn an_uncertain_claim_is_removed_once_the_store_recovers() -> TestResult {
     let later = Fault::RunsLater(Duration::from_secs(20));
     let cases = [
         OutageCase { name: "not recorded", first_write: Fault::Outage, uncertain: true },
@@ -112,12 +112,12 @@
     ];
     for case in cases {
         let store = FakeStore::new(LATENCY);
-        let (first, second) = (keeper(&store, 1), keeper(&store, 2));
+        let (first, second) = (client(&store, 1), client(&store, 2));
         let rate_limited = [Fault::RateLimited; 7];
         store.script([case.first_write].into_iter().chain(rate_limited));
         let claim = tokio::spawn({
             let first = first.clone();
-            async move { first.claim(ask("1700000000-a")).await }
+            async move { first.claim(request("1700000000-a")).await }
         });
         sleep(Duration::from_millis(2)).await;
         if case.uncertain {
@@ -126,115 +126,116 @@
         let outcome = claim.await?;
         let is_uncertain = matches!(outcome, Outcome::Uncertain);
         assert_eq!(is_uncertain, case.uncertain, "{}: {outcome:?}", case.name);
-        let told = CallerOutcome::NotRun(RefusalReason::ClaimUnavailable);
-        assert_eq!(outcome.refusal(), Some(told), "{}", case.name);
+        let expected = CallerOutcome::NotRun(RefusalReason::ClaimUnavailable);
+        assert_eq!(outcome.refusal(), Some(expected), "{}", case.name);
         assert_eq!(first.retry_after(&outcome), Some(Duration::from_secs(1)), "{}", case.name);
         if case.uncertain {
-            // While it is down nothing is written, so nothing more is in doubt.
-            let outcome = first.claim(ask("1700000000-b")).await;
+            // During the outage no write is attempted, so no further claim is uncertain.
+            let outcome = first.claim(request("1700000000-b")).await;
             let unavailable = matches!(outcome, Outcome::Unavailable(UnavailableCause::Store));
             assert!(unavailable, "{}: {outcome:?}", case.name);
         }
         sleep(Duration::from_secs(60)).await;
         store.set_down(false);
-        sleep(SETTLED).await;
-        dispatch(granted(second.claim(ask("1700000000-a")).await)?)?;
-        let outcome = first.claim(ask("1700000000-a")).await;
+        sleep(SETTLE_TIME).await;
+        dispatch(granted(second.claim(request("1700000000-a")).await)?)?;
+        let outcome = first.claim(request("1700000000-a")).await;
         assert!(matches!(outcome, Outcome::HeldEarlier), "{}: {outcome:?}", case.name);
     }
     Ok(())
 }
 
-/// A claim is recorded, its answer is lost, and the host dies before it can
-/// take the claim out. Nobody else can tell that it was never used. The agent is
-/// told `unknown` until its id is too old for a claim, and never served twice.
+/// A claim is recorded, its answer is lost, and the host crashes before it can remove the
+/// claim. No other host knows that the claim was never used, so the caller receives `unknown`
+/// until its id is too old, and the request never runs twice.
 #[tokio::test(start_paused = true)]
-async fn a_claim_of_a_dead_host_is_never_taken_over() -> TestResult {
+async fn a_claim_of_a_crashed_host_is_never_reassigned() -> TestResult {
     let store = FakeStore::new(LATENCY);
-    let (dying, second) = (store.other_host(), keeper(&store, 2));
-    let first = keeper(&dying, 1);
+    let (crashing, second) = (store.other_host(), client(&store, 2));
+    let first = client(&crashing, 1);
     store.script([Fault::LostAnswer]);
-    let (outcome, ()) = tokio::join!(first.claim(ask("1700000000-a")), async {
+    let (outcome, ()) = tokio::join!(first.claim(request("1700000000-a")), async {
         sleep(LATENCY * 2).await;
-        dying.cut_off();
+        crashing.disconnect();
     });
     assert!(matches!(outcome, Outcome::Uncertain), "{outcome:?}");
-    for (age, told) in [
+    for (age, expected) in [
         (0, CallerOutcome::Unknown(UnknownReason::ClaimedEarlier)),
         (600, CallerOutcome::Unknown(UnknownReason::ClaimedEarlier)),
         (601, CallerOutcome::NotRun(RefusalReason::RequestIdTooOld)),
     ] {
-        sleep(SETTLED).await;
-        let ask = ClaimRequest { unix_now: unix(NOW + age), ..ask("1700000000-a") };
-        assert_eq!(second.claim(ask).await.refusal(), Some(told), "{age} s later");
+        sleep(SETTLE_TIME).await;
+        let request = ClaimRequest { unix_now: unix(NOW + age), ..request("1700000000-a") };
+        assert_eq!(second.claim(request).await.refusal(), Some(expected), "{age} s later");
     }
     Ok(())
 }
 
-/// A claim is granted, and then no target has a free slot. The agent is told
-/// `not-run`; sent again, the order must not meet its own unused claim.
+/// Guards against an order that conflicts with its own unused claim: the claim is granted, but
+/// no target has a free slot, and the caller sends the order again.
 #[tokio::test(start_paused = true)]
-async fn a_grant_that_is_not_used_goes_back() -> TestResult {
+async fn an_unused_grant_is_released() -> TestResult {
     let store = FakeStore::new(LATENCY);
-    let (first, second) = (keeper(&store, 1), keeper(&store, 2));
-    drop(granted(first.claim(ask("1700000000-a")).await)?);
-    // Before the claim is out of the store, another host cannot tell it from a used one.
-    let outcome = second.claim(ask("1700000000-a")).await;
+    let (first, second) = (client(&store, 1), client(&store, 2));
+    drop(granted(first.claim(request("1700000000-a")).await)?);
+    // Until the claim is removed from the store, another host cannot distinguish it from a used
+    // one.
+    let outcome = second.claim(request("1700000000-a")).await;
     assert!(matches!(outcome, Outcome::HeldEarlier), "{outcome:?}");
-    // The keeper that gave it back can.
-    drop(granted(first.claim(ask("1700000000-a")).await)?);
-    sleep(SETTLED).await;
-    dispatch(granted(second.claim(ask("1700000000-a")).await)?)?;
+    // The client that released it can.
+    drop(granted(first.claim(request("1700000000-a")).await)?);
+    sleep(SETTLE_TIME).await;
+    dispatch(granted(second.claim(request("1700000000-a")).await)?)?;
     Ok(())
 }
 
-/// The first owner that the order is handed to says that it will not run it, as
-/// its group has just moved. The claim is still this send's: the next owner may
-/// run it, and no other send may in between.
+/// The first owner to which the order is forwarded refuses it, as its group has just moved.
+/// The claim still belongs to this send: the next owner may run it, and no other send may in
+/// between.
 #[tokio::test(start_paused = true)]
-async fn a_claim_that_certainly_did_not_run_is_handed_on() -> TestResult {
+async fn a_claim_that_certainly_did_not_run_can_be_dispatched_again() -> TestResult {
     let store = FakeStore::new(LATENCY);
-    let (first, second) = (keeper(&store, 1), keeper(&store, 2));
-    let grant = granted(first.claim(ask("1700000000-a")).await)?;
+    let (first, second) = (client(&store, 1), client(&store, 2));
+    let grant = granted(first.claim(request("1700000000-a")).await)?;
     let permit = grant.dispatch(Instant::now(), unix(NOW))?;
-    let outcome = second.claim(ask("1700000000-a")).await;
+    let outcome = second.claim(request("1700000000-a")).await;
     assert!(matches!(outcome, Outcome::HeldEarlier), "{outcome:?}");
-    let spent = permit.not_run().dispatch(Instant::now(), unix(NOW))?;
-    // Dropped spent, it stays spent: nobody runs the order a second time.
-    drop(spent);
-    sleep(SETTLED).await;
-    let outcome = second.claim(ask("1700000000-a")).await;
+    let dispatched = permit.not_run().dispatch(Instant::now(), unix(NOW))?;
+    // Dropping the permit does not release the claim, so the order cannot run a second time.
+    drop(dispatched);
+    sleep(SETTLE_TIME).await;
+    let outcome = second.claim(request("1700000000-a")).await;
     assert!(matches!(outcome, Outcome::HeldEarlier), "{outcome:?}");
     Ok(())
 }
 
-/// The process is paused between claim and dispatch, and wakes after the agent
-/// has given up, or, where the monotonic clock stood still as well, after the
-/// claim was swept. A barge would come that nobody expects.
+/// Guards against an order that runs although nobody expects it: the process is paused between
+/// claim and dispatch, and resumes after the caller has given up or, if the monotonic clock
+/// stopped as well, after the claim was swept.
 #[tokio::test(start_paused = true)]
 async fn a_paused_holder_does_not_dispatch() -> TestResult {
     let store = FakeStore::new(LATENCY);
-    let keeper = keeper(&store, 1);
-    let grant = granted(keeper.claim(ask("1700000000-a")).await)?;
+    let client = client(&store, 1);
+    let grant = granted(client.claim(request("1700000000-a")).await)?;
     tokio::time::advance(Duration::from_secs(2)).await;
     assert_eq!(dispatch(grant), Err(GrantExpired::DeadlinePast));
-    let grant = granted(keeper.claim(ask("1700000000-b")).await)?;
-    let woken = unix(NOW + 601);
-    let outcome = grant.dispatch(Instant::now(), woken).map(|_permit| ());
+    let grant = granted(client.claim(request("1700000000-b")).await)?;
+    let resumed_at = unix(NOW + 601);
+    let outcome = grant.dispatch(Instant::now(), resumed_at).map(|_permit| ());
     assert_eq!(outcome, Err(GrantExpired::TooOld));
     Ok(())
 }
 
-/// The store hangs. The agent gets its answer at its deadline, not at the
-/// store's; what is still queued behind the hanging write is certainly not run.
+/// The store hangs. The caller receives its outcome at its own deadline, and a claim queued
+/// behind the hanging write certainly did not run.
 #[tokio::test(start_paused = true)]
-async fn a_hanging_store_holds_no_caller_beyond_its_deadline() -> TestResult {
+async fn a_hanging_store_delays_no_outcome_beyond_the_deadline() -> TestResult {
     let store = FakeStore::new(Duration::from_secs(30));
-    let keeper = keeper(&store, 1);
+    let client = client(&store, 1);
     let started = Instant::now();
-    let (first, queued) = tokio::join!(keeper.claim(ask("1700000000-a")), async {
+    let (first, queued) = tokio::join!(client.claim(request("1700000000-a")), async {
         sleep(LATENCY).await;
-        keeper.claim(ask("1700000000-b")).await
+        client.claim(request("1700000000-b")).await
     });
     assert!(matches!(first, Outcome::Uncertain), "{first:?}");
     let expired = matches!(queued, Outcome::Unavailable(UnavailableCause::Expired));
@@ -243,20 +244,20 @@
     Ok(())
 }
 
-/// The store comes back from a copy that lacks the last claims. Their orders
-/// have run; granted again, a second barge goes to the same vessel.
+/// Guards against orders that run twice after the store is restored from a backup without the
+/// latest claims.
 #[tokio::test(start_paused = true)]
-async fn claims_lost_by_a_restored_store_are_put_back() -> TestResult {
+async fn claims_missing_from_a_restored_store_are_rewritten() -> TestResult {
     let store = FakeStore::new(LATENCY);
-    let keeper = keeper(&store, 1);
-    dispatch(granted(keeper.claim(ask("1700000000-a")).await)?)?;
+    let client = client(&store, 1);
+    dispatch(granted(client.claim(request("1700000000-a")).await)?)?;
     let backup = store.backup();
-    dispatch(granted(keeper.claim(ask("1700000000-b")).await)?)?;
+    dispatch(granted(client.claim(request("1700000000-b")).await)?)?;
     store.restore(backup);
-    dispatch(granted(keeper.claim(ask("1700000000-c")).await)?)?;
-    let outcome = keeper.claim(ask("1700000000-b")).await;
+    dispatch(granted(client.claim(request("1700000000-c")).await)?)?;
+    let outcome = client.claim(request("1700000000-b")).await;
     assert!(matches!(outcome, Outcome::HeldEarlier), "{outcome:?}");
-    assert_eq!(keeper.counts().get(ClaimEvent::StoreWentBack), 1);
+    assert_eq!(client.counts().get(ClaimEvent::StoreReverted), 1);
     Ok(())
 }
 
@@ -283,57 +284,57 @@
         refused("99999999999999999999-x", RefusalReason::BadRequestId),
     ];
     let store = FakeStore::new(LATENCY);
-    let keeper = keeper(&store, 1);
+    let client = client(&store, 1);
     for case in cases {
-        let outcome = keeper.claim(ask(case.request_id)).await;
+        let outcome = client.claim(request(case.request_id)).await;
         let refusal = outcome.refusal();
         assert_eq!(refusal, case.refusal.map(CallerOutcome::NotRun), "{}", case.request_id);
     }
     Ok(())
 }
 
-/// A claim is deleted while a slow clock still accepts its id: the same order,
-/// sent again, runs a second time.
+/// Guards against a claim deleted while a host with a slow clock still accepts its id, so that
+/// the order runs again if it is sent again.
 #[tokio::test(start_paused = true)]
-async fn claims_outlive_every_clock_that_accepts_their_ids() -> TestResult {
+async fn claims_are_kept_until_every_host_rejects_their_ids() -> TestResult {
     let store = FakeStore::new(LATENCY);
     let options = options();
     let span = NOW / options.span;
-    let gone_at = unix((span + 1) * options.span) + options.window + options.margin;
+    let expired_at = unix((span + 1) * options.span) + options.window + options.margin;
     store.force(&format!("claims/0/{span}"), "{}");
     store.force("claims/0/other", "{}");
-    let before = claim::sweep(&store, 0, gone_at - Duration::from_secs(1), &options).await?;
+    let before = claim::sweep(&store, 0, expired_at - Duration::from_secs(1), &options).await?;
     assert_eq!((before.kept, before.deleted), (2, 0));
-    let after = claim::sweep(&store, 0, gone_at, &options).await?;
+    let after = claim::sweep(&store, 0, expired_at, &options).await?;
     assert_eq!((after.kept, after.deleted), (1, 1));
     Ok(())
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_stopping_keeper_grants_nothing() -> TestResult {
+async fn a_stopping_client_grants_nothing() -> TestResult {
     let store = FakeStore::new(LATENCY);
     let cancel = CancellationToken::new();
-    let keeper = ClaimClient::spawn(Arc::new(store), ProcessSeed(1), &cancel, options());
+    let client = ClaimClient::spawn(Arc::new(store), ProcessSeed(1), &cancel, options());
     cancel.cancel();
-    sleep(SETTLED).await;
-    let outcome = keeper.claim(ask("1700000000-a")).await;
-    let told = CallerOutcome::NotRun(RefusalReason::Stopping);
-    assert_eq!(outcome.refusal(), Some(told), "{outcome:?}");
+    sleep(SETTLE_TIME).await;
+    let outcome = client.claim(request("1700000000-a")).await;
+    let expected = CallerOutcome::NotRun(RefusalReason::Stopping);
+    assert_eq!(outcome.refusal(), Some(expected), "{outcome:?}");
     Ok(())
 }
 
 struct RateCase {
     rate: u64,
     buckets: u32,
-    /// Bounds on the calls for 100 claims and on the writes a second.
+    /// Upper bounds of the calls for 100 claims and of the writes per second.
     calls: f64,
     writes: f64,
 }
 
-/// Every agent confirms orders at once. One write each would take the whole of
-/// the store's several hundred a second, and configuration edits with it.
+/// Guards against a burst of orders that exhausts the store: one write for each claim would use
+/// all of its several hundred writes a second, and block configuration edits.
 #[tokio::test(start_paused = true)]
-async fn writes_are_bounded_whatever_the_rate() -> TestResult {
+async fn the_write_rate_is_bounded_at_any_claim_rate() -> TestResult {
     let cases = [
         RateCase { rate: 10, buckets: 8, calls: 100.0, writes: 11.0 },
         RateCase { rate: 100, buckets: 8, calls: 100.0, writes: 101.0 },
@@ -346,7 +347,7 @@
         let cost = load::steady(load, options, LATENCY).await?;
         assert!(cost.calls_per_hundred <= case.calls, "{} a second: {cost:?}", case.rate);
         assert!(cost.writes_per_second <= case.writes, "{} a second: {cost:?}", case.rate);
-        // A write that just left, the pause after it, and the next write.
+        // A write that has just been sent, the interval after it, and the next write.
         let longest = LATENCY + options.min_interval + LATENCY * 2;
         assert!(cost.slowest <= longest, "{} a second: {cost:?}", case.rate);
     }
--- a/crates/hawthorn-store/tests/support/claims.rs
+++ b/crates/hawthorn-store/tests/support/claims.rs
@@ -1,4 +1,4 @@
-//! Keepers on a fake store, and requests to claim.
+//! Claim clients on a fake store, and claim requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,8 +17,8 @@
 
 pub const NOW: u64 = 1_700_000_000;
 pub const LATENCY: Duration = Duration::from_millis(3);
-/// Long enough for every write on its way and every claim given back.
-pub const SETTLED: Duration = Duration::from_secs(2);
+/// Exceeds the delay of every write in flight and every released claim.
+pub const SETTLE_TIME: Duration = Duration::from_secs(2);
 
 pub fn unix(second: u64) -> Duration {
     Duration::from_secs(second)
@@ -28,12 +28,12 @@
     claim::Options { buckets: 1, ..claim::Options::default() }
 }
 
-pub fn keeper(store: &FakeStore, seed: u64) -> ClaimClient {
+pub fn client(store: &FakeStore, seed: u64) -> ClaimClient {
     let cancel = CancellationToken::new();
     ClaimClient::spawn(Arc::new(store.clone()), ProcessSeed(seed), &cancel, options())
 }
 
-pub fn ask(request_id: &str) -> ClaimRequest {
+pub fn request(request_id: &str) -> ClaimRequest {
     ClaimRequest {
         caller: "port-desk".to_owned(),
         request_id: request_id.to_owned(),
--- a/crates/hawthorn-store/tests/support/load.rs
+++ b/crates/hawthorn-store/tests/support/load.rs
@@ -1,4 +1,4 @@
-//! Claims at a steady rate, in virtual time, and what they cost the store.
+//! Claims at a constant rate in virtual time, and the store calls that they cost.
 
 use std::error::Error;
 use std::sync::Arc;
@@ -17,13 +17,13 @@
 
 use super::FakeStore;
 
-const PATIENCE: Duration = Duration::from_secs(1);
-/// As long in a value as a random one.
+const TIMEOUT: Duration = Duration::from_secs(1);
+/// Has as many digits as a typical random seed, so that values have a realistic size.
 const TYPICAL_SEED: u64 = 0x9e37_79b9_7f4a_7c15;
 const MICROS: u64 = 1_000_000;
 const FIRST_SECOND: u64 = 1_700_000_040;
 
-/// What a steady rate of claims cost.
+/// Cost of claims at a constant rate.
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimCost {
     pub calls_per_hundred: f64,
@@ -33,16 +33,16 @@
     pub slowest: Duration,
 }
 
-/// Who claims how much.
+/// Rate and duration of claims.
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimLoad {
     pub rate: u64,
     pub seconds: u64,
-    /// Hosts that claim in turn; one when each bucket has one owner.
+    /// Number of hosts that claim in turn; 1 if each bucket has a single owner.
     pub hosts: u64,
 }
 
-/// Claims at a steady rate, each stamped when it is made, granted and used.
+/// Claims at a constant rate and dispatches each grant. Request ids have the time of the claim.
 pub async fn steady(
     load: ClaimLoad,
     options: claim::Options,
@@ -51,47 +51,47 @@
     let store = FakeStore::new(latency);
     let ClaimLoad { rate, seconds, hosts } = load;
     let cancel = CancellationToken::new();
-    let keeper = |host| {
+    let client = |host| {
         let seed = ProcessSeed(TYPICAL_SEED + host);
         ClaimClient::spawn(Arc::new(store.clone()), seed, &cancel, options)
     };
-    let keepers: Vec<ClaimClient> = (0..hosts).map(keeper).collect();
+    let clients: Vec<ClaimClient> = (0..hosts).map(client).collect();
     let started = Instant::now();
     let mut claims = JoinSet::new();
     for number in 0..rate * seconds {
         let at = Duration::from_micros(number * MICROS / rate);
         sleep_until(started + at).await;
-        let keeper = keepers[(number % hosts) as usize].clone();
+        let client = clients[(number % hosts) as usize].clone();
         claims.spawn(async move {
             let second = FIRST_SECOND + at.as_secs();
-            let ask = ClaimRequest {
+            let request = ClaimRequest {
                 caller: "port-desk".to_owned(),
                 request_id: format!("{second}-{number:06}"),
-                deadline: Instant::now() + PATIENCE,
+                deadline: Instant::now() + TIMEOUT,
                 unix_now: Duration::from_secs(second),
             };
-            let asked = Instant::now();
-            match keeper.claim(ask).await {
+            let requested_at = Instant::now();
+            match client.claim(request).await {
                 Outcome::Granted(grant) => {
-                    let waited = asked.elapsed();
+                    let latency = requested_at.elapsed();
                     let permit = grant.dispatch(Instant::now(), Duration::from_secs(second));
-                    permit.map(|_| waited).map_err(|error| error.to_string())
+                    permit.map(|_| latency).map_err(|error| error.to_string())
                 }
                 other => Err(format!("not granted: {other:?}")),
             }
         });
     }
-    let mut waits = claims.join_all().await.into_iter().collect::<Result<Vec<_>, _>>()?;
-    waits.sort();
+    let mut latencies = claims.join_all().await.into_iter().collect::<Result<Vec<_>, _>>()?;
+    latencies.sort();
     let calls = store.calls();
-    let written = keepers.iter().map(|keeper| keeper.counts().get(ClaimEvent::BytesWritten));
+    let written = clients.iter().map(|client| client.counts().get(ClaimEvent::BytesWritten));
     let written: u64 = written.sum();
-    let took = started.elapsed().as_secs_f64();
+    let elapsed = started.elapsed().as_secs_f64();
     Ok(ClaimCost {
-        calls_per_hundred: (calls.puts + calls.gets) as f64 * 100.0 / waits.len() as f64,
-        writes_per_second: calls.puts as f64 / took,
-        kilobytes_per_second: written as f64 / 1000.0 / took,
-        median: waits[waits.len() / 2],
-        slowest: waits[waits.len() - 1],
+        calls_per_hundred: (calls.puts + calls.gets) as f64 * 100.0 / latencies.len() as f64,
+        writes_per_second: calls.puts as f64 / elapsed,
+        kilobytes_per_second: written as f64 / 1000.0 / elapsed,
+        median: latencies[latencies.len() / 2],
+        slowest: latencies[latencies.len() - 1],
     })
 }
--- a/crates/hawthorn-store/tests/support/mod.rs
+++ b/crates/hawthorn-store/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A store in memory whose calls take virtual time and fail as they are told.
+//! In-memory store whose calls take virtual time and fail as configured.
 #![allow(dead_code)]
 
 pub mod claims;
@@ -26,22 +26,22 @@
 use rand::rngs::StdRng;
 use tokio::time::sleep;
 
-/// What goes wrong with one call.
+/// Fault of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// Answered 429; not run.
+    /// Returns 429; the call does not run.
     RateLimited,
-    /// Answered 503; not run, which the client cannot know.
+    /// Returns 503; the call does not run, which the client cannot know.
     Outage,
-    /// Run, and the answer is lost.
+    /// The call runs, but its answer is lost.
     LostAnswer,
-    /// The answer is lost at once, and the call runs so much later.
+    /// The answer is lost immediately, and the call runs after the given delay.
     RunsLater(Duration),
 }
 
-/// How often random faults come, in percent of all calls.
+/// Rates of random faults, in percent of all calls.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FaultRates {
     pub outage: u32,
@@ -61,11 +61,11 @@
     calls: Calls,
 }
 
-/// The store; clones are the same store, over the same connection.
+/// In-memory store. Clones share the store and the connection.
 #[derive(Clone, Debug)]
 pub struct FakeStore {
     state: Arc<Mutex<State>>,
-    cut: Arc<AtomicBool>,
+    disconnected: Arc<AtomicBool>,
     latency: Duration,
 }
 
@@ -93,30 +93,30 @@
             down: false,
             calls: Calls::default(),
         };
-        Self { state: Arc::new(Mutex::new(state)), cut: Arc::default(), latency }
+        Self { state: Arc::new(Mutex::new(state)), disconnected: Arc::default(), latency }
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().expect("no test panics while it holds the lock")
     }
 
-    /// What happens to the next writes and deletions, in order.
+    /// Sets the faults of the next writes and deletions, in order.
     pub fn script(&self, faults: impl IntoIterator<Item = Fault>) {
         self.lock().script.extend(faults);
     }
 
     /// The same store over another host's connection.
     pub fn other_host(&self) -> Self {
-        Self { cut: Arc::default(), ..self.clone() }
+        Self { disconnected: Arc::default(), ..self.clone() }
     }
 
-    /// Cuts this host off for good, as its death would.
-    pub fn cut_off(&self) {
-        self.cut.store(true, Ordering::Relaxed);
+    /// Permanently disconnects this host, as a crash would.
+    pub fn disconnect(&self) {
+        self.disconnected.store(true, Ordering::Relaxed);
     }
 
     fn is_down(&self, state: &State) -> bool {
-        state.down || self.cut.load(Ordering::Relaxed)
+        state.down || self.disconnected.load(Ordering::Relaxed)
     }
 
     pub fn set_down(&self, down: bool) {
@@ -139,19 +139,19 @@
         self.lock().entries.keys().cloned().collect()
     }
 
-    /// A copy of everything, to come back to.
+    /// Returns a copy of all entries.
     pub fn backup(&self) -> BTreeMap<String, StoreEntry> {
         self.lock().entries.clone()
     }
 
-    /// Goes back to a copy, revisions included.
+    /// Restores a backup, including revisions.
     pub fn restore(&self, backup: BTreeMap<String, StoreEntry>) {
         let mut state = self.lock();
         state.revision = backup.values().map(|entry| entry.revision).max().unwrap_or(0);
         state.entries = backup;
     }
 
-    /// Writes without any fault, as another client would.
+    /// Writes without faults, as another client would.
     pub fn force(&self, key: &str, value: &str) {
         let mut state = self.lock();
         let expect = state.entries.get(key).map_or(0, |entry| entry.revision);
@@ -174,7 +174,7 @@
         if self.is_down(&state) { Fault::Outage } else { state.random_fault() }
     }
 
-    /// Runs `effect` now, later or not at all, as the fault says.
+    /// Runs `effect` now, later or not at all, depending on the fault.
     async fn write<T: Send + 'static>(
         &self,
         effect: impl FnOnce(&mut State) -> T + Send + 'static,
@@ -213,16 +213,16 @@
 
 impl State {
     fn random_fault(&mut self) -> Fault {
-        let drawn = self.random.random_range(0..100);
+        let sample = self.random.random_range(0..100);
         let FaultRates { outage, lost_answer, runs_later, rate_limited } = self.rates;
-        let edges = [outage, outage + lost_answer, outage + lost_answer + runs_later];
-        if drawn < edges[0] {
+        let bounds = [outage, outage + lost_answer, outage + lost_answer + runs_later];
+        if sample < bounds[0] {
             Fault::Outage
-        } else if drawn < edges[1] {
+        } else if sample < bounds[1] {
             Fault::LostAnswer
-        } else if drawn < edges[2] {
+        } else if sample < bounds[2] {
             Fault::RunsLater(Duration::from_millis(self.random.random_range(1..200)))
-        } else if drawn < edges[2] + rate_limited {
+        } else if sample < bounds[2] + rate_limited {
             Fault::RateLimited
         } else {
             Fault::None
