--- a/crates/hawthorn-daemon/src/process/daemon.rs
+++ b/crates/hawthorn-daemon/src/process/daemon.rs
@@ -145,7 +145,7 @@
     let workers = start_workers(&settings, &runtime, &metrics, &stop)?;
     let _entered = runtime.enter();
     let claims = StoreClient::new(settings.platform, options::store_client());
-    let keeper = ClaimClient::spawn(
+    let claim_client = ClaimClient::spawn(
         Arc::new(claims.clone()),
         ProcessSeed(rand::random()),
         &stop,
@@ -160,7 +160,7 @@
         links: workers.links,
         views: workers.views,
         drift: workers.drift,
-        keeper,
+        claim_client,
         metrics,
     }));
     let shutdown_gate = ShutdownGate::default();
--- a/crates/hawthorn-daemon/src/request/front.rs
+++ b/crates/hawthorn-daemon/src/request/front.rs
@@ -62,7 +62,7 @@
     pub(crate) tables: TableCache,
     pub(crate) load: Mutex<FrontLoad>,
     pub(crate) budget: Mutex<RetryBudget>,
-    pub(crate) keeper: ClaimClient,
+    pub(crate) claim_client: ClaimClient,
     pub(crate) metrics: MetricSet,
     synced: AtomicBool,
     stopping: AtomicBool,
@@ -88,7 +88,7 @@
     /// Owned targets that are not in the desired state.
     pub drift: watch::Receiver<Arc<DriftSnapshot>>,
     /// Claims non-idempotent requests.
-    pub keeper: ClaimClient,
+    pub claim_client: ClaimClient,
     /// Metrics of the process.
     pub metrics: MetricSet,
 }
@@ -121,7 +121,7 @@
             tables: TableCache::default(),
             load: Mutex::default(),
             budget: Mutex::default(),
-            keeper: parts.keeper,
+            claim_client: parts.claim_client,
             metrics: parts.metrics,
             synced: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
--- a/crates/hawthorn-daemon/src/request/once.rs
+++ b/crates/hawthorn-daemon/src/request/once.rs
@@ -133,8 +133,8 @@
         deadline: front.started + checked.deadline,
         unix_now: unix_now(),
     };
-    let outcome = front.keeper.claim(claim_request).await;
-    let retry_after = front.keeper.retry_after(&outcome);
+    let outcome = front.claim_client.claim(claim_request).await;
+    let retry_after = front.claim_client.retry_after(&outcome);
     let refusal = outcome.refusal();
     match outcome {
         claim::Outcome::Granted(grant) => OnceResult {
--- a/crates/hawthorn-edge/src/connection/head.rs
+++ b/crates/hawthorn-edge/src/connection/head.rs
@@ -69,7 +69,7 @@
     /// Records the scheduling delay of an answer when its first bytes are written.
     fn on_write(&self) {
         if let Some(due) = self.next_send_time.take() {
-            self.lag.borrow_mut().learn(host_now().saturating_sub(due));
+            self.lag.borrow_mut().record(host_now().saturating_sub(due));
         }
     }
 
@@ -109,7 +109,7 @@
         let measured = report.and_then(|report| Some((report.round_trip?, report.deviation)));
         if let Some((round_trip, deviation)) = measured {
             let mut rtt = self.rtt.get();
-            rtt.learn(CallerRtt { round_trip, deviation });
+            rtt.record(CallerRtt { round_trip, deviation });
             self.rtt.set(rtt);
         }
     }
--- a/crates/hawthorn-edge/src/connection/peer.rs
+++ b/crates/hawthorn-edge/src/connection/peer.rs
@@ -191,7 +191,7 @@
             replied: Duration::from_micros(timed.replied_us),
             reply_received: host_now(),
         };
-        let accepted = self.clocks.borrow_mut().entry(address).or_default().learn(&exchange);
+        let accepted = self.clocks.borrow_mut().entry(address).or_default().record(&exchange);
         if !accepted {
             edge_event!(
                 Level::Warn,
--- a/crates/hawthorn-edge/src/process/fleet.rs
+++ b/crates/hawthorn-edge/src/process/fleet.rs
@@ -92,7 +92,7 @@
             () = host.quarantine.gossip_due.notified() => None,
             received = socket.recv_from(&mut datagram) => received.ok(),
             () = sleep(wake) => {
-                host.lag.borrow_mut().learn(host_now().saturating_sub(due));
+                host.lag.borrow_mut().record(host_now().saturating_sub(due));
                 None
             }
         };
--- a/crates/hawthorn-edge/src/process/quarantine.rs
+++ b/crates/hawthorn-edge/src/process/quarantine.rs
@@ -115,10 +115,16 @@
 }
 
 /// Whether a request must leave the last working target of a shard alone.
-pub(crate) fn spares_last(host: &RouteHost, context: &RequestContext) -> bool {
+pub(crate) fn protects_last_target(host: &RouteHost, context: &RequestContext) -> bool {
     let table = host.quarantine.table.borrow();
     let exposure = context.exposure.borrow();
-    quarantine::spares_last(&table, &context.identity, &exposure, host_now(), &options(host))
+    quarantine::protects_last_target(
+        &table,
+        &context.identity,
+        &exposure,
+        host_now(),
+        &options(host),
+    )
 }
 
 /// Decides how a caller's request may start. Waits while another request of the same
--- a/crates/hawthorn-edge/src/request/race.rs
+++ b/crates/hawthorn-edge/src/request/race.rs
@@ -259,7 +259,7 @@
         else {
             return LaunchResult::NoTarget;
         };
-        if quarantine::spares_last(self.host, self.context)
+        if quarantine::protects_last_target(self.host, self.context)
             && routing.is_last_of_shard(self.service, key, &self.tried, &self.context.route, now)
         {
             if self.context.exposure.borrow().in_flight() > 0 {
--- a/crates/hawthorn-route/src/clock_offset.rs
+++ b/crates/hawthorn-route/src/clock_offset.rs
@@ -53,7 +53,7 @@
     ///
     /// Failure: a peer's machine reboots, and its clock starts again. Samples that disagree with
     /// the new one by more than the sum of both round trips are dropped.
-    pub fn learn(&mut self, exchange: &Exchange) -> bool {
+    pub fn record(&mut self, exchange: &Exchange) -> bool {
         let Exchange { sent, received, replied, reply_received } = *exchange;
         let (Some(total), Some(at_peer)) =
             (reply_received.checked_sub(sent), replied.checked_sub(received))
--- a/crates/hawthorn-route/src/quarantine/mod.rs
+++ b/crates/hawthorn-route/src/quarantine/mod.rs
@@ -198,7 +198,7 @@
 /// first attempts crash one target of each shard; an extra attempt crashes the other, and
 /// unrelated queries fail because that shard has no target. A query that lost a target to an
 /// unrelated crash is answered by its other shards, and may use the last one then.
-pub fn spares_last(
+pub fn protects_last_target(
     table: &QuarantineTable,
     identity: &RequestIdentity,
     exposure: &Exposure,
--- a/crates/hawthorn-route/src/send_deadline.rs
+++ b/crates/hawthorn-route/src/send_deadline.rs
@@ -116,7 +116,7 @@
 
 impl RttMeter {
     /// Records a sample reported by the kernel.
-    pub fn learn(&mut self, rtt: CallerRtt) {
+    pub fn record(&mut self, rtt: CallerRtt) {
         self.samples[self.next] = Some(rtt);
         self.next = (self.next + 1) % RTT_SAMPLES;
     }
@@ -149,7 +149,7 @@
 
 impl LagMeter {
     /// Records that something due happened late by `late`.
-    pub fn learn(&mut self, late: Duration) {
+    pub fn record(&mut self, late: Duration) {
         self.samples[self.next] = late;
         self.next = (self.next + 1) % LAG_SAMPLES;
         self.sorted = self.samples;
--- a/crates/hawthorn-route/tests/clock_offset.rs
+++ b/crates/hawthorn-route/tests/clock_offset.rs
@@ -32,7 +32,7 @@
     assert_eq!(clock.to_peer_time(ms(1)), None);
     for (step, request) in [700, 90, 2, 300, 650].into_iter().enumerate() {
         let at = ms(10_000 + 1000 * step as u64);
-        assert!(clock.learn(&exchange(at, offset, request, 40, 2)));
+        assert!(clock.record(&exchange(at, offset, request, 40, 2)));
     }
     assert_eq!(clock.round_trip(), Some(ms(4)));
     let deadline = ms(20_000);
@@ -49,9 +49,9 @@
 fn previous_samples_are_dropped_when_a_clock_restarts() {
     let mut clock = PeerClock::default();
     (0..8).for_each(|step| {
-        clock.learn(&exchange(ms(1000 * step), Duration::from_secs(9000), 1, 5, 1));
+        clock.record(&exchange(ms(1000 * step), Duration::from_secs(9000), 1, 5, 1));
     });
-    assert!(clock.learn(&exchange(ms(20_000), ms(3), 4, 5, 4)));
+    assert!(clock.record(&exchange(ms(20_000), ms(3), 4, 5, 4)));
     let peer_time = clock.to_peer_time(ms(30_000)).expect("exchanges were recorded");
     assert!(peer_time <= ms(30_003) && peer_time + ms(8) >= ms(30_003), "{peer_time:?}");
 }
@@ -68,7 +68,7 @@
     ];
     for case in cases {
         let mut clock = PeerClock::default();
-        assert!(!clock.learn(&case), "{case:?}");
+        assert!(!clock.record(&case), "{case:?}");
         assert_eq!(clock.to_peer_time(ms(1)), None);
     }
 }
@@ -191,7 +191,7 @@
         let mut clock = PeerClock::default();
         for (step, (request, work, reply)) in delays.into_iter().enumerate() {
             let at = ms(2_000_000 + 2000 * step as u64);
-            clock.learn(&exchange(at, ms(offset), request, work, reply));
+            clock.record(&exchange(at, ms(offset), request, work, reply));
             let peer_time = clock.to_peer_time(at).expect("an exchange was recorded");
             prop_assert!(peer_time <= at + ms(offset));
         }
--- a/crates/hawthorn-route/tests/quarantine_fleet.rs
+++ b/crates/hawthorn-route/tests/quarantine_fleet.rs
@@ -85,7 +85,7 @@
     /// Targets of each shard.
     replicas: usize,
     /// Whether suspected requests are not sent to the last target of a shard.
-    spares_last: bool,
+    protects_last_target: bool,
     zones: usize,
     hosts: Vec<QuarantineTable>,
     gossip_scheduled: Vec<bool>,
@@ -121,7 +121,7 @@
             rng: StdRng::seed_from_u64(seed),
             shards,
             replicas,
-            spares_last: true,
+            protects_last_target: true,
             zones,
             hosts: vec![QuarantineTable::default(); hosts],
             gossip_scheduled: vec![false; hosts],
@@ -237,9 +237,15 @@
             let options = Options::default();
             let permit =
                 quarantine::decide(table, &crashing(1), &part.exposure, kind, now, &options);
-            let spared = self.spares_last
+            let spared = self.protects_last_target
                 && is_last
-                && quarantine::spares_last(table, &crashing(1), &part.exposure, now, &options);
+                && quarantine::protects_last_target(
+                    table,
+                    &crashing(1),
+                    &part.exposure,
+                    now,
+                    &options,
+                );
             if permit != Permit::Send || spared {
                 continue;
             }
@@ -483,10 +489,10 @@
     ];
     for Case { hosts, zones, shards, replicas, gap } in cases {
         let mut unavailable = [0; 2];
-        for (spares_last, max) in [false, true].into_iter().zip(&mut unavailable) {
+        for (protects_last_target, max) in [false, true].into_iter().zip(&mut unavailable) {
             for seed in 0..5 {
                 let mut fleet = Fleet::with_shards(hosts, zones, seed, shards, replicas);
-                fleet.spares_last = spares_last;
+                fleet.protects_last_target = protects_last_target;
                 for number in 0..8 {
                     let host = fleet.rng.random_range(0..hosts);
                     let event = Event::Try { host, number: number as usize };
--- a/crates/hawthorn-route/tests/send_deadline.rs
+++ b/crates/hawthorn-route/tests/send_deadline.rs
@@ -108,14 +108,14 @@
     assert_eq!(meter.rtt(), None);
     let near = CallerRtt { round_trip: millis(6), deviation: millis(3) };
     let delayed = CallerRtt { round_trip: millis(46), deviation: millis(10) };
-    meter.learn(near);
+    meter.record(near);
     for _ in 0..7 {
-        meter.learn(delayed);
+        meter.record(delayed);
         assert_eq!(meter.rtt(), Some(near));
     }
-    meter.learn(delayed);
+    meter.record(delayed);
     assert_eq!(meter.rtt(), Some(delayed), "the latency has increased");
-    meter.learn(near);
+    meter.record(near);
     assert_eq!(meter.rtt(), Some(near), "and decreased again");
 }
 
@@ -124,9 +124,9 @@
 #[test]
 fn a_share_of_scheduling_delays_is_covered_and_a_single_pause_is_ignored() {
     let mut meter = LagMeter::default();
-    (0..29).for_each(|_| meter.learn(millis(1)));
-    (0..2).for_each(|_| meter.learn(millis(6)));
-    meter.learn(millis(700));
+    (0..29).for_each(|_| meter.record(millis(1)));
+    (0..2).for_each(|_| meter.record(millis(6)));
+    meter.record(millis(700));
     assert_eq!(meter.lag(), millis(1));
     assert_eq!(meter.lag_within(0.1), millis(1), "one in ten may exceed it");
     assert_eq!(meter.lag_within(0.03), millis(6), "except for the single pause");
@@ -139,11 +139,11 @@
 fn the_scheduling_delay_follows_a_busy_host_and_ignores_a_single_pause() {
     let mut meter = LagMeter::default();
     assert_eq!(meter.lag(), Duration::ZERO);
-    (0..32).for_each(|_| meter.learn(millis(1)));
-    meter.learn(millis(700));
+    (0..32).for_each(|_| meter.record(millis(1)));
+    meter.record(millis(700));
     assert_eq!(meter.lag(), millis(1), "single pause");
-    (0..4).for_each(|_| meter.learn(millis(12)));
+    (0..4).for_each(|_| meter.record(millis(12)));
     assert_eq!(meter.lag(), millis(12), "long iterations");
-    (0..32).for_each(|_| meter.learn(millis(1)));
+    (0..32).for_each(|_| meter.record(millis(1)));
     assert_eq!(meter.lag(), millis(1), "idle again");
 }
