--- a/crates/hawthorn-daemon/src/owner/mod.rs
+++ b/crates/hawthorn-daemon/src/owner/mod.rs
@@ -76,8 +76,9 @@
     next_batch: Arc<std::sync::atomic::AtomicU64>,
 }
 
-/// Cancels a batch on drop, unless it is done: the caller hung up, its deadline passed, or another
-/// owner answered first. Otherwise its pieces would hold slots for an answer that is discarded.
+/// Cancels a batch on drop, unless it is done: the caller disconnected, its deadline passed, or
+/// another owner answered first. Otherwise its pieces would hold slots for an answer that is
+/// discarded.
 struct CancelGuard<'a> {
     commands: &'a mpsc::Sender<OwnerCommand>,
     key: BatchKey,
--- a/crates/hawthorn-daemon/src/owner/relay.rs
+++ b/crates/hawthorn-daemon/src/owner/relay.rs
@@ -35,7 +35,7 @@
 use crate::version::fleet::FleetView;
 use crate::version::views::ViewTable;
 
-/// Time reserved for the answer's way back from the other zone.
+/// Time reserved for the answer's return from the other zone.
 const RELAY_RESERVE: Duration = Duration::from_millis(3);
 
 /// Links to owners in other zones.
--- a/crates/hawthorn-daemon/src/process/daemon.rs
+++ b/crates/hawthorn-daemon/src/process/daemon.rs
@@ -144,9 +144,9 @@
     let metrics = MetricSet::new()?;
     let workers = start_workers(&settings, &runtime, &metrics, &stop)?;
     let _entered = runtime.enter();
-    let claims = StoreClient::new(settings.platform, options::store_client());
+    let store = StoreClient::new(settings.platform, options::store_client());
     let claim_client = ClaimClient::spawn(
-        Arc::new(claims.clone()),
+        Arc::new(store.clone()),
         ProcessSeed(rand::random()),
         &stop,
         options::claims(&settings),
@@ -176,7 +176,7 @@
     let caller_address = http.local_addr();
     runtime.spawn(refresh::run(Arc::clone(&front), stop.clone()));
     runtime.spawn(sample::run(Arc::clone(&front), stop.clone()));
-    runtime.spawn(sweep::run(claims, options::claims(&settings), Arc::clone(&front), stop.clone()));
+    runtime.spawn(sweep::run(store, options::claims(&settings), Arc::clone(&front), stop.clone()));
     let peer = workers.peer_address;
     crate::log_event!(Level::Info, LogEvent::Listening, "callers {caller_address}, peers {peer}");
     Ok(DaemonProcess {
--- a/crates/hawthorn-daemon/src/process/refresh.rs
+++ b/crates/hawthorn-daemon/src/process/refresh.rs
@@ -49,10 +49,10 @@
 /// Marks the host as synced once all targets are visible.
 ///
 /// Failure: during a rolling restart, a host that has a configuration but no views of the owners
-/// yet answers that no shard has a replica. If the next host stops before others have learnt what
-/// this one owns, their answers lack the shards whose replicas are owned by these two. A starting
-/// host is therefore ready only when its table is complete and other hosts have had time to fetch
-/// its view.
+/// yet answers that no shard has a replica. If the next host stops before others have received the
+/// view of this one, their answers lack the shards whose replicas are owned by these two. A
+/// starting host is therefore ready only when its table is complete and other hosts have had time
+/// to fetch its view.
 async fn wait_for_sync(front: &FrontContext) {
     let mut started = None;
     let mut complete_since = None;
--- a/crates/hawthorn-edge/src/connection/peer.rs
+++ b/crates/hawthorn-edge/src/connection/peer.rs
@@ -52,7 +52,7 @@
 /// Time limit for a reply on the store's items or to a ping, in addition to the requested wait.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 /// A peer that answered within this time counts as alive and is not pinged: longer than the
-/// usual gap between two replies of a busy peer.
+/// typical gap between two replies of a busy peer.
 const LIVENESS_TTL: Duration = Duration::from_millis(100);
 /// Capacity of the queue of peers' requests for the serving thread; further ones are rejected.
 const REQUEST_QUEUE_LEN: usize = 1024;
--- a/crates/hawthorn-edge/src/process/quarantine.rs
+++ b/crates/hawthorn-edge/src/process/quarantine.rs
@@ -114,7 +114,8 @@
     quarantine::decide(&table, &context.identity, &exposure, kind, host_now(), &options(host))
 }
 
-/// Whether a request must leave the last working target of a shard alone.
+/// Whether a request must not be sent to the last healthy target of a shard; see
+/// [`quarantine::protects_last_target`].
 pub(crate) fn protects_last_target(host: &RouteHost, context: &RequestContext) -> bool {
     let table = host.quarantine.table.borrow();
     let exposure = context.exposure.borrow();
--- a/crates/hawthorn-edge/src/request/answer.rs
+++ b/crates/hawthorn-edge/src/request/answer.rs
@@ -97,9 +97,11 @@
         let mut headers = answer.headers;
         context::strip_connection(&mut headers);
         headers.remove(header::CONTENT_LENGTH);
-        let body = match answer.rest {
+        let body = match answer.remaining {
             None => Either::Left(Full::new(answer.body)),
-            Some(rest) => Either::Right(PassedBody::new(answer.body, rest, Rc::clone(context))),
+            Some(remaining) => {
+                Either::Right(PassedBody::new(answer.body, remaining, Rc::clone(context)))
+            }
         };
         let mut response = Response::new(body);
         *response.status_mut() = answer.status;
--- a/crates/hawthorn-edge/src/request/attempt.rs
+++ b/crates/hawthorn-edge/src/request/attempt.rs
@@ -52,7 +52,7 @@
     /// The body, or the beginning of a long one.
     pub(crate) body: Bytes,
     /// The remaining body of a long answer; its target is busy until it ends.
-    pub(crate) rest: Option<RemainingBody>,
+    pub(crate) remaining: Option<RemainingBody>,
     pub(crate) receipt: Option<HeaderValue>,
 }
 
@@ -285,7 +285,7 @@
             status: answer.status,
             headers: answer.headers,
             body: answer.body,
-            rest: answer.remaining,
+            remaining: answer.remaining,
             receipt: head.receipt,
         };
         AttemptReply { end, answer: Some(answer), crashed: false }
--- a/crates/hawthorn-edge/src/request/passing.rs
+++ b/crates/hawthorn-edge/src/request/passing.rs
@@ -29,17 +29,21 @@
 /// caller disconnects, the body is dropped, which cancels the work at the target.
 #[derive(Debug)]
 pub(crate) struct PassedBody {
-    held: Option<Bytes>,
-    rest: RemainingBody,
+    buffered: Option<Bytes>,
+    remaining: RemainingBody,
     context: Rc<RequestContext>,
     deadline_timer: Pin<Box<Sleep>>,
 }
 
 impl PassedBody {
-    pub(crate) fn new(held: Bytes, rest: RemainingBody, context: Rc<RequestContext>) -> Self {
+    pub(crate) fn new(
+        buffered: Bytes,
+        remaining: RemainingBody,
+        context: Rc<RequestContext>,
+    ) -> Self {
         let left = context.time_left(host_now());
-        let held = Some(held).filter(|held| !held.is_empty());
-        Self { held, rest, context, deadline_timer: Box::pin(sleep(left)) }
+        let buffered = Some(buffered).filter(|buffered| !buffered.is_empty());
+        Self { buffered, remaining, context, deadline_timer: Box::pin(sleep(left)) }
     }
 
     fn end(&self, error: Error) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
@@ -62,10 +66,10 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
-        if let Some(held) = self.held.take() {
-            return Poll::Ready(Some(Ok(Frame::data(held))));
+        if let Some(buffered) = self.buffered.take() {
+            return Poll::Ready(Some(Ok(Frame::data(buffered))));
         }
-        match Pin::new(&mut self.rest).poll_frame(context) {
+        match Pin::new(&mut self.remaining).poll_frame(context) {
             Poll::Ready(Some(Err(error))) => self.end(error),
             Poll::Ready(frame) => Poll::Ready(frame),
             Poll::Pending => {
@@ -80,10 +84,10 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        let held = self.held.as_ref().map_or(0, Bytes::len) as u64;
-        let rest = self.rest.size_hint();
-        match rest.exact() {
-            Some(rest) => SizeHint::with_exact(held + rest),
+        let buffered = self.buffered.as_ref().map_or(0, Bytes::len) as u64;
+        let remaining = self.remaining.size_hint();
+        match remaining.exact() {
+            Some(remaining) => SizeHint::with_exact(buffered + remaining),
             None => SizeHint::default(),
         }
     }
--- a/crates/hawthorn-pool/src/driven.rs
+++ b/crates/hawthorn-pool/src/driven.rs
@@ -4,8 +4,7 @@
 //! are created in one turn of the event loop, each with the time that its caller has left.
 //! Failure: with a task for each connection, all requests are created before the first is
 //! written, and targets are sent time that has passed meanwhile. Here a request is written
-//! in the poll that creates it, before any other task runs. Runs of two seeds over five days
-//! on two deployments show no difference in goodput or processor time.
+//! in the poll that creates it, before any other task runs.
 //!
 //! An idle connection is not driven. That it was closed is detected when it is next acquired.
 
--- a/crates/hawthorn-pool/src/lib.rs
+++ b/crates/hawthorn-pool/src/lib.rs
@@ -181,7 +181,7 @@
     /// # Errors
     /// Only [`Error::NotSent`] guarantees that the target did not receive the request.
     pub async fn send(mut self, request: Request<Full<Bytes>>) -> Result<PoolAnswer, Error> {
-        let already_released = || Error::NotSent("the connection was given back".into());
+        let already_released = || Error::NotSent("the connection was already released".into());
         let sender = self.sender.take().ok_or_else(already_released)?;
         let max_buffered_bytes = self.max_buffered_bytes;
         let mut busy = BusySender { sender, connection: self };
--- a/crates/hawthorn-route/benches/query.rs
+++ b/crates/hawthorn-route/benches/query.rs
@@ -1,4 +1,4 @@
-//! Processor time of the decisions on one query over several shards.
+//! Processor time of the decisions on one scatter-gather query.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
--- a/crates/hawthorn-route/src/admission.rs
+++ b/crates/hawthorn-route/src/admission.rs
@@ -1,11 +1,11 @@
-//! Admission control for queries over several shards.
+//! Admission control for scatter-gather queries.
 //!
-//! Load: callers send more queries than the targets can execute. Without admission control all
-//! shards have queues, each query receives only some of its parts before its soft deadline, and
-//! the targets execute requests whose answers are too late: beyond the capacity of one service,
-//! hardly any query is answered in time. Queries are rejected before the queues are long and
-//! before any request is sent, so that admitted ones are answered completely and in time. Queue
-//! lengths are known from the load that responses report.
+//! Handles callers that send more queries than the targets can execute. Without admission control
+//! all shards would have queues, each query would receive only some of its parts before its soft
+//! deadline, and the targets would execute requests whose answers are too late: beyond the
+//! capacity of one service, hardly any query would be answered in time. Queries are rejected
+//! before the queues are long and before any request is sent, so that admitted ones are answered
+//! completely and in time. Queue lengths are known from the load that responses report.
 
 use std::time::Duration;
 
@@ -117,7 +117,7 @@
     }
 }
 
-/// Admission control of one host, for all its queries over several shards.
+/// Admission control of one host, for all its scatter-gather queries.
 #[derive(Clone, Debug, Default)]
 pub struct QueryAdmission {
     window: CallerWindow,
@@ -149,12 +149,12 @@
         admitted
     }
 
-    /// Records the end of a query; `load` is `None` if it observed none because its caller
-    /// disconnected.
+    /// Records the end of a query. `load` is `None` if its caller disconnected before any load
+    /// was observed.
     pub fn finish(
         &mut self,
         now: Duration,
-        took: Duration,
+        elapsed: Duration,
         target_latency: Duration,
         load: Option<&QueryLoad>,
         options: &Options,
@@ -162,15 +162,11 @@
         if let Some(load) = load {
             let standing_wait = target_latency.mul_f64(options.standing_share);
             let rejected_share = load.rejected as f64 / load.shards.max(1) as f64;
-            let turned_away = rejected_share >= options.turned_away_share;
-            let feedback = QueryFeedback {
-                queue_wait: load.decisive_wait(),
-                rejected: turned_away,
-                elapsed: took,
-            };
+            let rejected = rejected_share >= options.turned_away_share;
+            let feedback = QueryFeedback { queue_wait: load.decisive_wait(), rejected, elapsed };
             let window = window::Options { standing_wait, ..options.window() };
             self.window.update(now, self.in_flight, &feedback, &window);
-            if turned_away || feedback.queue_wait > standing_wait {
+            if rejected || feedback.queue_wait > standing_wait {
                 self.overloaded_until = now + options.crowded_time;
             }
             // Failure: targets are full, and each query fails within a few milliseconds because
@@ -178,8 +174,8 @@
             // window of two queries would admit hundreds per second, whose other parts fill
             // the queues although no query is answered. The slot is therefore released when
             // the target latency has passed, as if the query had waited; see tests/goodput.
-            if load.failed && took < target_latency {
-                self.delayed_releases.push(now + (target_latency - took));
+            if load.failed && elapsed < target_latency {
+                self.delayed_releases.push(now + (target_latency - elapsed));
                 return;
             }
         }
--- a/crates/hawthorn-route/src/budget.rs
+++ b/crates/hawthorn-route/src/budget.rs
@@ -1,9 +1,10 @@
 //! Retry budget: limits the extra attempts at a service, hedges and retries together.
 //!
-//! Load: targets that slow down or fail together. Without a budget, hosts respond to slowness
-//! with more requests, and so keep the targets slow after the cause has gone. Each host applies
-//! its own part of the fleet's budget without coordination: a share of its own requests, and a
-//! part of the fixed allowance that is small enough for the sum over all hosts.
+//! Handles targets that slow down or fail together. Without a budget, hosts would respond to
+//! slowness with more requests, and so keep the targets slow after the cause has gone. Each host
+//! applies its own part of the fleet's budget without coordination: a share of its own requests,
+//! and a part of the fleet's fixed allowance that is small enough for the sum over all hosts to
+//! stay within it.
 
 use std::time::Duration;
 
@@ -57,7 +58,7 @@
     pub hosts: usize,
     /// Time since this host started.
     pub running: Duration,
-    /// Known hosts of the fleet that gather queries over shards.
+    /// Known gatherers of the fleet.
     pub gatherers: usize,
     /// Time since this host became a gatherer; `None` if it is none.
     pub gathering: Option<Duration>,
@@ -81,15 +82,15 @@
 
 /// One host's part of the fleet's budget, computed without coordination.
 ///
-/// Load: targets fail while many hosts are killed and restarted. A restarted host has lost its
+/// Targets may fail while many hosts are killed and restarted. A restarted host has lost its
 /// counts, knows few other hosts, and would take too large a part. Its part of the allowance
 /// therefore grows linearly with its uptime, up to the full part after one window, so that its
 /// spending before and after the restart never exceeds that of one window.
 ///
-/// Load: a few of two hundred hosts gather the queries of all, and targets of their shards are
-/// slow. With equal parts, each gatherer would have a single extra attempt, and the other hosts
-/// would not use theirs. Gatherers therefore share most of a shard's allowance. The part of a
-/// new gatherer grows like that of a restarted host.
+/// Targets may also be slow while a few of two hundred hosts gather the queries of all. With
+/// equal parts, each gatherer would have a single extra attempt, and the other hosts would not
+/// use theirs. Gatherers therefore share most of a shard's allowance. The part of a new gatherer
+/// grows like that of a restarted host.
 pub fn host_share(fleet: &FleetBudget, view: &FleetView, service: ServiceUse) -> Options {
     let (share, sharers) = if view.gatherers < view.hosts {
         (GATHERERS_SHARE, view.gatherers)
--- a/crates/hawthorn-route/src/clock_offset.rs
+++ b/crates/hawthorn-route/src/clock_offset.rs
@@ -1,12 +1,11 @@
 //! Estimates the offset between a peer's monotonic clock and this host's.
 //!
-//! Load: hosts with little processor time read a gather request long after it arrived, or send
-//! it long after it was created. If the request carried only the time left, that time would
-//! start when the request is read, and targets would receive time that the caller no longer
-//! has. A request that carries its deadlines by the reader's clock accounts for any delay on
-//! the way. Monotonic clocks start at arbitrary instants, so each exchange is used to estimate
-//! the offset, to within half of its round trip; the sample with the shortest round trip is
-//! used.
+//! Hosts with little processor time read a gather request long after it arrived, or send it long
+//! after it was created. If the request carried only the time left, that time would start when
+//! the request is read, and targets would receive time that the caller no longer has. A request
+//! that carries its deadlines by the reader's clock accounts for any delay in transit. Monotonic
+//! clocks start at arbitrary instants, so each exchange is used to estimate the offset, to
+//! within half of its round trip; the sample with the shortest round trip is used.
 //!
 //! The age of the reader's event loop iteration is no substitute: it excludes delays at the
 //! sender, and time in a socket while the loop was idle or stopped. Wall clocks jump. Monotonic
--- a/crates/hawthorn-route/src/cold/mod.rs
+++ b/crates/hawthorn-route/src/cold/mod.rs
@@ -1,8 +1,8 @@
 //! Limits the requests that cold targets receive.
 //!
-//! Load: the targets of a zone start, or return from an evacuation, and crash if they
-//! receive more than a few requests a second before they are warm. The limit holds for
-//! the sum over all hosts, including those that are partitioned from each other.
+//! Handles targets of a zone that start, or return from an evacuation, and crash if they receive
+//! more than a few requests a second before they are warm. The limit holds for the sum over all
+//! hosts, including those that are partitioned from each other.
 //!
 //! - Warm targets are preferred; a query may omit a shard whose targets are all cold.
 //! - Only hosts of a cold target's own zone send to it, and of these only the holders of
--- a/crates/hawthorn-route/src/document.rs
+++ b/crates/hawthorn-route/src/document.rs
@@ -63,7 +63,7 @@
     pub weight: f64,
 }
 
-/// How a query over several shards is answered.
+/// How a scatter-gather query is answered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatherRule {
     /// The services that hold the shards.
--- a/crates/hawthorn-route/src/evacuation.rs
+++ b/crates/hawthorn-route/src/evacuation.rs
@@ -1,9 +1,9 @@
 //! Availability zones that operators have evacuated.
 //!
 //! The targets of an evacuated zone receive no requests; its hosts continue to serve callers.
-//! Load: the requests of an evacuated zone move to the other zones at once. A gradual move
-//! would not reduce the final load of the other zones, and would take too long on a host that
-//! learns of the evacuation shortly before it must be in force.
+//! The requests of an evacuated zone move to the other zones at once. A gradual move would not
+//! reduce the final load of the other zones, and would take too long on a host that receives the
+//! evacuation shortly before it must be in force.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/hawthorn-route/src/gather.rs
+++ b/crates/hawthorn-route/src/gather.rs
@@ -1,4 +1,4 @@
-//! When a query over several shards is answered, and with which parts.
+//! When a scatter-gather query is answered, and with which parts.
 
 use std::time::Duration;
 
--- a/crates/hawthorn-route/src/gatherers.rs
+++ b/crates/hawthorn-route/src/gatherers.rs
@@ -1,10 +1,11 @@
-//! Selects the hosts of a zone that gather queries over several shards.
+//! Selects the hosts of a zone that gather queries for the others.
 //!
-//! Load: a fleet of many small hosts, each with about one query a second, and targets that
-//! accept few connections. If every host gathers, each query opens new connections, no host
-//! receives enough answers to detect a paused target, and the hosts together exceed the
-//! connection limit of the targets. A few hosts of each zone therefore gather for the others,
-//! as many as the zone's query rate needs. If that is all hosts, each gathers its own queries.
+//! Handles a fleet of many small hosts, each with about one query a second, and targets that
+//! accept few connections. If every host gathered, each query would open new connections, no
+//! host would receive enough answers to detect a paused target, and the hosts together would
+//! exceed the connection limit of the targets. A few hosts of each zone therefore gather for
+//! the others, as many as the zone's query rate needs. If all hosts are needed, each gathers its
+//! own queries.
 
 /// Queries per second that a host of [`DEFAULT_CAPACITY`] gathers. At this rate each target of
 /// its zone reports its load ten times a second, about as often as the load changes.
--- a/crates/hawthorn-route/src/hedge.rs
+++ b/crates/hawthorn-route/src/hedge.rs
@@ -1,6 +1,6 @@
 //! Hedged requests: when an attempt counts as late and a second one is sent.
 //!
-//! Load: targets that pause or become slow. A query waits for its slowest shard, so that a
+//! Handles targets that pause or become slow. A query waits for its slowest shard, so that a
 //! single straggler delays most queries. Hedges are limited by the service's retry budget, and
 //! an attempt is late only if it takes longer than nearly all ordinary ones.
 
@@ -75,8 +75,8 @@
 
 /// Whether a target has capacity for a hedge.
 ///
-/// Load: all targets of a shard have queues, and every attempt is late. Hedging all of them
-/// would double the queues. If the other target has capacity, the late one is paused, slow or
+/// If all targets of a shard have queues, every attempt is late, and hedging all of them would
+/// double the queues. If the other target has capacity, the late one is paused, slow or
 /// unreachable, and the hedge is useful however long the queues of other shards are.
 pub fn has_capacity(state: &TargetState, now: Duration) -> bool {
     state.queue(now) < MAX_QUEUE_PER_SLOT
--- a/crates/hawthorn-route/src/lib.rs
+++ b/crates/hawthorn-route/src/lib.rs
@@ -2,14 +2,14 @@
 //!
 //! | module | responsibility |
 //! |---|---|
-//! | [`admission`] | admission control for queries over several shards |
+//! | [`admission`] | admission control for scatter-gather queries |
 //! | [`budget`] | retry budgets: the number of extra attempts per service |
 //! | [`clock_offset`] | offsets of peers' clocks, and deadlines of gather requests |
 //! | [`cold`] | request limits of targets that have just started |
 //! | [`document`] | the operators' configuration of routes, services and caller limits |
 //! | [`evacuation`] | zones that operators have evacuated |
 //! | [`fingerprint`] | identification of requests with the same content |
-//! | [`gather`] | when a query over several shards is answered, and with which parts |
+//! | [`gather`] | when a scatter-gather query is answered, and with which parts |
 //! | [`gatherers`] | hosts of a zone that gather queries for the others |
 //! | [`mod@hedge`] | hedged requests: when a second attempt is sent |
 //! | [`home`] | regions in which a route's requests may be executed |
--- a/crates/hawthorn-route/src/pace.rs
+++ b/crates/hawthorn-route/src/pace.rs
@@ -1,8 +1,8 @@
 //! Paces bulk messages so that requests do not queue behind them on the host's link.
 //!
-//! Load: a host sends several hundred changed entries to forty peers at once, over a link that
-//! needs half a second for them. Each message is sent when the previous one has used its share
-//! of the link.
+//! Handles a host that sends several hundred changed entries to forty peers at once, over a link
+//! that needs half a second for them. A message is delayed until the earlier ones have been sent
+//! at the share of the link that bulk messages may use.
 
 use std::time::Duration;
 
--- a/crates/hawthorn-route/src/placement.rs
+++ b/crates/hawthorn-route/src/placement.rs
@@ -1,6 +1,6 @@
 //! Selects the target of an attempt.
 //!
-//! Load: a service with few targets, of which one at a time pauses, slows down or fails.
+//! Handles a service with few targets, of which one at a time pauses, slows down or fails.
 //! Without load balancing by expected latency, requests queue at the slow target while the
 //! others are idle. No probes are needed: each response reports the target's load, and the
 //! time that a request has been in flight shows how slow the target is.
--- a/crates/hawthorn-route/src/quarantine/mod.rs
+++ b/crates/hawthorn-route/src/quarantine/mod.rs
@@ -1,8 +1,8 @@
 //! Quarantine of requests that crash targets.
 //!
-//! Load: a request that crashes every target that runs it, and is resent under new ids
-//! to any host. Each fan-out crashes one replica of each shard and second attempts
-//! crash the others, so that unrelated requests find no target.
+//! Handles a request that crashes every target that runs it, and is resent under new ids to any
+//! host. Each fan-out crashes one replica of each shard, and extra attempts crash the others, so
+//! that unrelated requests find no target.
 //!
 //! [`decide`] is called before every attempt, first or extra, for a caller or a peer.
 //! It combines the records shared by the fleet ([`QuarantineTable`]) with the outcomes
@@ -159,10 +159,10 @@
 
 /// Decides whether an attempt may be sent to a target.
 ///
-/// Load: the first attempts of a fan-out are sent concurrently, since waiting for one
-/// part would add a round trip to every query. Until a target answers, at most
-/// [`MAX_UNANSWERED_EXTRA`] extra attempts are sent, and after a crash one attempt at a
-/// time, so that a query that crashes its targets does not reach all replicas.
+/// The first attempts of a fan-out are sent concurrently, since waiting for one part would add a
+/// round trip to every query. Until a target answers, at most [`MAX_UNANSWERED_EXTRA`] extra
+/// attempts are sent, and after a crash one attempt at a time, so that a query that crashes its
+/// targets does not reach all replicas.
 pub fn decide(
     table: &QuarantineTable,
     identity: &RequestIdentity,
@@ -194,10 +194,10 @@
 /// Whether a request must not be sent to the last healthy target of a shard: it is suspected of
 /// crashing targets, and none has answered it yet.
 ///
-/// Load: shards of two targets, and a request that crashes each target that runs it. Its
-/// first attempts crash one target of each shard; an extra attempt crashes the other, and
-/// unrelated queries fail because that shard has no target. A query that lost a target to an
-/// unrelated crash is answered by its other shards, and may use the last one then.
+/// Handles shards with two targets, and a request that crashes each target that runs it. Its
+/// first attempts crash one target of each shard. An extra attempt would crash the other, and
+/// unrelated queries would fail because that shard has no target. A query that lost a target to
+/// an unrelated crash is answered by its other shards, and may use the last one then.
 pub fn protects_last_target(
     table: &QuarantineTable,
     identity: &RequestIdentity,
--- a/crates/hawthorn-route/src/reachability.rs
+++ b/crates/hawthorn-route/src/reachability.rs
@@ -1,10 +1,10 @@
 //! Detects zones whose targets are unreachable from this host.
 //!
-//! Load: a network partition isolates a zone while callers still reach hosts on both sides.
-//! Without detection, every request waits until its deadline for targets that cannot answer,
-//! instead of being refused at once so that the caller can use another host. A zone counts as
-//! unreachable only after several consecutive requests, to any of its targets, remained
-//! unanswered for longer than one target's pause.
+//! Handles a network partition that isolates a zone while callers still reach hosts on both
+//! sides. Without detection, every request would wait until its deadline for targets that cannot
+//! answer, instead of being refused at once so that the caller can use another host. A zone
+//! counts as unreachable only after several consecutive requests, to any of its targets,
+//! remained unanswered for longer than one target's pause.
 
 use std::time::Duration;
 
@@ -83,10 +83,10 @@
 /// Whether this host should fail its readiness probe so that the load balancer sends its
 /// callers to hosts of other zones.
 ///
-/// Load: a partition isolates a zone, callers reach hosts on both sides, and many of their
-/// requests have targets only on the other side. These are refused for as long as the partition
-/// lasts, while hosts of the larger side could serve them. Both sides detect the partition;
-/// only the smaller one fails its probe, as otherwise no host would be ready.
+/// Handles a partition that isolates a zone while callers reach hosts on both sides, and many of
+/// their requests have targets only on the other side. These would be refused for as long as the
+/// partition lasts, although hosts of the larger side could serve them. Both sides detect the
+/// partition; only the smaller one fails its probe, as otherwise no host would be ready.
 pub fn should_fail_readiness(zones: usize, unreachable: usize, unanswerable_share: f64) -> bool {
     let reachable = zones.saturating_sub(unreachable);
     unreachable > reachable && unanswerable_share >= MIN_UNANSWERABLE_SHARE
--- a/crates/hawthorn-route/src/retry_after.rs
+++ b/crates/hawthorn-route/src/retry_after.rs
@@ -1,9 +1,9 @@
 //! When a refused caller should retry.
 //!
-//! Load: many callers are refused within a second, because queues are full or their host is
-//! partitioned. Without jitter they retry at the same time, and too early a retry is refused
-//! as well and uses up the caller's only attempt. The delay is kept short because callers wait
-//! for no longer than a part of their timeout, whatever the response asks for.
+//! Handles many callers that are refused within a second, because queues are full or their host
+//! is partitioned. Without jitter they would retry at the same time. A retry that is too early
+//! is refused as well, and a caller retries only once. The delay is kept short because callers
+//! wait for no longer than a part of their timeout, whatever the response asks for.
 
 use std::time::Duration;
 
--- a/crates/hawthorn-route/src/rollout.rs
+++ b/crates/hawthorn-route/src/rollout.rs
@@ -1,9 +1,9 @@
 //! When a version of the routes comes into force on a host.
 //!
-//! Load: a version reaches the hosts of a zone over several hundred milliseconds, while they
-//! delegate queries to the zone's gatherers. A gatherer rejects a query that was planned with
-//! a version it does not have yet. Gatherers therefore apply a version at once and keep the
-//! previous ones, and all other hosts apply it after a delay.
+//! A version reaches the hosts of a zone over several hundred milliseconds, while they delegate
+//! queries to the zone's gatherers. A gatherer rejects a query that was planned with a version
+//! it does not have yet. Gatherers therefore apply a version at once and keep the previous
+//! ones, and all other hosts apply it after a delay.
 
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/crates/hawthorn-route/src/scatter.rs
+++ b/crates/hawthorn-route/src/scatter.rs
@@ -1,12 +1,12 @@
 //! Plans where the part of each shard of a query is requested.
 //!
-//! Load: queries over tens of shards whose targets are in several zones, on hosts with little
-//! processor time. Requesting each part directly costs several times the cross-zone traffic of
-//! the merged records, and every host opens connections to every target. Shards whose best
-//! target is in another zone are therefore delegated to one host there. Where only a few hosts
-//! of a zone gather, the others delegate all shards of their queries. Fewer than `least_shards`
-//! are requested directly, because a delegated request with its reply is then as large as the
-//! parts themselves.
+//! Handles queries over tens of shards whose targets are in several zones, on hosts with little
+//! processor time. Requesting each part directly would cost several times the cross-zone traffic
+//! of the merged records, and every host would open connections to every target. Shards whose
+//! best target is in another zone are therefore delegated to one host there. Where only a few
+//! hosts of a zone gather, the others delegate all shards of their queries. Fewer than
+//! `least_shards` are requested directly, because a delegated request with its reply is then as
+//! large as the parts themselves.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -207,8 +207,8 @@
 /// The zone in which most of the shards have a target; among equals, the one with the best
 /// target of most shards.
 ///
-/// Load: each shard has a target in every zone, and one zone is evacuated or slow. Its queries
-/// are divided among the other zones by the load of their targets.
+/// If each shard has a target in every zone and one zone is evacuated or slow, its queries are
+/// thus divided among the other zones by the load of their targets.
 fn busiest_zone(remote: &[(u16, &ZoneNames)]) -> Option<Rc<str>> {
     let mut counts: HashMap<&Rc<str>, (usize, usize)> = HashMap::new();
     for (_, zones) in remote {
--- a/crates/hawthorn-route/src/send_deadline.rs
+++ b/crates/hawthorn-route/src/send_deadline.rs
@@ -1,10 +1,10 @@
 //! The deadline for sending an answer so that its caller receives it in time.
 //!
-//! Load: callers at any distance, on new and kept connections, and hosts with little or much
-//! spare capacity. Complete answers would often be late by very little. A caller measures from
-//! before it connects: two round trips on a new connection and one on a kept connection, plus
-//! the host's own scheduling delay. All of them are measured, and every decision that depends
-//! on the target latency uses the deadline computed here.
+//! Handles callers at any distance, on new and kept connections, and hosts with little or much
+//! free capacity. Without this deadline, complete answers would often be late by very little,
+//! because a caller measures from before it connects: two round trips on a new connection and one
+//! on a kept connection, plus the host's own scheduling delay. All of them are measured, and every
+//! decision that depends on the target latency uses the deadline computed here.
 
 use std::time::Duration;
 
@@ -137,9 +137,10 @@
 /// Measures the scheduling delay of a host: timers fire late because the event loop is busy or
 /// the operating system wakes it late, and merging and writing follow.
 ///
-/// Load: requests arrive faster than a small host handles them, and each iteration of its event
-/// loop is long. The 90th percentile is used instead of the mean, because an answer that is
-/// slightly early loses next to nothing, and one that is late nearly all its value.
+/// Handles requests that arrive faster than a small host processes them, which makes each
+/// iteration of its event loop long. The 90th percentile is used instead of the mean, because
+/// an answer that is slightly early loses next to nothing, and one that is late loses nearly
+/// all its value.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LagMeter {
     samples: [Duration; LAG_SAMPLES],
@@ -148,7 +149,7 @@
 }
 
 impl LagMeter {
-    /// Records that something due happened late by `late`.
+    /// Records by how much something due happened late, such as a timer or an answer.
     pub fn record(&mut self, late: Duration) {
         self.samples[self.next] = late;
         self.next = (self.next + 1) % LAG_SAMPLES;
--- a/crates/hawthorn-route/src/skip.rs
+++ b/crates/hawthorn-route/src/skip.rs
@@ -1,11 +1,11 @@
 //! Selects the shards of a query whose parts are not requested.
 //!
-//! Load: some shards have lost a target or are slow, and callers send more queries than the
+//! Handles shards that have lost a target or are slow while callers send more queries than the
 //! remaining targets can execute. A query is answered at its soft deadline with the parts
 //! received, so that a part that cannot arrive by then wastes capacity and lengthens the queue
-//! for later queries. Without skipping, the same few shards delay every query until it is late
-//! or fails, although the other shards suffice for its answer. No more shards are skipped than
-//! may be missing from the answer, and only those whose reported queues are longer than the
+//! for later queries. Without skipping, the same few shards would delay every query until it is
+//! late or fails, although the other shards suffice for its answer. No more shards are skipped
+//! than may be missing from the answer, and only those whose reported queues are longer than the
 //! time left. Reports expire soon, so that skipped shards are requested again.
 
 use std::time::Duration;
--- a/crates/hawthorn-route/src/table.rs
+++ b/crates/hawthorn-route/src/table.rs
@@ -16,7 +16,7 @@
     /// Routes by host, longest prefix first.
     by_host: HashMap<String, Vec<Rc<RouteRule>>>,
     by_name: HashMap<String, Rc<RouteRule>>,
-    /// Priority of the most urgent route over shards.
+    /// Priority of the most urgent scatter-gather route.
     top_priority: Option<u32>,
     services: HashMap<String, ServiceRule>,
     /// Services that hold a shard of some route.
@@ -70,7 +70,7 @@
         self.by_name.get(name)
     }
 
-    /// Whether no route over shards is more urgent than this one.
+    /// Whether no scatter-gather route is more urgent than this one.
     pub fn is_urgent(&self, route: &RouteRule) -> bool {
         self.top_priority.is_none_or(|top| route.priority <= top)
     }
--- a/crates/hawthorn-route/tests/gather.rs
+++ b/crates/hawthorn-route/tests/gather.rs
@@ -1,4 +1,4 @@
-//! When a query over several shards is answered, and which records its answer contains.
+//! When a scatter-gather query is answered, and which records its answer contains.
 
 use std::time::Duration;
 
