--- a/crates/hawthorn-daemon/src/owner/reload.rs
+++ b/crates/hawthorn-daemon/src/owner/reload.rs
@@ -79,7 +79,7 @@
         record: &catalog::TargetRecord,
         cold_start: Duration,
     ) {
-        let wanted = record.wanted();
+        let wanted = record.desired_state();
         let connections = max_connections(record);
         if let Some(existing) = self.targets.get_mut(&key)
             && existing.pool.address() == record.address
--- a/crates/hawthorn-daemon/src/process/intent.rs
+++ b/crates/hawthorn-daemon/src/process/intent.rs
@@ -13,8 +13,8 @@
 use hawthorn_intent::reconcile;
 use hawthorn_intent::reconcile::DriftCause;
 use hawthorn_intent::reconcile::DriftRecord;
-use hawthorn_intent::reconcile::ReconcileMemory;
-use hawthorn_intent::reconcile::SeenTarget;
+use hawthorn_intent::reconcile::ReconcileState;
+use hawthorn_intent::reconcile::TargetObservation;
 use hawthorn_intent::reconcile::reconcile;
 use hawthorn_types::DesiredState;
 use hawthorn_types::ShardKey;
@@ -75,7 +75,7 @@
 #[derive(Debug, Default)]
 pub struct Reconciler {
     options: reconcile::Options,
-    memory: ReconcileMemory,
+    state: ReconcileState,
     /// Causes already logged, by target.
     logged_causes: HashMap<String, SmallVec<[DriftCause; 4]>>,
 }
@@ -92,11 +92,11 @@
         let mut observed = own_targets(inputs);
         let leaving = leaving_shards(catalog, &observed);
         observed.extend(other_targets(inputs, &leaving));
-        let outcome = reconcile(catalog, &observed, &mut self.memory, inputs.now, &self.options);
+        let outcome = reconcile(catalog, &observed, &mut self.state, inputs.now, &self.options);
         let name = |key: TargetKey| catalog.target(key).name.clone();
         let orders = outcome.orders.iter();
         let orders =
-            orders.map(|order| TargetOrder { target: name(order.target), state: order.tell });
+            orders.map(|order| TargetOrder { target: name(order.target), state: order.state });
         let round = IntentRound {
             revision: catalog.revision(),
             orders: orders.collect(),
@@ -129,8 +129,8 @@
 fn entry(catalog: &FleetCatalog, record: &DriftRecord, now: Duration) -> DriftEntry {
     DriftEntry {
         target: catalog.target(record.target).name.clone(),
-        wanted: record.wanted,
-        observed: record.seen,
+        wanted: record.desired,
+        observed: record.observed,
         duration: now.saturating_sub(record.since),
         cause: record.cause,
         held_for: record.held_for.map(|shard| catalog.shard(shard).name.clone()),
@@ -145,13 +145,13 @@
 
 /// Owned targets as observed by the owner worker. The worker's configuration or ownership may be
 /// slightly older; entries for targets that are not owned are skipped.
-fn own_targets(inputs: &RoundInputs<'_>) -> Vec<SeenTarget> {
+fn own_targets(inputs: &RoundInputs<'_>) -> Vec<TargetObservation> {
     let mut owned = Vec::with_capacity(inputs.observed.targets.len());
     for record in &inputs.observed.targets {
         let Some(target) = inputs.catalog.target_named(&record.target) else { continue };
         if is_owned(inputs, inputs.catalog.target(target)) {
             let (phase, in_flight) = (record.phase, record.in_flight);
-            owned.push(SeenTarget { target, phase, in_flight, owned: true });
+            owned.push(TargetObservation { target, phase, in_flight, owned: true });
         }
     }
     owned
@@ -161,10 +161,10 @@
 ///
 /// Of 73,000 targets a host owns about 20. Readiness elsewhere is looked up for these shards only,
 /// so that the cost of a round depends on the owned targets and not on the size of the fleet.
-fn leaving_shards(catalog: &FleetCatalog, owned: &[SeenTarget]) -> HashSet<ShardKey> {
+fn leaving_shards(catalog: &FleetCatalog, owned: &[TargetObservation]) -> HashSet<ShardKey> {
     let ready = owned.iter().filter(|observed| observed.phase == Some(TargetPhase::Ready));
     let records = ready.map(|observed| catalog.target(observed.target));
-    let leaving = records.filter(|record| record.wanted() != DesiredState::Serve);
+    let leaving = records.filter(|record| record.desired_state() != DesiredState::Serve);
     leaving.flat_map(|record| record.shards.iter().copied()).collect()
 }
 
@@ -173,7 +173,7 @@
 /// Their owner reports how many are ready but not which, so that number of the zone's targets is
 /// assumed to be ready. A target of several shards counts only if it is among the ready ones for
 /// each of them.
-fn other_targets(inputs: &RoundInputs<'_>, shards: &HashSet<ShardKey>) -> Vec<SeenTarget> {
+fn other_targets(inputs: &RoundInputs<'_>, shards: &HashSet<ShardKey>) -> Vec<TargetObservation> {
     let catalog = inputs.catalog;
     let mut keys: Vec<TargetKey> =
         shards.iter().flat_map(|&shard| catalog.serving_targets_of(shard)).collect();
@@ -193,7 +193,7 @@
             is_ready &= *rank <= (inputs.ready_elsewhere)(record, &catalog.shard(shard).name);
         }
         let phase = is_ready.then_some(TargetPhase::Ready);
-        others.push(SeenTarget { target: key, phase, in_flight: 0, owned: false });
+        others.push(TargetObservation { target: key, phase, in_flight: 0, owned: false });
     }
     others
 }
--- a/crates/hawthorn-daemon/src/request/status.rs
+++ b/crates/hawthorn-daemon/src/request/status.rs
@@ -164,7 +164,7 @@
 fn wanted(catalog: &FleetCatalog) -> BTreeMap<String, u64> {
     let mut counts = BTreeMap::new();
     for (_, target) in catalog.targets() {
-        let state: DesiredState = target.wanted();
+        let state: DesiredState = target.desired_state();
         *counts.entry(state.to_string()).or_insert(0) += 1;
     }
     counts
--- a/crates/hawthorn-daemon/tests/intent.rs
+++ b/crates/hawthorn-daemon/tests/intent.rs
@@ -116,7 +116,7 @@
         let outcome = test.round(&config, second);
         new_drift.extend(outcome.new_drift.into_iter().map(|entry| entry.cause));
     }
-    assert_eq!(new_drift, [DriftCause::Settling, DriftCause::Told, DriftCause::Waiting]);
+    assert_eq!(new_drift, [DriftCause::Settling, DriftCause::OrderSent, DriftCause::Waiting]);
     test.phase = Some(TargetPhase::Standby);
     let outcome = test.round(&config, 60);
     assert!(outcome.drift.is_empty() && outcome.new_drift.is_empty(), "{outcome:?}");
--- a/crates/hawthorn-intent/examples/sizes.rs
+++ b/crates/hawthorn-intent/examples/sizes.rs
@@ -11,8 +11,8 @@
 use hawthorn_intent::check::Inputs;
 use hawthorn_intent::check::check;
 use hawthorn_intent::reconcile::Options;
-use hawthorn_intent::reconcile::ReconcileMemory;
-use hawthorn_intent::reconcile::SeenTarget;
+use hawthorn_intent::reconcile::ReconcileState;
+use hawthorn_intent::reconcile::TargetObservation;
 use hawthorn_intent::reconcile::reconcile;
 use hawthorn_types::ConfigRevision;
 use hawthorn_types::TargetPhase;
@@ -57,14 +57,14 @@
     let seen: Vec<_> = catalog
         .targets()
         .take(SEEN)
-        .map(|(target, _)| SeenTarget {
+        .map(|(target, _)| TargetObservation {
             target,
             phase: Some(TargetPhase::Ready),
             in_flight: 1,
             owned: true,
         })
         .collect();
-    let mut memory = ReconcileMemory::default();
+    let mut memory = ReconcileState::default();
     let started = Instant::now();
     for round in 0..ROUNDS {
         let now = Duration::from_secs(u64::from(round));
--- a/crates/hawthorn-intent/src/catalog/mod.rs
+++ b/crates/hawthorn-intent/src/catalog/mod.rs
@@ -133,7 +133,7 @@
 
     /// The targets that hold a shard and are wanted to serve.
     pub fn serving_targets_of(&self, shard: ShardKey) -> impl Iterator<Item = TargetKey> {
-        let serves = |key: &TargetKey| self.target(*key).wanted() == DesiredState::Serve;
+        let serves = |key: &TargetKey| self.target(*key).desired_state() == DesiredState::Serve;
         self.targets_of(shard).iter().copied().filter(serves)
     }
 
--- a/crates/hawthorn-intent/src/catalog/record.rs
+++ b/crates/hawthorn-intent/src/catalog/record.rs
@@ -88,7 +88,7 @@
 
 impl TargetRecord {
     /// The state wanted of it.
-    pub fn wanted(&self) -> DesiredState {
+    pub fn desired_state(&self) -> DesiredState {
         self.decision.state
     }
 }
--- a/crates/hawthorn-intent/src/reconcile/memory.rs
+++ b/crates/hawthorn-intent/src/reconcile/memory.rs
@@ -7,7 +7,7 @@
 use hawthorn_types::TargetPhase;
 
 use crate::catalog::FleetCatalog;
-use crate::reconcile::SeenTarget;
+use crate::reconcile::TargetObservation;
 
 /// What is remembered of a target between rounds.
 #[derive(Clone, Copy, Debug)]
@@ -23,21 +23,26 @@
 /// Losing it, as when a host is replaced, repeats orders and holds targets that
 /// are on their way out for [`super::Options::settle_time`] more.
 #[derive(Clone, Debug, Default)]
-pub struct ReconcileMemory {
+pub struct ReconcileState {
     pub(super) targets: HashMap<String, TargetMemory>,
 }
 
-impl ReconcileMemory {
+impl ReconcileState {
     /// Forgets targets that this host no longer owns, and notes what is wanted
     /// of the others.
     ///
     /// The time since which it is wanted is kept for each target and not for
     /// the revision: with an edit every few seconds no revision ever lasts.
-    pub(super) fn enter(&mut self, catalog: &FleetCatalog, seen: &[SeenTarget], now: Duration) {
+    pub(super) fn enter(
+        &mut self,
+        catalog: &FleetCatalog,
+        seen: &[TargetObservation],
+        now: Duration,
+    ) {
         let owned = seen.iter().filter(|seen| seen.owned);
         let records = owned.map(|seen| catalog.target(seen.target));
         let wanted: HashMap<&str, DesiredState> =
-            records.map(|record| (&*record.name, record.wanted())).collect();
+            records.map(|record| (&*record.name, record.desired_state())).collect();
         self.targets.retain(|name, _| wanted.contains_key(&**name));
         for (name, wanted) in wanted {
             let new = || TargetMemory::new(wanted, now);
--- a/crates/hawthorn-intent/src/reconcile/mod.rs
+++ b/crates/hawthorn-intent/src/reconcile/mod.rs
@@ -23,12 +23,12 @@
 use crate::catalog::FleetCatalog;
 use crate::catalog::TargetRecord;
 
-pub use memory::ReconcileMemory;
+pub use memory::ReconcileState;
 use memory::TargetMemory;
 
 /// What is known of one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SeenTarget {
+pub struct TargetObservation {
     /// The target.
     pub target: TargetKey,
     /// The phase it last reported; `None` when it can't be reached.
@@ -91,7 +91,7 @@
     pub target: TargetKey,
     /// What to tell it, which is not always what is wanted in the end: a
     /// target drains before it is switched off.
-    pub tell: DesiredState,
+    pub state: DesiredState,
 }
 
 /// Why a target that differs from the intent is not simply told.
@@ -100,7 +100,9 @@
 #[strum(serialize_all = "kebab-case")]
 pub enum DriftCause {
     /// The order goes out in this round.
-    Told,
+    #[serde(rename = "told")]
+    #[strum(serialize = "told")]
+    OrderSent,
     /// The order was given and has had no effect yet.
     Waiting,
     /// Loading, on its way to serving or standing by.
@@ -123,9 +125,9 @@
     /// The target.
     pub target: TargetKey,
     /// What is wanted.
-    pub wanted: DesiredState,
+    pub desired: DesiredState,
     /// What is seen; `None` when it can't be reached.
-    pub seen: Option<TargetPhase>,
+    pub observed: Option<TargetPhase>,
     /// When the difference was first seen, on the clock given to the rounds.
     pub since: Duration,
     /// Why it lasts.
@@ -159,7 +161,7 @@
             self.cause,
             DriftCause::HeldForShard | DriftCause::Settling | DriftCause::RateLimited
         );
-        self.wanted != DesiredState::Serve && untold && self.seen == Some(TargetPhase::Ready)
+        self.desired != DesiredState::Serve && untold && self.observed == Some(TargetPhase::Ready)
     }
 }
 
@@ -168,18 +170,18 @@
 /// A target that `seen` doesn't mention counts as not ready.
 pub fn reconcile(
     catalog: &FleetCatalog,
-    seen: &[SeenTarget],
-    memory: &mut ReconcileMemory,
+    seen: &[TargetObservation],
+    memory: &mut ReconcileState,
     now: Duration,
     options: &Options,
 ) -> Outcome {
     memory.enter(catalog, seen, now);
     let ready = ready_counts(catalog, seen, memory, now.checked_sub(options.settle_time));
     let mut round = Round { catalog, now, options, ready, outcome: Outcome::default() };
-    let mut owned: Vec<&SeenTarget> = seen.iter().filter(|seen| seen.owned).collect();
+    let mut owned: Vec<&TargetObservation> = seen.iter().filter(|seen| seen.owned).collect();
     owned.sort_by_cached_key(|seen| {
         let record = catalog.target(seen.target);
-        (memory.told_at(&record.name), record.wanted(), seen.target)
+        (memory.told_at(&record.name), record.desired_state(), seen.target)
     });
     for seen in owned {
         let name = &catalog.target(seen.target).name;
@@ -197,11 +199,11 @@
 /// may be from before the order.
 fn ready_counts(
     catalog: &FleetCatalog,
-    seen: &[SeenTarget],
-    memory: &ReconcileMemory,
+    seen: &[TargetObservation],
+    memory: &ReconcileState,
     before: Option<Duration>,
 ) -> HashMap<ShardKey, usize> {
-    let is_trusted = |seen: &&SeenTarget| {
+    let is_trusted = |seen: &&TargetObservation| {
         let memory = memory.targets.get(&catalog.target(seen.target).name);
         let served = memory.zip(before).is_some_and(|(memory, at)| memory.has_served_since(at));
         !seen.owned || served
@@ -209,7 +211,7 @@
     let ready = seen.iter().filter(|seen| seen.phase == Some(TargetPhase::Ready));
     let ready = ready.filter(is_trusted);
     let records = ready.map(|seen| catalog.target(seen.target));
-    let serving = records.filter(|record| record.wanted() == DesiredState::Serve);
+    let serving = records.filter(|record| record.desired_state() == DesiredState::Serve);
     let mut counts = HashMap::new();
     for &shard in serving.flat_map(|record| &record.shards) {
         *counts.entry(shard).or_default() += 1;
@@ -239,7 +241,7 @@
 }
 
 impl Round<'_> {
-    fn visit(&mut self, seen: &SeenTarget, memory: &mut TargetMemory) {
+    fn visit(&mut self, seen: &TargetObservation, memory: &mut TargetMemory) {
         let record = self.catalog.target(seen.target);
         memory.note_phase(seen.phase, self.now);
         let step = self.step(record, seen, memory);
@@ -252,23 +254,28 @@
             TargetStep::Wait(cause) => (cause, None),
             TargetStep::Hold(shard) => (DriftCause::HeldForShard, Some(shard)),
         };
-        let wanted = record.wanted();
+        let desired = record.desired_state();
         let since = memory.note_drift(self.now);
-        let (target, seen) = (seen.target, seen.phase);
-        self.outcome.drift.push(DriftRecord { target, wanted, seen, since, cause, held_for });
+        let (target, observed) = (seen.target, seen.phase);
+        self.outcome.drift.push(DriftRecord { target, desired, observed, since, cause, held_for });
     }
 
-    fn step(&self, record: &TargetRecord, seen: &SeenTarget, memory: &TargetMemory) -> TargetStep {
+    fn step(
+        &self,
+        record: &TargetRecord,
+        seen: &TargetObservation,
+        memory: &TargetMemory,
+    ) -> TargetStep {
         use TargetPhase::Cold;
         use TargetPhase::Draining;
         use TargetPhase::Ready;
         use TargetPhase::Standby;
-        match (record.wanted(), seen.phase) {
+        match (record.desired_state(), seen.phase) {
             (DesiredState::Serve, Some(Ready))
             | (DesiredState::Standby, Some(Standby))
             | (DesiredState::Drain, Some(Draining) | None)
-            | (DesiredState::Off, None) => match memory.other_order(record.wanted()) {
-                true => TargetStep::Tell(record.wanted()),
+            | (DesiredState::Off, None) => match memory.other_order(record.desired_state()) {
+                true => TargetStep::Tell(record.desired_state()),
                 false => TargetStep::Settled,
             },
             (DesiredState::Serve, Some(Cold)) if memory.was_told(DesiredState::Serve) => {
@@ -278,9 +285,11 @@
                 TargetStep::Wait(DriftCause::Warming)
             }
             (DesiredState::Standby | DesiredState::Drain, Some(Ready)) => {
-                self.leave(record, memory, record.wanted())
+                self.leave(record, memory, record.desired_state())
+            }
+            (DesiredState::Serve | DesiredState::Standby, _) => {
+                TargetStep::Tell(record.desired_state())
             }
-            (DesiredState::Serve | DesiredState::Standby, _) => TargetStep::Tell(record.wanted()),
             (DesiredState::Drain, Some(Cold | Standby)) => TargetStep::Tell(DesiredState::Drain),
             (DesiredState::Off, Some(Ready)) => self.leave(record, memory, DesiredState::Drain),
             (DesiredState::Off, Some(Draining)) => self.switch_off(seen, memory),
@@ -329,7 +338,7 @@
     /// which shows as a cut connection and, for a non-idempotent request, as an
     /// unknown outcome. What the target reports lags, so this host's own count
     /// decides, and the drain time covers hosts that owned it a moment ago.
-    fn switch_off(&self, seen: &SeenTarget, memory: &TargetMemory) -> TargetStep {
+    fn switch_off(&self, seen: &TargetObservation, memory: &TargetMemory) -> TargetStep {
         if seen.in_flight > 0 || memory.drained_for(self.now) < self.options.drain_time {
             return TargetStep::Wait(DriftCause::Draining);
         }
@@ -338,7 +347,7 @@
 
     fn tell(
         &mut self,
-        seen: &SeenTarget,
+        seen: &TargetObservation,
         state: DesiredState,
         memory: &mut TargetMemory,
     ) -> DriftCause {
@@ -351,7 +360,7 @@
             return if memory.was_told(state) { waiting } else { DriftCause::RateLimited };
         }
         memory.told = Some((state, self.now));
-        self.outcome.orders.push(IntentOrder { target: seen.target, tell: state });
-        DriftCause::Told
+        self.outcome.orders.push(IntentOrder { target: seen.target, state });
+        DriftCause::OrderSent
     }
 }
--- a/crates/hawthorn-intent/tests/reconcile.rs
+++ b/crates/hawthorn-intent/tests/reconcile.rs
@@ -10,8 +10,8 @@
 use hawthorn_intent::reconcile::DriftCause;
 use hawthorn_intent::reconcile::Options;
 use hawthorn_intent::reconcile::Outcome;
-use hawthorn_intent::reconcile::ReconcileMemory;
-use hawthorn_intent::reconcile::SeenTarget;
+use hawthorn_intent::reconcile::ReconcileState;
+use hawthorn_intent::reconcile::TargetObservation;
 use hawthorn_intent::reconcile::reconcile;
 use hawthorn_intent::rules;
 use hawthorn_types::ConfigRevision;
@@ -54,12 +54,12 @@
 const OLD: TargetKey = TargetKey(0);
 const NEW: TargetKey = TargetKey(1);
 
-fn seen(target: TargetKey, phase: Option<TargetPhase>) -> SeenTarget {
-    SeenTarget { target, phase, in_flight: 0, owned: true }
+fn seen(target: TargetKey, phase: Option<TargetPhase>) -> TargetObservation {
+    TargetObservation { target, phase, in_flight: 0, owned: true }
 }
 
 fn orders(outcome: &Outcome) -> Vec<(TargetKey, DesiredState)> {
-    outcome.orders.iter().map(|order| (order.target, order.tell)).collect()
+    outcome.orders.iter().map(|order| (order.target, order.state)).collect()
 }
 
 fn causes(outcome: &Outcome) -> Vec<(TargetKey, DriftCause)> {
@@ -95,7 +95,7 @@
         moment(
             (0, Some(Ready), 2, None),
             &[(NEW, DesiredState::Serve)],
-            &[(NEW, DriftCause::Told), (OLD, DriftCause::HeldForShard)],
+            &[(NEW, DriftCause::OrderSent), (OLD, DriftCause::HeldForShard)],
         ),
         moment(
             (3, Some(Ready), 2, Some(Cold)),
@@ -110,20 +110,20 @@
         moment(
             (91, Some(Ready), 2, Some(Ready)),
             &[(OLD, DesiredState::Drain)],
-            &[(OLD, DriftCause::Told)],
+            &[(OLD, DriftCause::OrderSent)],
         ),
         moment((92, Some(Draining), 1, Some(Ready)), &[], &[(OLD, DriftCause::Draining)]),
         moment((99, Some(Draining), 1, Some(Ready)), &[], &[(OLD, DriftCause::Draining)]),
         moment(
             (100, Some(Draining), 0, Some(Ready)),
             &[(OLD, DesiredState::Off)],
-            &[(OLD, DriftCause::Told)],
+            &[(OLD, DriftCause::OrderSent)],
         ),
         moment((101, None, 0, Some(Ready)), &[], &[]),
     ];
-    let mut memory = ReconcileMemory::default();
+    let mut memory = ReconcileState::default();
     for case in cases {
-        let old = SeenTarget { in_flight: case.in_flight, ..seen(OLD, case.old) };
+        let old = TargetObservation { in_flight: case.in_flight, ..seen(OLD, case.old) };
         let round = [old, seen(NEW, case.new)];
         let outcome = reconcile(&catalog, &round, &mut memory, secs(case.at), &Options::default());
         assert_eq!(orders(&outcome), case.orders, "orders at {} s", case.at);
@@ -146,14 +146,14 @@
         ["old-1", "old-2", "new-1", "new-2"].map(|name| small(name, "east", &["desk/00"]));
     let catalog = fleet(1, &targets, &rule("swap", "target = \"old-?\"", "off", ""))?;
     let first_drain = |second_ready_at: u64| {
-        let mut memory = ReconcileMemory::default();
+        let mut memory = ReconcileState::default();
         (0..100).find(|&at| {
             let second = if at < second_ready_at { Cold } else { Ready };
             let phases = [Ready, Ready, Ready, second];
             let round: Vec<_> =
                 (0..4).map(|key| seen(TargetKey(key), Some(phases[key as usize]))).collect();
             let outcome = reconcile(&catalog, &round, &mut memory, secs(at), &Options::default());
-            outcome.orders.iter().any(|order| order.tell == DesiredState::Drain)
+            outcome.orders.iter().any(|order| order.state == DesiredState::Drain)
         })
     };
     assert_eq!(first_drain(20), Some(20), "both new ones are ready");
@@ -168,7 +168,7 @@
 #[test]
 fn hosts_at_neighbouring_revisions_do_not_drain_each_others_target() -> TestResult {
     let (before, after) = (pair(1, "new")?, pair(2, "old")?);
-    let (mut behind, mut ahead) = (ReconcileMemory::default(), ReconcileMemory::default());
+    let (mut behind, mut ahead) = (ReconcileState::default(), ReconcileState::default());
     let both = [seen(OLD, Some(Ready)), seen(NEW, Some(Ready))];
     let options = Options::default();
     for memory in [&mut behind, &mut ahead] {
@@ -195,7 +195,7 @@
 /// began the wait anew. The wait is therefore counted for each target.
 #[test]
 fn edits_elsewhere_do_not_keep_a_target_from_leaving() -> TestResult {
-    let mut memory = ReconcileMemory::default();
+    let mut memory = ReconcileState::default();
     let mut told = Vec::new();
     for at in 0..20 {
         let revision = 2 + at / 4;
@@ -203,7 +203,7 @@
         let catalog = pair(revision, off)?;
         let round = [seen(OLD, Some(Ready)), seen(NEW, Some(Ready))];
         let outcome = reconcile(&catalog, &round, &mut memory, secs(at), &Options::default());
-        told.extend(outcome.orders.iter().map(|order| (at, order.target, order.tell)));
+        told.extend(outcome.orders.iter().map(|order| (at, order.target, order.state)));
         if (8..13).contains(&at) {
             assert_eq!(causes(&outcome), [(OLD, DriftCause::Settling)], "at {at} s");
             assert_eq!(outcome.held().collect::<Vec<_>>(), [OLD]);
@@ -221,7 +221,7 @@
     let (keep, leave) = (pair(1, "nothing")?, pair(2, "old")?);
     let options = Options { settle_time: Duration::ZERO, ..Options::default() };
     let both = [seen(OLD, Some(Ready)), seen(NEW, Some(Ready))];
-    let mut memory = ReconcileMemory::default();
+    let mut memory = ReconcileState::default();
     let told = reconcile(&leave, &both, &mut memory, secs(10), &options);
     assert_eq!(orders(&told), [(OLD, DesiredState::Drain)]);
     let taken_back = reconcile(&keep, &both, &mut memory, secs(11), &options);
@@ -237,7 +237,7 @@
 #[test]
 fn a_lost_order_is_given_again_after_a_while() -> TestResult {
     let catalog = pair(1, "old")?;
-    let mut memory = ReconcileMemory::default();
+    let mut memory = ReconcileState::default();
     let mut told = Vec::new();
     for at in 0..12 {
         let round = [seen(OLD, None), seen(NEW, Some(Standby))];
@@ -265,7 +265,7 @@
     let catalog = fleet(1, &targets, &rules)?;
     let options =
         Options { settle_time: Duration::ZERO, cold_starts_held: 0, ..Options::default() };
-    let mut memory = ReconcileMemory::default();
+    let mut memory = ReconcileState::default();
     let mut drained_at = None;
     for at in 0..20 {
         let ready = |index: u32| index == 0 || index >= COUNT - LEAVING;
@@ -273,7 +273,7 @@
         let round: Vec<_> = (0..COUNT).map(|index| seen(TargetKey(index), phase(index))).collect();
         let outcome = reconcile(&catalog, &round, &mut memory, secs(at), &options);
         assert!(outcome.orders.len() <= options.orders_per_round);
-        let drains = outcome.orders.iter().filter(|order| order.tell == DesiredState::Drain);
+        let drains = outcome.orders.iter().filter(|order| order.state == DesiredState::Drain);
         if drains.count() > 0 {
             drained_at = drained_at.or(Some(at));
         }
@@ -319,10 +319,10 @@
     let targets = [small("old", "east", &["desk/00"]), small("new", "west", &["desk/00"])];
     for SettledCase { wanted, phase, expected } in cases {
         let catalog = fleet(1, &targets, &rule("one", "target = \"old\"", wanted, ""))?;
-        let elsewhere = SeenTarget { owned: false, ..seen(NEW, Some(Ready)) };
+        let elsewhere = TargetObservation { owned: false, ..seen(NEW, Some(Ready)) };
         let round = [seen(OLD, phase), elsewhere];
         let outcome =
-            reconcile(&catalog, &round, &mut ReconcileMemory::default(), secs(9), &options);
+            reconcile(&catalog, &round, &mut ReconcileState::default(), secs(9), &options);
         let told: Vec<_> = expected.map(|state| (OLD, state)).into_iter().collect();
         assert_eq!(orders(&outcome), told, "{wanted} from {phase:?}");
     }
@@ -366,7 +366,7 @@
         let mut targets = [SlowTarget { phase: Some(Ready), shown: Some(Ready), told: None }; 3];
         let names = ["x", "y", "z"];
         let fleet_of = names.map(|name| small(name, "east", &["desk/00"]));
-        let mut memory = ReconcileMemory::default();
+        let mut memory = ReconcileState::default();
         let mut at = 0;
         for (revision, (serving, rounds)) in edits.into_iter().enumerate() {
             let off = |index: &usize| serving & (1 << index) == 0;
@@ -384,7 +384,7 @@
                 let outcome =
                     reconcile(&catalog, &round, &mut memory, secs(at), &Options::default());
                 for order in outcome.orders {
-                    targets[order.target.index()].told = Some((order.tell, at));
+                    targets[order.target.index()].told = Some((order.state, at));
                 }
                 let serves = |target: &SlowTarget| {
                     let leaves = target.told.is_some_and(|(told, _)| told != DesiredState::Serve);
