--- a/crates/hawthorn-intent/examples/sizes.rs
+++ b/crates/hawthorn-intent/examples/sizes.rs
@@ -1,6 +1,7 @@
-//! Prints what a configuration costs at growing sizes: bytes of the document,
-//! time to check and to build, memory of the catalog, time of one reconciler
-//! round. Run with `cargo run --release -p hawthorn-intent --example sizes`.
+//! Measures the costs of configurations of increasing size: bytes of the inventory, time to check
+//! and to build the catalog, memory of the catalog, and time of one reconcile round.
+//!
+//! Run with `cargo run --release -p hawthorn-intent --example sizes`.
 
 use std::error::Error;
 use std::fmt::Write as _;
@@ -17,14 +18,15 @@
 use hawthorn_types::ConfigRevision;
 use hawthorn_types::TargetPhase;
 
-/// Targets of the fleets tried: the sites of today, and on the way to 73,000.
+/// Fleet sizes in targets: the size of one site, and steps up to 73,000.
 const SIZES: [u32; 4] = [120, 1_200, 12_000, 73_000];
 const ZONES: u32 = 25;
 const SHARDS_PER_SERVICE: u32 = 50;
 const REPLICAS: u32 = 2;
-/// Targets that one of 4,000 daemons owns of 73,000, with their shards' others.
-const SEEN: usize = 40;
-/// Catalogs built before and while the memory of one is measured.
+/// Targets that one of 4,000 daemons observes of 73,000: those that it owns and the other replicas
+/// of their shards.
+const OBSERVED: usize = 40;
+/// Number of catalogs built to warm up the allocator, and again to measure the memory of one.
 const COPIES: u32 = 8;
 const ROUNDS: u32 = 100;
 const BYTES_PER_PAGE: u64 = 4096;
@@ -47,16 +49,16 @@
     let started = Instant::now();
     let catalog = build()?;
     let built = started.elapsed();
-    // The first copies go into memory that the check gave back.
+    // The first copies reuse memory that was freed by the check.
     let mut copies = (0..COPIES).map(|_| build()).collect::<Result<Vec<_>, _>>()?;
     let before = resident_bytes()?;
     for _ in 0..COPIES {
         copies.push(build()?);
     }
-    let grown = resident_bytes()?.saturating_sub(before) / u64::from(COPIES);
-    let seen: Vec<_> = catalog
+    let catalog_bytes = resident_bytes()?.saturating_sub(before) / u64::from(COPIES);
+    let observations: Vec<_> = catalog
         .targets()
-        .take(SEEN)
+        .take(OBSERVED)
         .map(|(target, _)| TargetObservation {
             target,
             phase: Some(TargetPhase::Ready),
@@ -64,16 +66,20 @@
             owned: true,
         })
         .collect();
-    let mut memory = ReconcileState::default();
+    let mut state = ReconcileState::default();
     let started = Instant::now();
     for round in 0..ROUNDS {
         let now = Duration::from_secs(u64::from(round));
-        reconcile(&catalog, &seen, &mut memory, now, &Options::default());
+        reconcile(&catalog, &observations, &mut state, now, &Options::default());
     }
     let round = started.elapsed() / ROUNDS;
     let bytes = inventory.len();
     let (check_ms, build_ms) = (checked.as_millis(), built.as_millis());
-    println!("{targets},{bytes},{check_ms},{build_ms},{},{}", grown / 1024, round.as_micros());
+    println!(
+        "{targets},{bytes},{check_ms},{build_ms},{},{}",
+        catalog_bytes / 1024,
+        round.as_micros()
+    );
     Ok(())
 }
 
--- a/crates/hawthorn-intent/src/catalog/build.rs
+++ b/crates/hawthorn-intent/src/catalog/build.rs
@@ -1,4 +1,4 @@
-//! Builds a catalog from a configuration.
+//! Validates a configuration and builds its catalog.
 
 use std::collections::HashMap;
 
@@ -25,6 +25,8 @@
 use crate::catalog::raw;
 use crate::check::Inputs;
 use crate::check::check;
+use crate::desired_state::StateDecision;
+use crate::desired_state::decide;
 use crate::document::ConfigDocument;
 use crate::fault::ConfigFault;
 use crate::fault::FaultKind;
@@ -34,22 +36,20 @@
 use crate::inventory::TargetEntry;
 use crate::inventory::shard_name;
 use crate::rules::RuleSet;
-use crate::wanted::WantedDecision;
-use crate::wanted::wanted;
 
 quick_error! {
-    /// Why a catalog can't be built; a configuration that passed the check can.
+    /// Errors of [`build`]. Do not occur for a configuration that passed [`check`].
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Error {
-        /// A target stands in a zone that the inventory doesn't have.
+        /// The zone of a target is not in the inventory.
         UnknownZone(target: String, zone: String) {
             display("target {target} is in zone {zone:?}, which the inventory doesn't have")
         }
-        /// A target is of a service that the inventory doesn't have.
+        /// The service of a target is not in the inventory.
         UnknownService(target: String, service: String) {
             display("target {target} is of service {service:?}, which the inventory doesn't have")
         }
-        /// A target holds a shard that its service doesn't have.
+        /// A target holds a shard that its service does not have.
         UnknownShard(target: String, shard: String) {
             display("target {target} holds shard {shard:?}, which its service doesn't have")
         }
@@ -57,14 +57,14 @@
 }
 
 quick_error! {
-    /// Why a document can't come into force.
+    /// Errors of [`load`] and [`load_parts`].
     #[derive(Debug)]
     pub enum LoadError {
-        /// The check refuses it.
+        /// The document has faults that are errors.
         Faulty(faults: Vec<ConfigFault>) {
             display("the document has {} faults, the first: {}", faults.len(), faults[0])
         }
-        /// The check accepts it, yet no catalog can be built.
+        /// The document passed the check, but its catalog could not be built.
         Catalog(err: Error) {
             display("{err}")
             source(err)
@@ -73,29 +73,36 @@
     }
 }
 
-/// Checks a document as it comes from the store or a peer, and builds its catalog.
+/// Checks a document read from the store or received from a peer, and builds its catalog.
 ///
-/// Failure guarded against: during an upgrade a newer daemon accepts a key that
-/// an older one doesn't know. If the older one refused the document, it would
-/// stay at its revision for as long as it runs, and the fleet would be split.
-/// Keys that are not known are therefore passed over here, and only here; an
-/// edit with one is refused when it is made.
+/// Failure: during a rolling upgrade, a newer daemon accepts a document with a key that older
+/// daemons do not know. If those rejected it, they would stay at an old revision until restarted,
+/// and the fleet would run two configurations. Unknown keys are therefore ignored here, and only
+/// here: edits that contain them are rejected.
+///
+/// # Errors
+///
+/// If the check finds errors other than unknown keys, or if the catalog cannot be built.
 pub fn load(document: &ConfigDocument, options: Options) -> Result<FleetCatalog, LoadError> {
     Ok(load_parts(document, options)?.catalog)
 }
 
-/// What [`load_parts`] read.
+/// A catalog and the configuration that it was built from.
 #[derive(Clone, Debug)]
 pub struct LoadedConfig {
     /// The inventory.
     pub inventory: Inventory,
     /// The rules.
     pub rules: RuleSet,
-    /// The catalog built from both.
+    /// The catalog.
     pub catalog: FleetCatalog,
 }
 
-/// As [`load`], and keeps what the catalog was built from, which explanations need.
+/// Like [`load`], but also returns inventory and rules, which [`explain`](crate::explain) needs.
+///
+/// # Errors
+///
+/// Those of [`load`].
 pub fn load_parts(document: &ConfigDocument, options: Options) -> Result<LoadedConfig, LoadError> {
     let inputs = Inputs { settings: None, inventory: &document.inventory, rules: &document.rules };
     let mut outcome = check(inputs);
@@ -108,6 +115,10 @@
 }
 
 /// Builds the catalog of a configuration that passed the check.
+///
+/// # Errors
+///
+/// If a target refers to a zone, service or shard that does not exist.
 pub fn build(
     inventory: &Inventory,
     rules: &RuleSet,
@@ -137,7 +148,7 @@
         let key = CallerKey(catalog.callers.alloc(record).into_raw().into_u32());
         catalog.caller_names.insert(caller.name.clone(), key);
     }
-    let decisions = wanted(inventory, rules);
+    let decisions = decide(inventory, rules);
     for (target, decision) in inventory.targets.iter().zip(decisions) {
         catalog.add_target(target, decision)?;
     }
@@ -184,7 +195,7 @@
         key
     }
 
-    fn add_target(&mut self, entry: &TargetEntry, decision: WantedDecision) -> Result<(), Error> {
+    fn add_target(&mut self, entry: &TargetEntry, decision: StateDecision) -> Result<(), Error> {
         let name = || entry.name.clone();
         let zone = self
             .zone_named(&entry.zone)
@@ -204,8 +215,8 @@
         for &shard in &shards {
             self.shards[raw(shard.0)].targets.push(key);
         }
-        let usual = self.service(service);
-        let (slots, connections) = (usual.slots, usual.connections);
+        let defaults = self.service(service);
+        let (slots, connections) = (defaults.slots, defaults.connections);
         self.targets.alloc(TargetRecord {
             name: entry.name.clone(),
             asset: entry.asset.clone(),
--- a/crates/hawthorn-intent/src/catalog/mod.rs
+++ b/crates/hawthorn-intent/src/catalog/mod.rs
@@ -1,8 +1,8 @@
-//! The arenas that a daemon serves from: one catalog for each configuration
-//! revision (life: version), never changed once built.
+//! Immutable arenas of zones, services, shards, targets, groups and callers: one catalog for each
+//! configuration revision.
 //!
-//! Keys are positions in this catalog and mean nothing in another one; names
-//! and [`GroupRecord::id`] travel between daemons.
+//! Keys are indices in one catalog and are not valid in any other. Daemons refer to entries by name
+//! or [`GroupRecord::id`] when they communicate.
 
 mod build;
 mod record;
@@ -35,19 +35,18 @@
 pub use record::TargetRecord;
 pub use record::ZoneRecord;
 
-/// Into how many groups the targets of one zone fall, at most.
+/// Default for [`Options::group_buckets`].
 ///
-/// Load: a query to 270 targets must cost a message per owner, so there must
-/// be far fewer groups than targets; and each of the 6 to 8 hosts of today
-/// must get an even share, so there must be several groups for each host of a
-/// zone. 64 gives a zone of 3 hosts 21 groups each. A zone of more than 64
-/// hosts needs more: see [`Options::group_buckets`].
+/// A query to 270 targets should cost one message for each owner, so there must be far fewer groups
+/// than targets. On the other hand, each of the 6 to 8 hosts of the fleet must get several groups,
+/// so that the targets of a zone are distributed evenly: with 64 groups, each host of a zone with 3
+/// hosts gets 21. A zone with more than 64 hosts needs more groups.
 pub const GROUP_BUCKETS: u32 = 64;
 
-/// How a catalog is built. All daemons must use the same.
+/// Options for building a catalog. All daemons must use the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Into how many groups the targets of one zone fall, at most.
+    /// Maximum number of groups that the targets of a zone are distributed over.
     pub group_buckets: u32,
 }
 
@@ -57,7 +56,7 @@
     }
 }
 
-/// Everything that one configuration revision names.
+/// All entries of one configuration revision.
 #[derive(Clone, Debug)]
 pub struct FleetCatalog {
     revision: ConfigRevision,
@@ -76,12 +75,12 @@
 
 macro_rules! arena_access {
     ($one:ident, $all:ident, $arena:ident, $key:ident, $record:ident, $doc:literal) => {
-        #[doc = concat!("The ", $doc, " behind a key of this catalog.")]
+        #[doc = concat!("Returns the ", $doc, " with this key, which must be of this catalog.")]
         pub fn $one(&self, key: $key) -> &$record {
             &self.$arena[raw(key.0)]
         }
 
-        #[doc = concat!("Every ", $doc, " with its key.")]
+        #[doc = concat!("Iterates over all ", $doc, " records and their keys.")]
         pub fn $all(&self) -> impl ExactSizeIterator<Item = ($key, &$record)> {
             self.$arena.iter().map(|(index, record)| ($key(index.into_raw().into_u32()), record))
         }
@@ -96,58 +95,58 @@
     arena_access!(group, groups, groups, GroupKey, GroupRecord, "group");
     arena_access!(caller, callers, callers, CallerKey, CallerRecord, "caller");
 
-    /// The revision it was built from.
+    /// The revision that the catalog was built from.
     pub fn revision(&self) -> ConfigRevision {
         self.revision
     }
 
-    /// The zone of that name.
+    /// Looks up a zone by name.
     pub fn zone_named(&self, name: &str) -> Option<ZoneKey> {
         self.zone_names.get(name).copied()
     }
 
-    /// The service of that name.
+    /// Looks up a service by name.
     pub fn service_named(&self, name: &str) -> Option<ServiceKey> {
         self.service_names.get(name).copied()
     }
 
-    /// The shard of that name.
+    /// Looks up a shard by name.
     pub fn shard_named(&self, name: &ShardName) -> Option<ShardKey> {
         self.shard_names.get(name).copied()
     }
 
-    /// The target of that name.
+    /// Looks up a target by name.
     pub fn target_named(&self, name: &str) -> Option<TargetKey> {
         self.target_names.get(name).copied()
     }
 
-    /// The caller of that name.
+    /// Looks up a caller by name.
     pub fn caller_named(&self, name: &str) -> Option<CallerKey> {
         self.caller_names.get(name).copied()
     }
 
-    /// The targets that hold a shard, in whatever wanted state.
+    /// Targets that hold a shard, regardless of their desired state.
     pub fn targets_of(&self, shard: ShardKey) -> &[TargetKey] {
         &self.shard(shard).targets
     }
 
-    /// The targets that hold a shard and are wanted to serve.
+    /// Targets that hold a shard and should serve.
     pub fn serving_targets_of(&self, shard: ShardKey) -> impl Iterator<Item = TargetKey> {
-        let serves = |key: &TargetKey| self.target(*key).desired_state() == DesiredState::Serve;
-        self.targets_of(shard).iter().copied().filter(serves)
+        let is_serving = |key: &TargetKey| self.target(*key).desired_state() == DesiredState::Serve;
+        self.targets_of(shard).iter().copied().filter(is_serving)
     }
 
-    /// The group that holds a shard's replicas in a zone, if any.
+    /// The group of a shard's replicas in a zone, if there are any.
     pub fn group_of(&self, shard: ShardKey, zone: ZoneKey) -> Option<GroupKey> {
         let targets = self.targets_of(shard).iter().map(|&key| self.target(key));
         targets.filter(|target| target.zone == zone).map(|target| target.group).next()
     }
 
-    /// The shard of a service that a key belongs to, by the inventory.
+    /// The shard of a service whose key range, as derived from the inventory, contains `key`.
     pub fn shard_at(&self, service: ServiceKey, key: u32) -> Option<ShardKey> {
         let shards = &self.service(service).shards;
-        let past = shards.partition_point(|&shard| self.shard(shard).range.start <= key);
-        let shard = *shards.get(past.checked_sub(1)?)?;
+        let end = shards.partition_point(|&shard| self.shard(shard).range.start <= key);
+        let shard = *shards.get(end.checked_sub(1)?)?;
         (key < self.shard(shard).range.end).then_some(shard)
     }
 }
--- a/crates/hawthorn-intent/src/catalog/record.rs
+++ b/crates/hawthorn-intent/src/catalog/record.rs
@@ -1,4 +1,4 @@
-//! The records behind the keys of a catalog.
+//! Records of a catalog.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,105 +14,105 @@
 use hawthorn_types::ZoneKey;
 use smallvec::SmallVec;
 
-use crate::wanted::WantedDecision;
+use crate::desired_state::StateDecision;
 
 /// One availability zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneRecord {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// The region that it is in.
+    /// The region that the zone is in.
     pub region: String,
 }
 
 /// One service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceRecord {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its shards, in the order of their numbers.
+    /// The shards, ordered by number.
     pub shards: Vec<ShardKey>,
-    /// Slots of a target, unless it says otherwise.
+    /// Default for [`TargetRecord::slots`].
     pub slots: u32,
-    /// Connections of a target, unless it says otherwise.
+    /// Default for [`TargetRecord::connections`].
     pub connections: u32,
-    /// What a new connection costs.
+    /// Time to open a new connection.
     pub connect_cost: Duration,
-    /// How long a target takes from switched on to warm.
+    /// Time that a target takes from power-on until it is warm.
     pub cold_start: Duration,
-    /// How much a late answer hurts, when a query doesn't say.
+    /// Urgency of queries that do not set one.
     pub urgency: UrgencyClass,
 }
 
 /// One shard of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardRecord {
-    /// Its name, `service/number`.
+    /// The name, `service/number`.
     pub name: ShardName,
     /// The service.
     pub service: ServiceKey,
-    /// Its number within the service, from 0.
+    /// The number within the service, counted from 0.
     pub number: u32,
-    /// The keys it holds by the inventory: equal parts of the key space.
+    /// The key range. The shards of a service divide the key space evenly.
     pub range: KeyRange,
-    /// The targets that hold it, in whatever wanted state.
+    /// The targets that hold it, regardless of their desired state.
     pub targets: SmallVec<[TargetKey; 4]>,
 }
 
 /// One target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetRecord {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its number in the asset register.
+    /// Asset number in the asset register.
     pub asset: String,
     /// The service.
     pub service: ServiceKey,
     /// The availability zone.
     pub zone: ZoneKey,
-    /// Where it is reached.
+    /// The address.
     pub address: SocketAddr,
-    /// The shards it holds.
+    /// The shards that it holds.
     pub shards: SmallVec<[ShardKey; 2]>,
-    /// How many requests it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// How many connections it takes, from all hosts together.
+    /// Maximum number of connections from all hosts together.
     pub connections: u32,
-    /// Whether it is a spare one.
+    /// Whether it is spare hardware.
     pub spare: bool,
-    /// The group it is owned with.
+    /// The group that it is owned in.
     pub group: GroupKey,
-    /// The state wanted of it, and why.
-    pub decision: WantedDecision,
+    /// The desired state and its cause.
+    pub decision: StateDecision,
 }
 
 impl TargetRecord {
-    /// The state wanted of it.
+    /// The desired state.
     pub fn desired_state(&self) -> DesiredState {
         self.decision.state
     }
 }
 
-/// Targets of one zone that one host owns together. Replicas of a shard in one
-/// zone are always in one group.
+/// Targets of one zone that are owned by the same host. All replicas of a shard in one zone are in
+/// the same group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupRecord {
     /// The zone.
     pub zone: ZoneKey,
     /// The bucket within the zone.
     pub bucket: u32,
-    /// Names the group in every daemon, whatever its catalog; hash it with a
-    /// host's name to choose the owner.
+    /// Identifies the group across catalogs and daemons. The owner is chosen by hashing this id
+    /// with the names of hosts.
     pub id: u64,
-    /// Its targets.
+    /// The targets of the group.
     pub targets: Vec<TargetKey>,
 }
 
 /// One caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerRecord {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its share when callers compete, next to the others' weights.
+    /// Weight in fair sharing between callers.
     pub weight: u32,
 }
--- a/crates/hawthorn-intent/src/check/mod.rs
+++ b/crates/hawthorn-intent/src/check/mod.rs
@@ -1,14 +1,15 @@
-//! Finds every fault of settings, inventory and rules in one run.
+//! Validates settings, inventory and rules, and reports all faults at once.
 //!
-//! Each file is read to its end first, then the files are held against each
-//! other. The same check runs on the operator's machine and, before a write,
-//! in the daemon that takes an edit.
+//! Each file is parsed completely, then references between the files are checked. The same check
+//! runs on the operator's machine and, before an edit is written, in the daemon that receives it.
 
 mod names;
 mod placing;
 mod rules;
 mod settings;
 
+use crate::desired_state::StateDecision;
+use crate::desired_state::decide;
 use crate::document::MAX_VALUE_BYTES;
 use crate::fault::ConfigFault;
 use crate::fault::ConfigFile;
@@ -18,47 +19,45 @@
 use crate::rules::RuleSet;
 use crate::settings::DaemonSettings;
 use crate::source::ConfigSource;
-use crate::wanted::WantedDecision;
-use crate::wanted::wanted;
 
-/// The texts to check.
+/// Contents of the files to check.
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs<'i> {
-    /// The text of `daemon.toml`, when there is one.
+    /// Contents of `daemon.toml`, if it is to be checked.
     pub settings: Option<&'i str>,
-    /// The text of `inventory.toml`.
+    /// Contents of `inventory.toml`.
     pub inventory: &'i str,
-    /// The text of `rules.toml`.
+    /// Contents of `rules.toml`.
     pub rules: &'i str,
 }
 
-/// What the check found.
+/// Result of a check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// Every fault, by file and line.
+    /// All faults, sorted by file and line.
     pub faults: Vec<ConfigFault>,
-    /// The settings, when there were any; with placeholders where faulty.
+    /// The settings, if they were given; faulty values are replaced by placeholders.
     pub settings: Option<DaemonSettings>,
-    /// The inventory, with placeholders where faulty.
+    /// The inventory; faulty values are replaced by placeholders.
     pub inventory: Inventory,
-    /// The rules, with placeholders where faulty.
+    /// The rules; faulty values are replaced by placeholders.
     pub rules: RuleSet,
 }
 
 impl Outcome {
-    /// Whether the configuration may come into force: no fault is an error.
+    /// Whether the configuration is accepted, which is the case if no fault is an error.
     pub fn is_accepted(&self) -> bool {
         !self.faults.iter().any(ConfigFault::is_error)
     }
 }
 
-/// Both files of the configuration, and where their keys stand.
+/// Inventory and rules with their sources, which map keys to lines.
 struct CheckedFiles<'c, 'i> {
     inventory: &'c Inventory,
     inventory_source: &'c ConfigSource<'i>,
     rules: &'c RuleSet,
     rules_source: &'c ConfigSource<'i>,
-    decisions: &'c [WantedDecision],
+    decisions: &'c [StateDecision],
 }
 
 impl CheckedFiles<'_, '_> {
@@ -83,14 +82,14 @@
     }
 }
 
-/// Checks `inputs` to their end.
+/// Checks all files and returns all faults.
 pub fn check(inputs: Inputs<'_>) -> Outcome {
     let inventory::Outcome { inventory, mut faults, source: inventory_source } =
         inventory::read(inputs.inventory);
     let read_rules = crate::rules::read(inputs.rules);
     let rules = read_rules.rules;
     faults.extend(read_rules.faults);
-    let decisions = wanted(&inventory, &rules);
+    let decisions = decide(&inventory, &rules);
     let files = CheckedFiles {
         inventory: &inventory,
         inventory_source: &inventory_source,
@@ -110,10 +109,10 @@
     Outcome { faults, settings, inventory, rules }
 }
 
-/// Room in the store's value for what a document has besides the two texts.
+/// Bytes reserved in a stored document for everything except the two files.
 const DOCUMENT_OVERHEAD: usize = 4_096;
 
-/// Line breaks and quotes take two bytes in the document.
+/// Length as a JSON string, in which characters such as line breaks and quotes take two bytes.
 fn escaped_len(text: &str) -> usize {
     let escaped = text.bytes().filter(|byte| matches!(byte, b'\n' | b'"' | b'\\' | b'\t' | b'\r'));
     text.len() + escaped.count()
--- a/crates/hawthorn-intent/src/check/names.rs
+++ b/crates/hawthorn-intent/src/check/names.rs
@@ -1,4 +1,4 @@
-//! Names, assets and addresses: each claimed once, and each that is used is there.
+//! Checks that names, assets and addresses are unique and that references resolve.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -67,19 +67,19 @@
     files.in_inventory(path, FaultKind::DanglingName, format!("{name:?}"), expected)
 }
 
-/// Most names that a message lists.
-const LISTED_NAMES: usize = 8;
+/// Maximum number of names listed in a message.
+const MAX_LISTED_NAMES: usize = 8;
 
-/// What a name of `kind` may be, for messages.
+/// Describes the valid names of a `kind` for the `expected` part of a fault.
 pub(super) fn one_of<'n>(kind: &str, names: impl ExactSizeIterator<Item = &'n str>) -> String {
-    if names.len() > LISTED_NAMES {
+    if names.len() > MAX_LISTED_NAMES {
         return format!("one of the {} {kind}s of the inventory", names.len());
     }
     let names: Vec<&str> = names.collect();
     format!("a {kind} of the inventory: {}", names.join(", "))
 }
 
-/// One value that must be unique among the entries of its list.
+/// A value that must be unique among the entries of its list.
 struct UniqueValue<'c> {
     list: &'static str,
     index: usize,
@@ -102,16 +102,16 @@
     let values: Vec<UniqueValue<'_>> =
         inventory_values(files).into_iter().chain(rule_values(files)).collect();
     let mut firsts: HashMap<(&str, &str, &str), &UniqueValue<'_>> = HashMap::new();
-    for unique in values.iter().filter(|unique| !unique.value.is_empty()) {
-        let first = *firsts.entry((unique.list, unique.key, &unique.value)).or_insert(unique);
-        if first.index == unique.index {
+    for entry in values.iter().filter(|entry| !entry.value.is_empty()) {
+        let first = *firsts.entry((entry.list, entry.key, &entry.value)).or_insert(entry);
+        if first.index == entry.index {
             continue;
         }
-        let found = format!("{:?}, as at {}", unique.value, first.path());
-        let expected = format!("another {} for each {}", unique.key, unique.list);
-        let in_rules = matches!(unique.list, "caller" | "rule");
+        let found = format!("{:?}, as at {}", entry.value, first.path());
+        let expected = format!("another {} for each {}", entry.key, entry.list);
+        let in_rules = matches!(entry.list, "caller" | "rule");
         let source = if in_rules { files.rules_source } else { files.inventory_source };
-        faults.push(source.fault(unique.path(), FaultKind::Duplicate, found, expected));
+        faults.push(source.fault(entry.path(), FaultKind::Duplicate, found, expected));
     }
     faults
 }
@@ -127,8 +127,8 @@
     for (index, target) in files.inventory.targets.iter().enumerate() {
         values.push(UniqueValue::new("target", index, "name", &target.name));
         values.push(UniqueValue::new("target", index, "asset", &target.asset));
-        // Two targets at one address: the tier would count one server's slots
-        // twice, and each would answer `GET /state` with the other's name.
+        // Failure: two targets share an address. The slots of one server would be counted twice,
+        // and `GET /state` would return the name of the other target.
         if target.address != NO_ADDRESS {
             let value = Cow::Owned(target.address.to_string());
             values.push(UniqueValue { list: "target", index, key: "address", value });
--- a/crates/hawthorn-intent/src/check/rules.rs
+++ b/crates/hawthorn-intent/src/check/rules.rs
@@ -1,4 +1,4 @@
-//! Callers' weights, and rules that are for nothing.
+//! Checks the weights of callers and finds rules without effect.
 
 use std::collections::HashSet;
 
@@ -35,9 +35,9 @@
     }
 }
 
-/// Load: members that compete send at once. Harm prevented: one edit of a
-/// weight puts a member's filings ahead of another's. With `equal_callers` no
-/// weight other than 1 comes into force.
+/// Handles contention between competing members that send at the same time: changing a single
+/// weight would give one member's filings precedence over another's. With `equal_callers`, every
+/// weight other than 1 is rejected.
 fn check_weights(files: &CheckedFiles<'_, '_>, faults: &mut Vec<ConfigFault>) {
     if !files.rules.equal_callers {
         return;
@@ -56,7 +56,7 @@
     !pattern.contains(['*', '?'])
 }
 
-/// Everything that rules may name, and which of them match or decide.
+/// Names that rules can refer to, and the indices of rules that match or decide a target.
 struct KnownNames<'c> {
     services: HashSet<&'c str>,
     zones: HashSet<&'c str>,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Names without `*` or `?` that nothing in the inventory bears.
+/// Finds patterns without wildcards that match no name in the inventory.
 fn dangling_names(
     files: &CheckedFiles<'_, '_>,
     names: &KnownNames<'_>,
--- a/crates/hawthorn-intent/src/check/settings.rs
+++ b/crates/hawthorn-intent/src/check/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a daemon against the inventory that it is to serve.
+//! Checks the settings of a daemon against the inventory.
 
 use crate::check::names::one_of;
 use crate::fault::ConfigFault;
@@ -9,7 +9,7 @@
 use crate::settings::DaemonSettings;
 use crate::source::ConfigSource;
 
-/// Reads the settings and holds their zone and region against the inventory.
+/// Parses the settings and checks that zone and region are in the inventory.
 pub(super) fn check(
     text: &str,
     inventory: &Inventory,
--- a/crates/hawthorn-intent/src/diff.rs
+++ b/crates/hawthorn-intent/src/diff.rs
@@ -1,4 +1,5 @@
-//! What changes from one configuration to another, entry by entry and in effect.
+//! Computes the difference between two configurations: changed entries and their effects on targets
+//! and shards.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,9 +9,9 @@
 use serde::Serialize;
 use strum::Display;
 
+use crate::desired_state::decide;
 use crate::inventory::Inventory;
 use crate::rules::RuleSet;
-use crate::wanted::wanted;
 
 /// Inventory and rules of one configuration.
 #[derive(Clone, Copy, Debug)]
@@ -21,7 +22,7 @@
     pub rules: &'c RuleSet,
 }
 
-/// What an entry is.
+/// The kind of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Display)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
@@ -38,79 +39,81 @@
     Rule,
 }
 
-/// One key of an entry that changes; `-` where it is absent.
+/// Change of one key of an entry. An absent value is shown as `-`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FieldChange {
     /// The key.
     pub key: String,
-    /// What it said.
+    /// The old value.
     pub old: String,
-    /// What it says.
+    /// The new value.
     pub new: String,
 }
 
-/// One change.
+/// A change between two configurations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "change")]
 pub enum ConfigChange {
-    /// An entry is new.
+    /// An entry was added.
     Added {
-        /// What it is.
+        /// The kind of the entry.
         kind: EntryKind,
-        /// Its name.
+        /// The name of the entry.
         name: String,
     },
-    /// An entry is gone.
+    /// An entry was removed.
     Removed {
-        /// What it was.
+        /// The kind of the entry.
         kind: EntryKind,
-        /// Its name.
+        /// The name of the entry.
         name: String,
     },
-    /// An entry of that name says something else.
+    /// An entry with the same name has different values.
     Changed {
-        /// What it is.
+        /// The kind of the entry.
         kind: EntryKind,
-        /// Its name.
+        /// The name of the entry.
         name: String,
-        /// The keys that change.
+        /// The changed keys.
         fields: Vec<FieldChange>,
     },
-    /// Rules that stay have another order, which decides among equal priorities.
+    /// The order of the remaining rules changed, which determines precedence between equal
+    /// priorities.
     RulesReordered,
-    /// Whether callers must be equal.
+    /// `equal_callers` changed.
     EqualCallers {
         /// The new value.
         now: bool,
     },
-    /// The state wanted of a target; `None` where there is no such target.
-    Wanted {
+    /// The desired state of a target changed; `None` if the target does not exist.
+    #[serde(rename = "wanted")]
+    DesiredState {
         /// The target.
         target: String,
-        /// What was wanted.
+        /// The old state.
         old: Option<DesiredState>,
-        /// What is wanted.
+        /// The new state.
         new: Option<DesiredState>,
     },
-    /// How many targets are wanted to serve a shard.
+    /// The number of targets that should serve a shard changed.
     Replicas {
         /// The shard.
         shard: ShardName,
-        /// How many were.
+        /// The old number.
         old: usize,
-        /// How many are.
+        /// The new number.
         new: usize,
     },
 }
 
-/// All changes: entries first, then what they bring about.
+/// All changes: entries first, then their effects.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Outcome {
     /// The changes.
     pub changes: Vec<ConfigChange>,
 }
 
-/// Everything that changes from `old` to `new`.
+/// Computes all changes from `old` to `new`.
 pub fn diff(old: ConfigView<'_>, new: ConfigView<'_>) -> Outcome {
     let mut changes = Vec::new();
     let (before, after) = (entries(old), entries(new));
@@ -129,12 +132,12 @@
     if old.rules.equal_callers != new.rules.equal_callers {
         changes.push(ConfigChange::EqualCallers { now: new.rules.equal_callers });
     }
-    changes.extend(wanted_changes(old, new));
+    changes.extend(desired_state_changes(old, new));
     changes.extend(replica_changes(old, new));
     Outcome { changes }
 }
 
-/// Each key of an entry, as TOML.
+/// Values of an entry as TOML, by key.
 type EntryFields = BTreeMap<String, String>;
 
 fn entries(view: ConfigView<'_>) -> BTreeMap<(EntryKind, &str), EntryFields> {
@@ -162,7 +165,7 @@
     table.into_iter().map(|(key, value)| (key, value.to_string())).collect()
 }
 
-/// Stands for a key that an entry doesn't have.
+/// Shown for an absent value.
 const ABSENT: &str = "-";
 
 fn changed_fields(
@@ -174,8 +177,9 @@
     let mut fields = Vec::new();
     let added = new.keys().filter(|key| !old.contains_key(*key));
     for key in old.keys().chain(added) {
-        let of = |side: &EntryFields| side.get(key).cloned().unwrap_or_else(|| ABSENT.to_owned());
-        let (old, new) = (of(old), of(new));
+        let value =
+            |side: &EntryFields| side.get(key).cloned().unwrap_or_else(|| ABSENT.to_owned());
+        let (old, new) = (value(old), value(new));
         if old != new {
             fields.push(FieldChange { key: key.clone(), old, new });
         }
@@ -186,26 +190,26 @@
 
 fn is_reordered(old: &RuleSet, new: &RuleSet) -> bool {
     let names_in = |one: &RuleSet, other: &RuleSet| -> Vec<String> {
-        let stays = |name: &String| other.rules.iter().any(|rule| rule.name == *name);
-        one.rules.iter().map(|rule| rule.name.clone()).filter(stays).collect()
+        let is_kept = |name: &String| other.rules.iter().any(|rule| rule.name == *name);
+        one.rules.iter().map(|rule| rule.name.clone()).filter(is_kept).collect()
     };
     names_in(old, new) != names_in(new, old)
 }
 
-fn wanted_states(view: ConfigView<'_>) -> BTreeMap<&str, DesiredState> {
-    let decisions = wanted(view.inventory, view.rules);
+fn desired_states(view: ConfigView<'_>) -> BTreeMap<&str, DesiredState> {
+    let decisions = decide(view.inventory, view.rules);
     let targets = view.inventory.targets.iter();
     targets.zip(decisions).map(|(target, decision)| (&*target.name, decision.state)).collect()
 }
 
-fn wanted_changes(old: ConfigView<'_>, new: ConfigView<'_>) -> Vec<ConfigChange> {
-    let (before, after) = (wanted_states(old), wanted_states(new));
+fn desired_state_changes(old: ConfigView<'_>, new: ConfigView<'_>) -> Vec<ConfigChange> {
+    let (before, after) = (desired_states(old), desired_states(new));
     let added = after.keys().filter(|target| !before.contains_key(*target));
     let mut changes = Vec::new();
     for &target in before.keys().chain(added) {
         let (old, new) = (before.get(target).copied(), after.get(target).copied());
         if old != new {
-            changes.push(ConfigChange::Wanted { target: target.to_owned(), old, new });
+            changes.push(ConfigChange::DesiredState { target: target.to_owned(), old, new });
         }
     }
     changes
@@ -213,7 +217,7 @@
 
 fn serving_counts(view: ConfigView<'_>) -> BTreeMap<&ShardName, usize> {
     let mut counts = BTreeMap::new();
-    let decisions = wanted(view.inventory, view.rules);
+    let decisions = decide(view.inventory, view.rules);
     for (target, decision) in view.inventory.targets.iter().zip(decisions) {
         for shard in &target.shards {
             *counts.entry(shard).or_default() += usize::from(decision.state == DesiredState::Serve);
@@ -227,8 +231,8 @@
     let added = after.keys().filter(|shard| !before.contains_key(*shard));
     let mut changes = Vec::new();
     for &shard in before.keys().chain(added) {
-        let of = |side: &BTreeMap<&ShardName, usize>| side.get(shard).copied().unwrap_or(0);
-        let (old, new) = (of(&before), of(&after));
+        let count = |side: &BTreeMap<&ShardName, usize>| side.get(shard).copied().unwrap_or(0);
+        let (old, new) = (count(&before), count(&after));
         if old != new {
             changes.push(ConfigChange::Replicas { shard: shard.clone(), old, new });
         }
@@ -236,7 +240,7 @@
     changes
 }
 
-fn show_state(state: Option<DesiredState>) -> &'static str {
+fn format_state(state: Option<DesiredState>) -> &'static str {
     state.map_or(ABSENT, <&str>::from)
 }
 
@@ -254,8 +258,8 @@
             }
             Self::RulesReordered => write!(f, "~ rules have another order"),
             Self::EqualCallers { now } => write!(f, "~ equal_callers: {now}"),
-            Self::Wanted { target, old, new } => {
-                write!(f, "> {target}: {} -> {}", show_state(*old), show_state(*new))
+            Self::DesiredState { target, old, new } => {
+                write!(f, "> {target}: {} -> {}", format_state(*old), format_state(*new))
             }
             Self::Replicas { shard, old, new } => {
                 write!(f, "> {shard}: {old} -> {new} serving")
--- a/crates/hawthorn-intent/src/document.rs
+++ b/crates/hawthorn-intent/src/document.rs
@@ -1,7 +1,7 @@
 //! The configuration as one value in the platform's store.
 //!
-//! Inventory and rules change together, by compare-and-swap: a reader never
-//! sees the one without the other.
+//! Inventory and rules are replaced together by compare-and-swap, so a reader never sees them from
+//! different revisions.
 
 use hawthorn_types::ConfigRevision;
 use quick_error::quick_error;
@@ -9,42 +9,42 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_128;
 
-/// The largest value that the platform's store takes, in bytes.
+/// Maximum size of a value in the platform's store, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// One revision of the operators' configuration, JSON in the store.
+/// One revision of the operators' configuration. Stored as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigDocument {
-    /// The revision; one more than its parent's.
+    /// The revision, which is that of the parent plus one.
     pub revision: ConfigRevision,
-    /// Names the edit. Chosen by the editor before the write, so that a write
-    /// whose answer was lost can be told from a race that was lost.
+    /// Identifies the edit. Chosen by the editor before the write, so that a write whose response
+    /// was lost can be distinguished from a conflict with another edit.
     pub edit_id: String,
-    /// Who made the edit.
+    /// The author of the edit.
     pub author: String,
-    /// When, in milliseconds since 1970 by the author's clock; for people only.
+    /// Time of the edit in milliseconds since the Unix epoch, by the author's clock. Informational.
     pub changed_at: u64,
-    /// The edit that this one was made on; none for the first.
+    /// The edit that this one is based on; `None` for the first.
     #[serde(default)]
     pub parent: Option<String>,
-    /// The text of `inventory.toml`.
+    /// Contents of `inventory.toml`.
     pub inventory: String,
-    /// The text of `rules.toml`.
+    /// Contents of `rules.toml`.
     pub rules: String,
 }
 
 quick_error! {
-    /// Why a document can't be read or written.
+    /// Errors of reading or writing a document.
     #[derive(Debug)]
     pub enum Error {
-        /// Not the JSON of a document.
+        /// Not a valid JSON document.
         Json(err: serde_json::Error) {
             display("not a configuration document: {err}")
             source(err)
             from()
         }
-        /// Larger than the store takes.
+        /// The document exceeds [`MAX_VALUE_BYTES`].
         TooLarge(bytes: usize) {
             display("the document has {bytes} bytes, the store takes {MAX_VALUE_BYTES}")
         }
@@ -52,7 +52,11 @@
 }
 
 impl ConfigDocument {
-    /// The JSON to write to the store.
+    /// Serializes the document for the store.
+    ///
+    /// # Errors
+    ///
+    /// If the JSON is larger than [`MAX_VALUE_BYTES`].
     pub fn to_json(&self) -> Result<String, Error> {
         let json = serde_json::to_string(self)?;
         if json.len() > MAX_VALUE_BYTES {
@@ -61,16 +65,20 @@
         Ok(json)
     }
 
-    /// The document in `json`, as read from the store or a peer.
+    /// Parses a document read from the store or received from a peer.
+    ///
+    /// # Errors
+    ///
+    /// If `json` is not a valid document.
     pub fn from_json(json: &str) -> Result<Self, Error> {
         Ok(serde_json::from_str(json)?)
     }
 
-    /// Tells two documents apart, of one revision too: daemons compare it in
-    /// heartbeats. Not for keeping out forgers.
+    /// Hash by which daemons detect in heartbeats that they have different documents, even of the
+    /// same revision. Not cryptographic.
     ///
-    /// Each part is preceded by its length, so that moving text from one part
-    /// to the next gives another hash.
+    /// Each part is prefixed with its length, so that moving text from one part to the next changes
+    /// the hash.
     pub fn hash(&self) -> u128 {
         let mut bytes = Vec::with_capacity(self.inventory.len() + self.rules.len());
         bytes.extend(self.revision.0.to_le_bytes());
--- a/crates/hawthorn-intent/src/explain.rs
+++ b/crates/hawthorn-intent/src/explain.rs
@@ -1,4 +1,4 @@
-//! Says why a target is in the state that is wanted of it.
+//! Explains which rules determine the desired state of a target.
 
 use std::fmt;
 
@@ -6,95 +6,99 @@
 use quick_error::quick_error;
 use serde::Serialize;
 
+use crate::desired_state::DecisionCause;
+use crate::desired_state::StateDecision;
+use crate::desired_state::decide;
 use crate::inventory::Inventory;
 use crate::inventory::TargetEntry;
 use crate::rules::RuleSet;
-use crate::wanted::WantedCause;
-use crate::wanted::WantedDecision;
-use crate::wanted::wanted;
 
 quick_error! {
-    /// Why there is nothing to explain.
+    /// Errors of [`explain`].
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Error {
-        /// Neither a target nor an asset of that name.
+        /// No target and no asset has this name.
         UnknownTarget(name: String) {
             display("the inventory has no target and no asset named {name:?}")
         }
     }
 }
 
-/// One rule that matches the target.
+/// A rule that matches the target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct MatchedRule {
-    /// Its name.
+    /// The name of the rule.
     pub name: String,
-    /// What it wants.
+    /// The state that it sets.
     pub wanted: DesiredState,
-    /// Its priority.
+    /// The priority.
     pub priority: i32,
-    /// How many replicas it keeps, if any.
+    /// Number of serving targets that it keeps for each shard.
     pub replicas: Option<u32>,
-    /// Why it is there.
+    /// The reason given by operators.
     pub reason: String,
 }
 
-/// One shard of the target, and the other targets that hold it.
+/// A shard of the target and the other targets that hold it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ShardPeers {
     /// The shard.
     pub shard: String,
-    /// The others, each with the state wanted of it.
+    /// The other targets and their desired states.
     pub peers: Vec<(String, DesiredState)>,
 }
 
-/// What decided in the end.
+/// What determined the desired state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, strum::Display)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum DecisionBasis {
-    /// The first of the matched rules.
+    /// The first matching rule.
     Rule,
-    /// The first of the matched rules, which keeps this one for a shard's replicas.
+    /// The first matching rule has `replicas`, and a shard needs this target.
     KeptReplica,
-    /// No rule: spare targets are off.
+    /// No rule matches; spare targets are off.
     SpareDefault,
-    /// No rule: other targets serve.
+    /// No rule matches; targets that are not spare serve.
     ServeDefault,
 }
 
-/// Why a target is in its wanted state.
+/// Explanation of a target's desired state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Explanation {
     /// The target.
     pub target: String,
-    /// Its number in the asset register.
+    /// Asset number in the asset register.
     pub asset: String,
-    /// Its service.
+    /// The service.
     pub service: String,
-    /// Its zone.
+    /// The zone.
     pub zone: String,
-    /// Whether it is a spare one.
+    /// Whether it is spare hardware.
     pub spare: bool,
-    /// The state wanted of it.
+    /// The desired state.
     pub wanted: DesiredState,
-    /// What decided.
+    /// What determined it.
     pub basis: DecisionBasis,
-    /// Every rule that matches, the one that decided first.
+    /// All matching rules, the one that applies first.
     pub matched: Vec<MatchedRule>,
-    /// Its shards.
+    /// The shards that it holds.
     pub shards: Vec<ShardPeers>,
 }
 
-/// Explains the target of that name, or the one with that asset number.
+/// Explains the desired state of the target with the given name or asset number.
+///
+/// # Errors
+///
+/// If the inventory has no such target.
 pub fn explain(inventory: &Inventory, rules: &RuleSet, name: &str) -> Result<Explanation, Error> {
-    let position = |key: fn(&TargetEntry) -> &String| {
+    let find_by = |key: fn(&TargetEntry) -> &String| {
         inventory.targets.iter().position(|target| key(target) == name)
     };
-    let index = position(|target| &target.name)
-        .or_else(|| position(|target| &target.asset))
+    let index = find_by(|target| &target.name)
+        .or_else(|| find_by(|target| &target.asset))
         .ok_or_else(|| Error::UnknownTarget(name.to_owned()))?;
-    let decisions = wanted(inventory, rules);
+    let decisions = decide(inventory, rules);
     let target = &inventory.targets[index];
     let decision = &decisions[index];
     Ok(Explanation {
@@ -110,12 +114,12 @@
     })
 }
 
-fn basis(cause: WantedCause) -> DecisionBasis {
+fn basis(cause: DecisionCause) -> DecisionBasis {
     match cause {
-        WantedCause::Rule(_) => DecisionBasis::Rule,
-        WantedCause::KeptReplica(_) => DecisionBasis::KeptReplica,
-        WantedCause::SpareDefault => DecisionBasis::SpareDefault,
-        WantedCause::ServeDefault => DecisionBasis::ServeDefault,
+        DecisionCause::Rule(_) => DecisionBasis::Rule,
+        DecisionCause::KeptReplica(_) => DecisionBasis::KeptReplica,
+        DecisionCause::SpareDefault => DecisionBasis::SpareDefault,
+        DecisionCause::ServeDefault => DecisionBasis::ServeDefault,
     }
 }
 
@@ -132,14 +136,14 @@
 
 fn shard_peers(
     inventory: &Inventory,
-    decisions: &[WantedDecision],
+    decisions: &[StateDecision],
     target: &TargetEntry,
 ) -> Vec<ShardPeers> {
     let peers_of = |shard| {
         let all = inventory.targets.iter().zip(decisions);
         let others = all.filter(|(other, _)| other.name != target.name);
-        let holding = others.filter(|(other, _)| other.shards.contains(shard));
-        holding.map(|(other, decision)| (other.name.clone(), decision.state)).collect()
+        let holders = others.filter(|(other, _)| other.shards.contains(shard));
+        holders.map(|(other, decision)| (other.name.clone(), decision.state)).collect()
     };
     let shards = target.shards.iter();
     shards.map(|shard| ShardPeers { shard: shard.0.clone(), peers: peers_of(shard) }).collect()
--- a/crates/hawthorn-intent/src/fault.rs
+++ b/crates/hawthorn-intent/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults found in the operators' files: what, where, found and expected.
+//! Faults found in the operators' files.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 use strum::EnumIter;
 use strum::IntoStaticStr;
 
-/// The file that a fault was found in.
+/// A file that can have faults.
 #[derive(
     Clone,
     Copy,
@@ -23,7 +23,7 @@
     IntoStaticStr,
 )]
 pub enum ConfigFile {
-    /// The settings of one daemon.
+    /// Settings of one daemon.
     #[serde(rename = "daemon.toml")]
     #[strum(serialize = "daemon.toml")]
     Settings,
@@ -37,7 +37,7 @@
     Rules,
 }
 
-/// What is wrong.
+/// The kind of a fault.
 #[derive(
     Clone,
     Copy,
@@ -57,55 +57,55 @@
 pub enum FaultKind {
     /// The text is not TOML.
     Syntax,
-    /// The file is larger than the platform's store takes.
+    /// The configuration exceeds the maximum size of a value in the platform's store.
     TooLarge,
-    /// No such key.
+    /// The key does not exist.
     UnknownKey,
-    /// A key that must be there is not.
+    /// A required key is absent.
     MissingKey,
-    /// The value has another type, such as a number for a string.
+    /// The value has the wrong type, such as a number instead of a string.
     WrongType,
-    /// A duration without a unit, or with one that is not known.
+    /// A duration without a unit or with an unknown one.
     WrongUnit,
-    /// The value is outside its limits.
+    /// The value is not within its limits.
     OutOfRange,
-    /// A word that is not one of those allowed.
+    /// The value is not one of the allowed words.
     UnknownWord,
-    /// A name is empty or has characters that names may not have.
+    /// A name is empty, too long or has invalid characters.
     BadName,
-    /// An address is not a usable `IP:PORT`.
+    /// An address is not a valid `IP:PORT`.
     BadAddress,
-    /// Two entries claim one name, asset or address.
+    /// Two entries have the same name, asset or address.
     Duplicate,
-    /// A name that nothing bears.
+    /// A reference to a name that does not exist.
     DanglingName,
-    /// A shard would be left without a target that serves it.
+    /// No target would serve a shard.
     NoServingReplica,
     /// A rule matches no target.
     NeverMatches,
-    /// Other rules decide every target that a rule matches.
+    /// Other rules take precedence for all targets that a rule matches.
     NeverDecides,
-    /// All targets that serve a shard are in one zone.
+    /// All targets that serve a shard are in the same zone.
     OneZone,
-    /// No caller is named, so every request would be refused.
+    /// No caller is listed, so every request would be rejected.
     NoCallers,
-    /// A caller would be ahead of another although all are to be equal.
+    /// Callers have different weights although `equal_callers` is set.
     UnequalCallers,
 }
 
-/// Whether a fault stops the configuration from being accepted.
+/// The severity of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Display)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum FaultSeverity {
-    /// Refused.
+    /// The configuration is rejected.
     Error,
-    /// Accepted, and shown.
+    /// Reported, but the configuration is accepted.
     Warning,
 }
 
 impl FaultKind {
-    /// Whether a fault of this kind stops the configuration from being accepted.
+    /// The severity of faults of this kind.
     pub fn severity(self) -> FaultSeverity {
         match self {
             Self::NeverMatches | Self::NeverDecides | Self::OneZone | Self::NoCallers => {
@@ -116,25 +116,25 @@
     }
 }
 
-/// One fault in one file.
+/// A fault in a file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ConfigFault {
     /// The file.
     pub file: ConfigFile,
-    /// The key, as `target[3].zone`, counted from 0; empty for the whole file.
+    /// Path of the key, such as `target[3].zone` with indices from 0; empty for the entire file.
     pub path: String,
-    /// The line, counted from 1, when known.
+    /// The line, counted from 1, if known.
     pub line: Option<u32>,
-    /// What is wrong.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// What the file says.
+    /// What was found.
     pub found: String,
-    /// What it should say.
+    /// What was expected.
     pub expected: String,
 }
 
 impl ConfigFault {
-    /// Whether the configuration is refused for it.
+    /// Whether the configuration is rejected because of this fault.
     pub fn is_error(&self) -> bool {
         self.kind.severity() == FaultSeverity::Error
     }
--- a/crates/hawthorn-intent/src/field.rs
+++ b/crates/hawthorn-intent/src/field.rs
@@ -1,4 +1,4 @@
-//! How one TOML value becomes a typed field, and how it is named when it can't.
+//! Conversion of TOML values to typed fields, and their formatting in messages.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,15 +11,19 @@
 use crate::fault::FaultKind;
 use crate::unit;
 
-/// A type that a key of the operators' files may have.
+/// Type of a key in the operators' files.
 pub trait FieldValue: Sized {
-    /// What a good value looks like, for messages.
+    /// Description of valid values for messages.
     const EXPECTED: &'static str;
 
-    /// The value, or what is wrong with it.
+    /// Converts a TOML value.
+    ///
+    /// # Errors
+    ///
+    /// The kind of fault if the value is invalid.
     fn read(value: &DeValue<'_>) -> Result<Self, FaultKind>;
 
-    /// The value as operators write it, for messages.
+    /// Formats the value as operators write it, for messages.
     fn show(&self) -> String;
 }
 
@@ -95,8 +99,8 @@
 impl FieldValue for Duration {
     const EXPECTED: &'static str = unit::EXPECTED;
 
-    /// A bare number is a fault of the unit, not of the type: `50` for `"50ms"`
-    /// is the slip that operators make.
+    /// A bare number is reported as a wrong unit and not as a wrong type, since `50` instead of
+    /// `"50ms"` is a common mistake.
     fn read(value: &DeValue<'_>) -> Result<Self, FaultKind> {
         if value.is_integer() || value.is_float() {
             return Err(FaultKind::WrongUnit);
@@ -145,17 +149,17 @@
     }
 }
 
-/// Shows a TOML value as the operator wrote it, cut to one short line.
-pub struct ShownValue<'v, 'i>(pub &'v DeValue<'i>);
+/// Displays a TOML value on one line, shortened if it is long.
+pub struct ValueExcerpt<'v, 'i>(pub &'v DeValue<'i>);
 
-/// Longest string of a file that a message repeats, in characters.
-const SHOWN_CHARS: usize = 60;
+/// Maximum length of a string shown in a message, in characters.
+const MAX_EXCERPT_CHARS: usize = 60;
 
-impl fmt::Display for ShownValue<'_, '_> {
+impl fmt::Display for ValueExcerpt<'_, '_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
-            DeValue::String(text) if text.chars().count() > SHOWN_CHARS => {
-                let start: String = text.chars().take(SHOWN_CHARS).collect();
+            DeValue::String(text) if text.chars().count() > MAX_EXCERPT_CHARS => {
+                let start: String = text.chars().take(MAX_EXCERPT_CHARS).collect();
                 write!(f, "{start:?}...")
             }
             DeValue::String(text) => write!(f, "{text:?}"),
--- a/crates/hawthorn-intent/src/glob.rs
+++ b/crates/hawthorn-intent/src/glob.rs
@@ -1,14 +1,13 @@
-//! Patterns for names in rules: `*` stands for any run of characters, `?` for one.
+//! Wildcard patterns in rules: `*` matches any number of characters, `?` exactly one.
 
 use std::str::Chars;
 
-/// Whether the whole of `text` is of the form `pattern`.
+/// Whether `pattern` matches all of `text`.
 ///
-/// Keeps the last `*` only, so the time is at most the product of the lengths
-/// and no pattern can make it explode.
+/// Backtracks to the last `*` only, so the time is bounded by the product of both lengths.
 pub fn matches(pattern: &str, text: &str) -> bool {
     let (mut pattern, mut text) = (pattern.chars(), text.chars());
-    // The pattern after the last star, and the text from which it is tried next.
+    // The pattern after the last `*`, and the text at which to retry it.
     let mut retry: Option<(Chars<'_>, Chars<'_>)> = None;
     loop {
         let after = pattern.as_str();
@@ -19,7 +18,7 @@
         }
         match (pattern.next(), text.next()) {
             (None, None) => return true,
-            (Some(wanted), Some(found)) if wanted == '?' || wanted == found => {}
+            (Some(expected), Some(found)) if expected == '?' || expected == found => {}
             _ => {
                 let Some((rest, start)) = &mut retry else { return false };
                 if start.next().is_none() {
--- a/crates/hawthorn-intent/src/import.rs
+++ b/crates/hawthorn-intent/src/import.rs
@@ -1,8 +1,8 @@
-//! Asset register (CSV) to inventory: the register says what hardware there
-//! is, the base inventory says which zones and services there are.
+//! Converts the asset register (CSV) to an inventory: the register lists the hardware, a base
+//! inventory defines zones and services.
 //!
-//! A row that can't become a target is skipped with every reason why; nothing
-//! is guessed, and the rest is taken.
+//! An invalid row is skipped and reported with all reasons; the other rows are imported. Missing
+//! values are never guessed.
 
 use std::collections::HashSet;
 use std::fmt;
@@ -23,26 +23,26 @@
 use crate::inventory::shard_number;
 use crate::settings::is_reachable;
 
-/// What the register's columns are called, and what its states mean.
+/// Names of the register's columns and of the statuses that are imported.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Column of the asset's number.
+    /// Column of the asset number.
     pub asset: String,
-    /// Column of the target's name.
+    /// Column of the target name.
     pub name: String,
     /// Column of the service.
     pub service: String,
     /// Column of the zone.
     pub zone: String,
-    /// Column of the address, `IP:PORT`.
+    /// Column of the address, as `IP:PORT`.
     pub address: String,
-    /// Column of the shards, with spaces between.
+    /// Column of the shards, separated by spaces.
     pub shards: String,
-    /// Column of the asset's status.
+    /// Column of the asset status.
     pub status: String,
-    /// Column of slots, which may be empty or absent.
+    /// Column of the slots. Optional.
     pub slots: String,
-    /// Column of connections, which may be empty or absent.
+    /// Column of the connections. Optional.
     pub connections: String,
     /// Status of assets in use.
     pub in_use: String,
@@ -68,20 +68,20 @@
     }
 }
 
-/// Why a row is not a target.
+/// Why a row was skipped.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum SkipReason {
-    /// The row is not CSV.
+    /// The row is not valid CSV.
     #[strum(to_string = "not CSV: {0}")]
     Malformed(String),
     /// The asset is neither in use nor spare.
     #[strum(to_string = "status {0:?}")]
     Status(String),
-    /// A column that must have a value has none.
+    /// A required column is empty.
     #[strum(to_string = "no {0}")]
     Missing(String),
-    /// Not a name.
+    /// Not a valid name.
     #[strum(to_string = "not a name: {0:?}")]
     BadName(String),
     /// The base inventory has no such zone.
@@ -96,25 +96,25 @@
     /// The row names a shard twice.
     #[strum(to_string = "shard {0:?} twice")]
     RepeatedShard(String),
-    /// Not an IP number with a port.
+    /// Not a valid `IP:PORT`.
     #[strum(to_string = "not an IP number with a port: {0:?}")]
     BadAddress(String),
     /// Not a number within the limits.
     #[strum(to_string = "not a number within the limits: {0:?}")]
     BadNumber(String),
-    /// An earlier row has the same.
+    /// An earlier row has the same name, asset or address.
     #[strum(to_string = "{0:?} is in an earlier row")]
     Duplicate(String),
 }
 
-/// One row that was not taken.
+/// A skipped row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct SkippedRow {
-    /// Its line in the register, counted from 1.
+    /// The line in the register, counted from 1.
     pub line: u64,
-    /// Its asset number, as far as it can be read.
+    /// The asset number as read; empty if it is absent or the row is not valid CSV.
     pub asset: String,
-    /// Every reason.
+    /// All reasons.
     pub reasons: Vec<SkipReason>,
 }
 
@@ -125,33 +125,33 @@
     }
 }
 
-/// What the import gave.
+/// Result of an import.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// Zones and services of the base inventory, targets of the register.
+    /// Zones and services of the base inventory with the targets of the register.
     pub inventory: Inventory,
-    /// The same as the text of an `inventory.toml`.
+    /// The inventory as `inventory.toml`.
     pub toml: String,
-    /// The rows that were not taken.
+    /// The skipped rows.
     pub skipped: Vec<SkippedRow>,
-    /// Columns of the register that mean nothing here.
+    /// Columns of the register that were ignored.
     pub ignored_columns: Vec<String>,
 }
 
 quick_error! {
-    /// Why nothing was imported at all.
+    /// Errors that prevent an import.
     #[derive(Debug)]
     pub enum Error {
-        /// The header row can't be read.
+        /// The header row is invalid.
         Header(err: csv::Error) {
             display("the register's header can't be read: {err}")
             source(err)
         }
-        /// Columns that must be there are not.
+        /// Required columns are absent.
         MissingColumns(names: Vec<String>) {
             display("the register has no column {}", names.join(", "))
         }
-        /// The inventory can't be written as TOML.
+        /// The inventory could not be serialized.
         Toml(err: toml::ser::Error) {
             display("the inventory can't be written: {err}")
             source(err)
@@ -160,17 +160,22 @@
     }
 }
 
-/// Imports the register in `csv`; zones and services come from `base`.
+/// Imports the register in `csv`. Zones and services are taken from `base`.
+///
+/// # Errors
+///
+/// If the header is invalid or lacks a required column, or if the inventory cannot be serialized.
+/// Invalid rows are not errors.
 pub fn import(csv: &str, base: &Inventory, options: &Options) -> Result<Outcome, Error> {
     let mut reader =
         csv::ReaderBuilder::new().flexible(true).trim(csv::Trim::All).from_reader(csv.as_bytes());
     let header = reader.headers().map_err(Error::Header)?.clone();
     check_header(&header, options)?;
-    let mut rows = RegisterRows { base, options, header: &header, claimed: HashSet::new() };
+    let mut importer = RowImporter { base, options, header: &header, used_values: HashSet::new() };
     let mut inventory = Inventory { targets: Vec::new(), ..base.clone() };
     let mut skipped = Vec::new();
     for row in reader.records() {
-        match row.map_err(|err| malformed(&err)).and_then(|row| rows.target(&row)) {
+        match row.map_err(|err| malformed(&err)).and_then(|row| importer.target(&row)) {
             Ok(target) => inventory.targets.push(target),
             Err(row) => skipped.push(row),
         }
@@ -220,15 +225,15 @@
     ignored.map(str::to_owned).collect()
 }
 
-/// The rows of one register, and what earlier ones claimed.
-struct RegisterRows<'r> {
+/// Converts rows; keeps the unique values of earlier ones to detect duplicates.
+struct RowImporter<'r> {
     base: &'r Inventory,
     options: &'r Options,
     header: &'r StringRecord,
-    claimed: HashSet<(&'r str, String)>,
+    used_values: HashSet<(&'r str, String)>,
 }
 
-impl<'r> RegisterRows<'r> {
+impl<'r> RowImporter<'r> {
     fn target(&mut self, row: &StringRecord) -> Result<TargetEntry, SkippedRow> {
         let options = self.options;
         let mut cells = RowCells { header: self.header, row, reasons: Vec::new() };
@@ -247,7 +252,7 @@
         let mut reasons = cells.reasons;
         self.check_names(&target, &mut reasons);
         if reasons.is_empty() {
-            self.claim(&target, &mut reasons);
+            self.check_unique(&target, &mut reasons);
         }
         if reasons.is_empty() {
             return Ok(target);
@@ -272,23 +277,24 @@
         reasons.extend(unknown.map(|shard| SkipReason::UnknownShard(shard.0.clone())));
     }
 
-    /// Only a row that is taken claims its name, asset and address.
-    fn claim(&mut self, target: &TargetEntry, reasons: &mut Vec<SkipReason>) {
+    /// Checks that name, asset and address are not used by an earlier row. Those of skipped rows
+    /// are not recorded.
+    fn check_unique(&mut self, target: &TargetEntry, reasons: &mut Vec<SkipReason>) {
         let options = self.options;
-        let claims = [
+        let values = [
             (&*options.asset, target.asset.clone()),
             (&*options.name, target.name.clone()),
             (&*options.address, target.address.to_string()),
         ];
-        let earlier = claims.iter().filter(|claim| self.claimed.contains(*claim));
-        reasons.extend(earlier.map(|(_, value)| SkipReason::Duplicate(value.clone())));
+        let duplicates = values.iter().filter(|value| self.used_values.contains(*value));
+        reasons.extend(duplicates.map(|(_, value)| SkipReason::Duplicate(value.clone())));
         if reasons.is_empty() {
-            self.claimed.extend(claims);
+            self.used_values.extend(values);
         }
     }
 }
 
-/// The cells of one row by their column, and what is wrong with them.
+/// Reads the cells of a row by column and collects reasons to skip it.
 struct RowCells<'r> {
     header: &'r StringRecord,
     row: &'r StringRecord,
@@ -297,8 +303,8 @@
 
 impl<'r> RowCells<'r> {
     fn cell(&self, column: &str) -> &'r str {
-        let place = self.header.iter().position(|name| name == column);
-        place.and_then(|place| self.row.get(place)).unwrap_or_default()
+        let index = self.header.iter().position(|name| name == column);
+        index.and_then(|index| self.row.get(index)).unwrap_or_default()
     }
 
     fn required(&mut self, column: &str) -> &'r str {
@@ -350,9 +356,9 @@
         shards
     }
 
-    fn number(&mut self, column: &str, most: u32) -> Option<u32> {
+    fn number(&mut self, column: &str, max: u32) -> Option<u32> {
         let cell = self.cell(column);
-        let number = cell.parse().ok().filter(|number| (1..=most).contains(number));
+        let number = cell.parse().ok().filter(|number| (1..=max).contains(number));
         if number.is_none() && !cell.is_empty() {
             self.reasons.push(SkipReason::BadNumber(cell.to_owned()));
         }
--- a/crates/hawthorn-intent/src/inventory.rs
+++ b/crates/hawthorn-intent/src/inventory.rs
@@ -1,5 +1,5 @@
-//! The inventory, `inventory.toml`: zones, services and targets, drawn from the
-//! asset register.
+//! The inventory, `inventory.toml`: zones, services and targets. It can be generated from the asset
+//! register.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,16 +20,16 @@
 use crate::source::TableReader;
 use crate::unit::UnitDuration;
 
-/// Most shards of one service.
+/// Maximum number of shards of a service.
 pub const MAX_SHARDS: u32 = 65_536;
-/// Most slots of one target.
+/// Maximum number of slots of a target.
 pub const MAX_SLOTS: u32 = 4_096;
-/// Most connections that one target takes.
+/// Maximum number of connections to a target.
 pub const MAX_CONNECTIONS: u32 = 65_536;
-/// Longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// Everything operators own, whether it is switched on or not.
+/// All zones, services and targets, whether switched on or off.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Inventory {
     /// The availability zones.
@@ -46,86 +46,86 @@
 /// One availability zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ZoneEntry {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// The region that it is in.
+    /// The region that the zone is in.
     pub region: String,
 }
 
-/// One service, which is one sharded index.
+/// A service, which is a sharded index.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ServiceEntry {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// How many shards it has.
+    /// Number of shards.
     pub shards: u32,
-    /// How many requests one of its targets works on at once.
+    /// Maximum number of concurrent requests of a target.
     pub slots: u32,
-    /// How many connections one of its targets takes, from all hosts together.
+    /// Maximum number of connections to a target from all hosts together.
     pub connections: u32,
-    /// What a new connection costs.
+    /// Time to open a new connection.
     #[serde_as(as = "UnitDuration")]
     pub connect_cost: Duration,
-    /// How long a target takes from switched on to warm.
+    /// Time that a target takes from power-on until it is warm.
     #[serde_as(as = "UnitDuration")]
     pub cold_start: Duration,
-    /// How much a late answer hurts, when a query doesn't say.
+    /// Urgency of queries that do not set one.
     pub urgency: UrgencyClass,
 }
 
-/// One target, which is one server holding replicas of shards.
+/// A target, which is a server that holds replicas of shards.
 #[skip_serializing_none]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TargetEntry {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its number in the asset register.
+    /// Asset number in the asset register.
     pub asset: String,
     /// The service whose shards it holds.
     pub service: String,
-    /// The availability zone it stands in.
+    /// The availability zone that it is in.
     pub zone: String,
-    /// Where it is reached, HTTP.
+    /// The HTTP address.
     pub address: SocketAddr,
-    /// The shards it holds.
+    /// The shards that it holds.
     pub shards: SmallVec<[ShardName; 2]>,
-    /// Slots, when other than its service's.
+    /// Overrides [`ServiceEntry::slots`].
     pub slots: Option<u32>,
-    /// Connections, when other than its service's.
+    /// Overrides [`ServiceEntry::connections`].
     pub connections: Option<u32>,
-    /// Kept switched off unless a rule says otherwise.
+    /// Whether it is spare hardware, which is off unless a rule sets another state.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub spare: bool,
 }
 
-/// The name of shard `number` of a service with `count` shards: two digits, or
-/// as many as the last one needs.
+/// Name of shard `number` of a service with `count` shards. The number is padded to the width of
+/// the last shard's number and to at least two digits.
 pub fn shard_name(service: &str, number: u32, count: u32) -> ShardName {
     let width = count.saturating_sub(1).to_string().len().max(2);
     ShardName(format!("{service}/{number:0width$}"))
 }
 
-/// The number of the shard named `name`, when `service` has it.
+/// Number of the shard with this name, if it belongs to `service`.
 pub fn shard_number(service: &ServiceEntry, name: &ShardName) -> Option<u32> {
     let (_, digits) = name.0.rsplit_once('/')?;
     let number: u32 = digits.parse().ok()?;
-    let exact =
+    let is_canonical =
         number < service.shards && shard_name(&service.name, number, service.shards) == *name;
-    exact.then_some(number)
+    is_canonical.then_some(number)
 }
 
-/// What reading the inventory gave.
+/// Result of [`read`].
 pub struct Outcome<'i> {
-    /// The inventory, with placeholders where `faults` has an error.
+    /// The inventory; faulty values are replaced by placeholders.
     pub inventory: Inventory,
-    /// Every fault that can be seen in one entry alone.
+    /// All faults that do not involve other entries.
     pub faults: Vec<ConfigFault>,
-    /// The parsed text, for the lines of further faults.
+    /// The parsed file, which provides the lines of faults found later.
     pub source: ConfigSource<'i>,
 }
 
-/// Reads `text` to its end, whatever faults it has.
+/// Parses an inventory and reports all its faults.
 pub fn read(text: &str) -> Outcome<'_> {
     let mut faults = Vec::new();
     let source = ConfigSource::parse(ConfigFile::Inventory, text, &mut faults);
@@ -143,13 +143,13 @@
     ZoneEntry { name: name(reader, "name"), region: name(reader, "region") }
 }
 
-/// What a new connection costs when the inventory doesn't say.
-const USUAL_CONNECT_COST: Duration = Duration::from_millis(6);
-/// How long a cold start takes when the inventory doesn't say.
-const USUAL_COLD_START: Duration = Duration::from_secs(30);
-/// Longest cold start that is not a slip of the pen.
+/// Default of [`ServiceEntry::connect_cost`].
+const DEFAULT_CONNECT_COST: Duration = Duration::from_millis(6);
+/// Default of [`ServiceEntry::cold_start`].
+const DEFAULT_COLD_START: Duration = Duration::from_secs(30);
+/// Maximum cold start. Longer ones are assumed to be typing errors.
 const MAX_COLD_START: Duration = Duration::from_secs(3_600);
-/// Longest connect cost that is not a slip of the pen.
+/// Maximum connect cost. Larger ones are assumed to be typing errors.
 const MAX_CONNECT_COST: Duration = Duration::from_secs(10);
 
 fn service(reader: &mut TableReader<'_, '_>) -> ServiceEntry {
@@ -160,10 +160,14 @@
         connections: reader.required_within("connections", 1..=MAX_CONNECTIONS),
         connect_cost: reader.within(
             "connect_cost",
-            USUAL_CONNECT_COST,
+            DEFAULT_CONNECT_COST,
             Duration::ZERO..=MAX_CONNECT_COST,
         ),
-        cold_start: reader.within("cold_start", USUAL_COLD_START, Duration::ZERO..=MAX_COLD_START),
+        cold_start: reader.within(
+            "cold_start",
+            DEFAULT_COLD_START,
+            Duration::ZERO..=MAX_COLD_START,
+        ),
         urgency: reader.or_default("urgency", UrgencyClass::default()),
     }
 }
@@ -206,19 +210,19 @@
     shards.into_iter().map(|(_, shard)| ShardName(shard)).collect()
 }
 
-/// Whether names may have `c`: names go into paths, hashes and logs unescaped.
+/// Whether `c` is allowed in names, which are used unescaped in paths, hashes and logs.
 fn is_name_char(c: char) -> bool {
     c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.')
 }
 
-/// Whether `name` can be a name.
+/// Whether `name` is a valid name.
 pub(crate) fn is_name(name: &str) -> bool {
     !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(is_name_char)
 }
 
-/// Notes a fault when `name` at `key` can't be a name; an absent one was noted before.
+/// Reports a fault if the name at `key` is invalid. An absent key is reported elsewhere.
 pub(crate) fn check_name(reader: &mut TableReader<'_, '_>, key: &str, name: &str) {
-    if !is_name(name) && reader.has_text(key) {
+    if !is_name(name) && reader.is_string(key) {
         let expected = format!("1 to {MAX_NAME_BYTES} of a-z, A-Z, 0-9, -, _ and .");
         reader.reject(key, FaultKind::BadName, format!("{name:?}"), expected);
     }
--- a/crates/hawthorn-intent/src/lib.rs
+++ b/crates/hawthorn-intent/src/lib.rs
@@ -1,26 +1,28 @@
-//! Inventory and rules, the wanted state of each target, and every fault found in them.
+//! The operators' configuration: parses and checks inventory and rules, derives the desired state
+//! of each target and plans the orders that bring the fleet to it.
 //!
-//! Everything here is a pure function of its arguments: no sockets, no clock,
-//! no files. Texts come in as `&str`, faults and decisions go out as values.
+//! Performs no I/O and reads no clock: files are passed as `&str`, and faults and decisions are
+//! returned as values.
 //!
-//! | module | what it does |
+//! | module | contents |
 //! |---|---|
-//! | [`settings`] | reads `daemon.toml`, the settings of one process |
-//! | [`inventory`] | reads `inventory.toml`: zones, services, targets |
-//! | [`rules`] | reads `rules.toml`: callers and rules |
-//! | [`check`] | finds every fault of all three in one run |
-//! | [`wanted`] | works out the wanted state of each target |
-//! | [`catalog`] | the arenas that a daemon serves from, for one revision |
-//! | [`document`] | the value that the platform's store holds |
-//! | [`explain`] | says which rule decided a target, and what else matched |
-//! | [`diff`] | what changes from one configuration to another |
-//! | [`import`] | asset register (CSV) to inventory |
-//! | [`reconcile`] | what to tell targets so that the fleet matches the intent |
+//! | [`settings`] | parses `daemon.toml`, the settings of one process |
+//! | [`inventory`] | parses `inventory.toml`: zones, services, targets |
+//! | [`rules`] | parses `rules.toml`: callers and rules |
+//! | [`check`] | validates all three files and reports every fault |
+//! | [`desired_state`] | derives the desired state of each target |
+//! | [`catalog`] | immutable arenas of one revision, with integer keys |
+//! | [`document`] | the configuration as stored in the platform's store |
+//! | [`explain`] | which rules determine the desired state of a target |
+//! | [`diff`] | changes between two configurations |
+//! | [`import`] | converts the asset register (CSV) to an inventory |
+//! | [`reconcile`] | plans orders that bring targets to their desired state |
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms)]
 
 pub mod catalog;
 pub mod check;
+pub mod desired_state;
 pub mod diff;
 pub mod document;
 pub mod explain;
@@ -35,7 +37,6 @@
 pub mod settings;
 pub mod source;
 pub mod unit;
-pub mod wanted;
 
 pub use catalog::FleetCatalog;
 pub use document::ConfigDocument;
--- a/crates/hawthorn-intent/src/reconcile/mod.rs
+++ b/crates/hawthorn-intent/src/reconcile/mod.rs
@@ -1,14 +1,13 @@
-//! What to tell targets so that the fleet comes to match the intent.
+//! Plans the orders that bring targets to their desired state.
 //!
-//! One round looks at every target that this host owns, compares what is
-//! wanted with what is seen, and gives out orders (`POST /intent`). A target
-//! on its way out goes on serving until another one is ready for each of its
-//! shards, then drains, and is switched off once nothing runs on it.
+//! A round compares the desired with the observed state of every target that this host owns, and
+//! emits orders (`POST /intent`). A target that is to leave service keeps serving until another one
+//! is ready for each of its shards, then drains, and is switched off when no request runs on it.
 //!
-//! Orders are idempotent: a lost one is given again, two hosts that both
-//! believe they own a target give the same one under one revision.
+//! Orders are idempotent: a lost order is repeated, and two hosts that both believe that they own a
+//! target send the same orders if they have the same revision.
 
-mod memory;
+mod state;
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -23,53 +22,52 @@
 use crate::catalog::FleetCatalog;
 use crate::catalog::TargetRecord;
 
-pub use memory::ReconcileState;
-use memory::TargetMemory;
+pub use state::ReconcileState;
+use state::TargetHistory;
 
-/// What is known of one target.
+/// What is known about a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TargetObservation {
     /// The target.
     pub target: TargetKey,
-    /// The phase it last reported; `None` when it can't be reached.
+    /// The phase that it last reported; `None` if it is unreachable.
     pub phase: Option<TargetPhase>,
-    /// Requests that this host has at the target. Known exactly, unlike what
+    /// Number of requests that this host has in flight to the target. Exact, unlike the number that
     /// the target reports.
     pub in_flight: u32,
-    /// Whether this host owns the target. Another host's target is looked at
-    /// for coverage only, never told anything.
+    /// Whether this host owns the target. Targets of other hosts only count towards coverage and
+    /// receive no orders.
     pub owned: bool,
 }
 
-/// Limits of one round.
+/// Options of the reconciler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Most orders given in one round.
+    /// Maximum number of orders in one round.
     ///
-    /// Load: one edit changes the intent of a whole zone. Harm prevented: all
-    /// its targets connect, load and drain in one moment. At a round a second
-    /// 16 orders reach the 40 targets of a service of today in three rounds.
+    /// Handles edits that change the desired state of an entire zone, whose targets would otherwise
+    /// all connect, load or drain at the same time. With one round per second and 16 orders, the
+    /// 40 targets of a service are reached in three rounds.
     pub orders_per_round: usize,
-    /// The same order is given again after so long without effect: targets
-    /// report late, so a shorter time only repeats what was heard.
+    /// Time after which an order without visible effect is repeated. Targets report with a delay,
+    /// so a shorter time would repeat orders that were received.
     pub retry_after: Duration,
-    /// How long a target drains before it may be switched off, at least: other
-    /// hosts that owned it a moment ago stop within this time.
+    /// Minimum time that a target drains before it is switched off. Hosts that owned it until
+    /// recently stop using it within this time.
     pub drain_time: Duration,
-    /// No target leaves service until that has been wanted here for so long,
-    /// and none counts as ready until it has been wanted to serve, and told
-    /// nothing else, for so long.
+    /// Time for which a state must have been desired before a target leaves service. Also the time
+    /// for which a target must have been desired to serve, without other orders, before it counts
+    /// as ready.
     ///
-    /// Failures guarded against, each of which leaves a shard with no target:
-    /// two hosts at neighbouring revisions each drain the target that the other
-    /// one wants; or the next edit comes while a target that was told to drain
-    /// still reports that it is ready. Must be longer than a revision takes to
-    /// spread, and than an order takes to show.
+    /// Failures, each of which leaves a shard without a target: two hosts at neighbouring revisions
+    /// each drain the target that should serve in the other's revision; or an edit arrives while a
+    /// target that was ordered to drain still reports that it is ready. Must be longer than the
+    /// propagation of a revision and than the time until an order shows in reports.
     pub settle_time: Duration,
-    /// A target waits for so many cold starts of its service until as many
-    /// others are ready for its shards as are wanted to serve them. One cold
-    /// start is what they take, the second is for an order that was lost.
-    pub cold_starts_held: u32,
+    /// Maximum time, in cold starts of its service, that a leaving target is held until all targets
+    /// that should serve its shards are ready. One cold start is needed to warm them up, the second
+    /// allows for a lost order.
+    pub max_hold_cold_starts: u32,
 }
 
 impl Default for Options {
@@ -79,76 +77,77 @@
             retry_after: Duration::from_secs(5),
             drain_time: Duration::from_secs(3),
             settle_time: Duration::from_secs(5),
-            cold_starts_held: 2,
+            max_hold_cold_starts: 2,
         }
     }
 }
 
-/// One order to give: `POST /intent` to the target.
+/// An order to send: `POST /intent` to the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IntentOrder {
     /// The target.
     pub target: TargetKey,
-    /// What to tell it, which is not always what is wanted in the end: a
-    /// target drains before it is switched off.
+    /// The ordered state. It can be an intermediate one: a target drains before it is switched off.
     pub state: DesiredState,
 }
 
-/// Why a target that differs from the intent is not simply told.
+/// Why a target is not in its desired state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Display)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum DriftCause {
-    /// The order goes out in this round.
+    /// The order is sent in this round.
     #[serde(rename = "told")]
     #[strum(serialize = "told")]
     OrderSent,
-    /// The order was given and has had no effect yet.
+    /// The order was sent and has had no effect yet.
     Waiting,
-    /// Loading, on its way to serving or standing by.
+    /// Loading, before it serves or is on standby.
     Warming,
-    /// Goes on serving until others are ready for one of its shards.
+    /// Keeps serving until others are ready for one of its shards.
     HeldForShard,
-    /// Goes on serving until another state has been wanted for a moment.
+    /// Keeps serving until another state has been desired for [`Options::settle_time`].
     Settling,
-    /// Still has requests, or drains for too short a time, to be switched off.
+    /// Cannot be switched off yet: requests are in flight or [`Options::drain_time`] has not
+    /// elapsed.
     Draining,
-    /// The round has given all the orders it may.
+    /// The round has reached [`Options::orders_per_round`].
     RateLimited,
-    /// Can't be reached, so it can't be told or seen to change.
+    /// Unreachable, so orders have no observable effect.
     Unreachable,
 }
 
-/// One target that is not in the state wanted of it.
+/// A target that is not in its desired state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DriftRecord {
     /// The target.
     pub target: TargetKey,
-    /// What is wanted.
+    /// The desired state.
     pub desired: DesiredState,
-    /// What is seen; `None` when it can't be reached.
+    /// The observed phase; `None` if it is unreachable.
     pub observed: Option<TargetPhase>,
-    /// When the difference was first seen, on the clock given to the rounds.
+    /// When the drift was first observed, on the clock of the rounds.
     pub since: Duration,
-    /// Why it lasts.
+    /// The cause of the drift.
     pub cause: DriftCause,
-    /// The shard that it is held for.
+    /// The shard for which it is held.
     pub held_for: Option<ShardKey>,
 }
 
-/// What one round gave.
+/// Result of a round.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Outcome {
-    /// Orders to give, the ones that add to coverage first.
+    /// Orders to send: targets without an earlier order first, and of those the ones that should
+    /// serve first.
     pub orders: Vec<IntentOrder>,
-    /// Every owned target that is not as wanted. A target that is wanted off
-    /// and can't be reached is as wanted.
+    /// All owned targets that are not in their desired state. Unreachable targets that should drain
+    /// or be off count as being in it.
     pub drift: Vec<DriftRecord>,
 }
 
 impl Outcome {
-    /// Targets that still take new work although another state is wanted: they
-    /// are ready and were not told to leave yet.
+    /// Targets that still accept requests although another state is desired: they are ready and
+    /// have not been ordered to leave service yet.
     pub fn held(&self) -> impl Iterator<Item = TargetKey> {
         let held = self.drift.iter().filter(|drift| drift.is_held());
         held.map(|drift| drift.target)
@@ -157,60 +156,63 @@
 
 impl DriftRecord {
     fn is_held(&self) -> bool {
-        let untold = matches!(
+        let is_order_pending = matches!(
             self.cause,
             DriftCause::HeldForShard | DriftCause::Settling | DriftCause::RateLimited
         );
-        self.desired != DesiredState::Serve && untold && self.observed == Some(TargetPhase::Ready)
+        self.desired != DesiredState::Serve
+            && is_order_pending
+            && self.observed == Some(TargetPhase::Ready)
     }
 }
 
-/// Runs one round at `now`, which is time since any fixed moment.
+/// Runs one round at `now`, the time since an arbitrary fixed point.
 ///
-/// A target that `seen` doesn't mention counts as not ready.
+/// Targets without an observation count as not ready.
 pub fn reconcile(
     catalog: &FleetCatalog,
-    seen: &[TargetObservation],
-    memory: &mut ReconcileState,
+    observations: &[TargetObservation],
+    state: &mut ReconcileState,
     now: Duration,
     options: &Options,
 ) -> Outcome {
-    memory.enter(catalog, seen, now);
-    let ready = ready_counts(catalog, seen, memory, now.checked_sub(options.settle_time));
+    state.update(catalog, observations, now);
+    let ready = ready_counts(catalog, observations, state, now.checked_sub(options.settle_time));
     let mut round = Round { catalog, now, options, ready, outcome: Outcome::default() };
-    let mut owned: Vec<&TargetObservation> = seen.iter().filter(|seen| seen.owned).collect();
-    owned.sort_by_cached_key(|seen| {
-        let record = catalog.target(seen.target);
-        (memory.told_at(&record.name), record.desired_state(), seen.target)
+    let mut owned: Vec<&TargetObservation> =
+        observations.iter().filter(|observation| observation.owned).collect();
+    owned.sort_by_cached_key(|observation| {
+        let record = catalog.target(observation.target);
+        (state.last_order_at(&record.name), record.desired_state(), observation.target)
     });
-    for seen in owned {
-        let name = &catalog.target(seen.target).name;
-        let target_memory = memory.targets.get_mut(name);
-        round.visit(seen, target_memory.expect("entered for each owned target"));
+    for observation in owned {
+        let name = &catalog.target(observation.target).name;
+        let history = state.targets.get_mut(name);
+        round.process(observation, history.expect("updated for each owned target"));
     }
     round.outcome
 }
 
-/// How many targets of each shard are ready and wanted to serve.
+/// Number of targets of each shard that are ready and should serve.
 ///
-/// One that is ready but on its way out doesn't count: two targets that leave
-/// together, perhaps told by two hosts, would each be let go for the other's
-/// sake. Nor does one that was told something after `before`: what it reports
-/// may be from before the order.
+/// Ready targets that should leave service do not count: two targets that leave at the same time,
+/// possibly on orders of two hosts, would each be released because of the other. Neither do targets
+/// that received an order after `before`, since their report may be older than the order.
 fn ready_counts(
     catalog: &FleetCatalog,
-    seen: &[TargetObservation],
-    memory: &ReconcileState,
+    observations: &[TargetObservation],
+    state: &ReconcileState,
     before: Option<Duration>,
 ) -> HashMap<ShardKey, usize> {
-    let is_trusted = |seen: &&TargetObservation| {
-        let memory = memory.targets.get(&catalog.target(seen.target).name);
-        let served = memory.zip(before).is_some_and(|(memory, at)| memory.has_served_since(at));
-        !seen.owned || served
+    let is_settled = |observation: &&TargetObservation| {
+        let history = state.targets.get(&catalog.target(observation.target).name);
+        let served = history.zip(before).is_some_and(|(history, at)| history.has_served_since(at));
+        !observation.owned || served
     };
-    let ready = seen.iter().filter(|seen| seen.phase == Some(TargetPhase::Ready));
-    let ready = ready.filter(is_trusted);
-    let records = ready.map(|seen| catalog.target(seen.target));
+    let ready =
+        observations.iter().filter(|observation| observation.phase == Some(TargetPhase::Ready));
+    let ready = ready.filter(is_settled);
+    let records = ready.map(|observation| catalog.target(observation.target));
     let serving = records.filter(|record| record.desired_state() == DesiredState::Serve);
     let mut counts = HashMap::new();
     for &shard in serving.flat_map(|record| &record.shards) {
@@ -219,7 +221,7 @@
     counts
 }
 
-/// One round in work.
+/// A round in progress.
 struct Round<'c> {
     catalog: &'c FleetCatalog,
     now: Duration,
@@ -228,139 +230,143 @@
     outcome: Outcome,
 }
 
-/// What is to be done about one target.
+/// Next step for a target.
 enum TargetStep {
-    /// It is as wanted.
-    Settled,
-    /// Tell it.
-    Tell(DesiredState),
-    /// Nothing can or need be told now.
+    /// It is in its desired state.
+    Converged,
+    /// Order a state.
+    Order(DesiredState),
+    /// No order can or should be sent now.
     Wait(DriftCause),
-    /// It goes on serving for a shard.
+    /// It keeps serving because of a shard.
     Hold(ShardKey),
 }
 
 impl Round<'_> {
-    fn visit(&mut self, seen: &TargetObservation, memory: &mut TargetMemory) {
-        let record = self.catalog.target(seen.target);
-        memory.note_phase(seen.phase, self.now);
-        let step = self.step(record, seen, memory);
+    fn process(&mut self, observation: &TargetObservation, history: &mut TargetHistory) {
+        let record = self.catalog.target(observation.target);
+        history.record_phase(observation.phase, self.now);
+        let step = self.next_step(record, observation, history);
         let (cause, held_for) = match step {
-            TargetStep::Settled => {
-                memory.note_settled();
+            TargetStep::Converged => {
+                history.clear_drift();
                 return;
             }
-            TargetStep::Tell(state) => (self.tell(seen, state, memory), None),
+            TargetStep::Order(ordered) => (self.order(observation, ordered, history), None),
             TargetStep::Wait(cause) => (cause, None),
             TargetStep::Hold(shard) => (DriftCause::HeldForShard, Some(shard)),
         };
         let desired = record.desired_state();
-        let since = memory.note_drift(self.now);
-        let (target, observed) = (seen.target, seen.phase);
+        let since = history.record_drift(self.now);
+        let (target, observed) = (observation.target, observation.phase);
         self.outcome.drift.push(DriftRecord { target, desired, observed, since, cause, held_for });
     }
 
-    fn step(
+    fn next_step(
         &self,
         record: &TargetRecord,
-        seen: &TargetObservation,
-        memory: &TargetMemory,
+        observation: &TargetObservation,
+        history: &TargetHistory,
     ) -> TargetStep {
         use TargetPhase::Cold;
         use TargetPhase::Draining;
         use TargetPhase::Ready;
         use TargetPhase::Standby;
-        match (record.desired_state(), seen.phase) {
+        match (record.desired_state(), observation.phase) {
             (DesiredState::Serve, Some(Ready))
             | (DesiredState::Standby, Some(Standby))
             | (DesiredState::Drain, Some(Draining) | None)
-            | (DesiredState::Off, None) => match memory.other_order(record.desired_state()) {
-                true => TargetStep::Tell(record.desired_state()),
-                false => TargetStep::Settled,
-            },
-            (DesiredState::Serve, Some(Cold)) if memory.was_told(DesiredState::Serve) => {
+            | (DesiredState::Off, None) => {
+                match history.has_conflicting_order(record.desired_state()) {
+                    true => TargetStep::Order(record.desired_state()),
+                    false => TargetStep::Converged,
+                }
+            }
+            (DesiredState::Serve, Some(Cold)) if history.was_ordered(DesiredState::Serve) => {
                 TargetStep::Wait(DriftCause::Warming)
             }
-            (DesiredState::Standby, Some(Cold)) if memory.was_told(DesiredState::Standby) => {
+            (DesiredState::Standby, Some(Cold)) if history.was_ordered(DesiredState::Standby) => {
                 TargetStep::Wait(DriftCause::Warming)
             }
             (DesiredState::Standby | DesiredState::Drain, Some(Ready)) => {
-                self.leave(record, memory, record.desired_state())
+                self.leave_service(record, history, record.desired_state())
             }
             (DesiredState::Serve | DesiredState::Standby, _) => {
-                TargetStep::Tell(record.desired_state())
+                TargetStep::Order(record.desired_state())
+            }
+            (DesiredState::Drain, Some(Cold | Standby)) => TargetStep::Order(DesiredState::Drain),
+            (DesiredState::Off, Some(Ready)) => {
+                self.leave_service(record, history, DesiredState::Drain)
             }
-            (DesiredState::Drain, Some(Cold | Standby)) => TargetStep::Tell(DesiredState::Drain),
-            (DesiredState::Off, Some(Ready)) => self.leave(record, memory, DesiredState::Drain),
-            (DesiredState::Off, Some(Draining)) => self.switch_off(seen, memory),
-            (DesiredState::Off, Some(Cold | Standby)) if seen.in_flight > 0 => {
-                TargetStep::Tell(DesiredState::Drain)
+            (DesiredState::Off, Some(Draining)) => self.switch_off(observation, history),
+            (DesiredState::Off, Some(Cold | Standby)) if observation.in_flight > 0 => {
+                TargetStep::Order(DesiredState::Drain)
             }
-            (DesiredState::Off, Some(Cold | Standby)) => TargetStep::Tell(DesiredState::Off),
+            (DesiredState::Off, Some(Cold | Standby)) => TargetStep::Order(DesiredState::Off),
         }
     }
 
-    /// Takes a ready target out of service once others are ready for each shard.
+    /// Takes a ready target out of service when others are ready for each of its shards.
     ///
-    /// Load: one edit turns new targets on and the old ones off, and the new
-    /// ones load for their cold start. Harm prevented: in between the shard has
-    /// no target, and every answer has a hole; or it has one where two are
-    /// wanted, and with 2 slots urgent requests queue. The hold for the last
-    /// one has no end in time, as a hole in a conflict check is worse than a
-    /// target that stays on; the hold for the full number ends after
-    /// [`Options::cold_starts_held`], as a target that is down for days must not
-    /// keep another on. The drift record shows both with the shard.
-    fn leave(
+    /// Handles edits that switch old targets off and new ones on, which first load for their cold
+    /// start. Meanwhile a shard could have no target, so that every answer is incomplete, or one
+    /// instead of two, so that urgent requests queue for its 2 slots. The last ready target is held
+    /// without a time limit, since an incomplete conflict check is worse than a target that stays
+    /// on. The hold until all are ready ends after [`Options::max_hold_cold_starts`], so that a
+    /// target that is down for days does not keep another one on. Both appear with the shard in the
+    /// drift record.
+    fn leave_service(
         &self,
         record: &TargetRecord,
-        memory: &TargetMemory,
-        state: DesiredState,
+        history: &TargetHistory,
+        ordered: DesiredState,
     ) -> TargetStep {
-        let settled_for = self.now.saturating_sub(memory.wanted_since);
+        let settled_for = self.now.saturating_sub(history.desired_since);
         let cold_start = self.catalog.service(record.service).cold_start;
-        let is_hurried = settled_for >= cold_start * self.options.cold_starts_held;
-        let is_short = |shard: &&ShardKey| {
+        let is_hold_expired = settled_for >= cold_start * self.options.max_hold_cold_starts;
+        let lacks_replicas = |shard: &&ShardKey| {
             let ready = self.ready.get(*shard).copied().unwrap_or(0);
-            ready == 0 || !is_hurried && ready < self.catalog.serving_targets_of(**shard).count()
+            ready == 0
+                || !is_hold_expired && ready < self.catalog.serving_targets_of(**shard).count()
         };
-        match record.shards.iter().find(is_short) {
+        match record.shards.iter().find(lacks_replicas) {
             Some(&shard) => TargetStep::Hold(shard),
             None if settled_for < self.options.settle_time => {
                 TargetStep::Wait(DriftCause::Settling)
             }
-            None => TargetStep::Tell(state),
+            None => TargetStep::Order(ordered),
         }
     }
 
-    /// Switches a draining target off when nothing runs on it any more.
+    /// Switches a draining target off when no request runs on it.
     ///
-    /// Failure guarded against: a target switched off with a request on it,
-    /// which shows as a cut connection and, for a non-idempotent request, as an
-    /// unknown outcome. What the target reports lags, so this host's own count
-    /// decides, and the drain time covers hosts that owned it a moment ago.
-    fn switch_off(&self, seen: &TargetObservation, memory: &TargetMemory) -> TargetStep {
-        if seen.in_flight > 0 || memory.drained_for(self.now) < self.options.drain_time {
+    /// Failure: a target is switched off during a request, which closes the connection and leaves
+    /// the outcome of a non-idempotent request unknown. The target's report is delayed, so this
+    /// host's own count of requests in flight is used; the drain time covers hosts that owned the
+    /// target until recently.
+    fn switch_off(&self, observation: &TargetObservation, history: &TargetHistory) -> TargetStep {
+        if observation.in_flight > 0 || history.draining_time(self.now) < self.options.drain_time {
             return TargetStep::Wait(DriftCause::Draining);
         }
-        TargetStep::Tell(DesiredState::Off)
+        TargetStep::Order(DesiredState::Off)
     }
 
-    fn tell(
+    fn order(
         &mut self,
-        seen: &TargetObservation,
-        state: DesiredState,
-        memory: &mut TargetMemory,
+        observation: &TargetObservation,
+        ordered: DesiredState,
+        history: &mut TargetHistory,
     ) -> DriftCause {
-        let is_unreachable = seen.phase.is_none();
+        let is_unreachable = observation.phase.is_none();
         let waiting = if is_unreachable { DriftCause::Unreachable } else { DriftCause::Waiting };
-        if memory.told_within(state, self.now, self.options.retry_after) {
+        if history.was_ordered_within(ordered, self.now, self.options.retry_after) {
             return waiting;
         }
         if self.outcome.orders.len() >= self.options.orders_per_round {
-            return if memory.was_told(state) { waiting } else { DriftCause::RateLimited };
+            return if history.was_ordered(ordered) { waiting } else { DriftCause::RateLimited };
         }
-        memory.told = Some((state, self.now));
-        self.outcome.orders.push(IntentOrder { target: seen.target, state });
+        history.last_order = Some((ordered, self.now));
+        self.outcome.orders.push(IntentOrder { target: observation.target, state: ordered });
         DriftCause::OrderSent
     }
 }
--- a/crates/hawthorn-intent/src/rules.rs
+++ b/crates/hawthorn-intent/src/rules.rs
@@ -1,10 +1,9 @@
-//! The rules, `rules.toml`: callers, and what is wanted of which targets.
+//! The rules, `rules.toml`: callers and the desired states of targets.
 
+use hawthorn_types::DesiredState;
 use serde::Serialize;
 use serde_with::skip_serializing_none;
 
-use hawthorn_types::DesiredState;
-
 use crate::fault::ConfigFault;
 use crate::fault::ConfigFile;
 use crate::fault::FaultKind;
@@ -14,17 +13,17 @@
 use crate::source::ConfigSource;
 use crate::source::TableReader;
 
-/// Largest weight of a caller.
+/// Maximum weight of a caller.
 pub const MAX_WEIGHT: u32 = 100;
-/// Most replicas that a rule may keep.
+/// Maximum of [`RuleEntry::replicas`].
 pub const MAX_REPLICAS: u32 = 100;
 
 /// Callers and rules.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RuleSet {
-    /// No caller may be ahead of another: every weight must be 1.
+    /// Whether all callers must have weight 1, so that none takes precedence.
     pub equal_callers: bool,
-    /// The callers; any other is refused.
+    /// The callers. Requests from any other caller are rejected.
     #[serde(rename = "caller")]
     pub callers: Vec<CallerEntry>,
     /// The rules, in the order of the file.
@@ -32,78 +31,77 @@
     pub rules: Vec<RuleEntry>,
 }
 
-/// One caller: a member firm or a desk.
+/// A caller: a member firm or a desk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct CallerEntry {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its share when callers compete, next to the others' weights.
+    /// Weight in fair sharing between callers.
     pub weight: u32,
 }
 
-/// One rule.
+/// A rule.
 #[skip_serializing_none]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RuleEntry {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// The targets it is for.
+    /// The targets that it applies to.
     #[serde(rename = "match")]
     pub pattern: RulePattern,
-    /// What is wanted of them.
+    /// The desired state of these targets.
     pub wanted: DesiredState,
-    /// Why, for whoever asks later.
+    /// Why the rule exists; shown in explanations.
     pub reason: String,
-    /// Of the rules that match a target the one with the greatest priority
-    /// decides, the first in the file among equals.
+    /// The matching rule with the highest priority applies; of equal priorities, the first in the
+    /// file.
     pub priority: i32,
-    /// Keeps so many targets serving for each shard, and wants `wanted` only of
-    /// the others.
+    /// Number of targets to keep serving for each shard; `wanted` applies only to the others.
     pub replicas: Option<u32>,
 }
 
-/// Which targets a rule is for: those that fit every pattern given. `*` and
-/// `?` stand for characters.
+/// Selects the targets that match all given patterns. Patterns may contain the wildcards `*` and
+/// `?`.
 #[skip_serializing_none]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RulePattern {
-    /// Pattern of the service's name.
+    /// Pattern for the name of the service.
     pub service: Option<String>,
-    /// Pattern of the zone's name.
+    /// Pattern for the name of the zone.
     pub zone: Option<String>,
-    /// Pattern of the target's name.
+    /// Pattern for the name of the target.
     pub target: Option<String>,
-    /// Pattern of the asset's number.
+    /// Pattern for the asset number.
     pub asset: Option<String>,
-    /// Spare targets only, or others only.
+    /// `true` selects only spare targets, `false` only others.
     pub spare: Option<bool>,
 }
 
 impl RulePattern {
-    /// Whether the rule is for `target`.
+    /// Whether `target` matches.
     pub fn matches(&self, target: &TargetEntry) -> bool {
-        let fits = |pattern: &Option<String>, text: &str| {
+        let is_match = |pattern: &Option<String>, text: &str| {
             pattern.as_ref().is_none_or(|pattern| glob::matches(pattern, text))
         };
-        fits(&self.service, &target.service)
-            && fits(&self.zone, &target.zone)
-            && fits(&self.target, &target.name)
-            && fits(&self.asset, &target.asset)
+        is_match(&self.service, &target.service)
+            && is_match(&self.zone, &target.zone)
+            && is_match(&self.target, &target.name)
+            && is_match(&self.asset, &target.asset)
             && self.spare.is_none_or(|spare| spare == target.spare)
     }
 }
 
-/// What reading the rules gave.
+/// Result of [`read`].
 pub struct Outcome<'i> {
-    /// The rules, with placeholders where `faults` has an error.
+    /// The rules; faulty values are replaced by placeholders.
     pub rules: RuleSet,
-    /// Every fault that can be seen in one entry alone.
+    /// All faults that do not involve other entries.
     pub faults: Vec<ConfigFault>,
-    /// The parsed text, for the lines of further faults.
+    /// The parsed file, which provides the lines of faults found later.
     pub source: ConfigSource<'i>,
 }
 
-/// Reads `text` to its end, whatever faults it has.
+/// Parses rules and reports all their faults.
 pub fn read(text: &str) -> Outcome<'_> {
     let mut faults = Vec::new();
     let source = ConfigSource::parse(ConfigFile::Rules, text, &mut faults);
@@ -150,7 +148,7 @@
 
 fn reason(reader: &mut TableReader<'_, '_>) -> String {
     let reason: String = reader.required("reason", String::new());
-    if reason.trim().is_empty() && reader.has_text("reason") {
+    if reason.trim().is_empty() && reader.is_string("reason") {
         let expected = "why the rule is there".to_owned();
         reader.reject("reason", FaultKind::MissingKey, "an empty reason".to_owned(), expected);
     }
--- a/crates/hawthorn-intent/src/settings/mod.rs
+++ b/crates/hawthorn-intent/src/settings/mod.rs
@@ -1,8 +1,8 @@
 //! Settings of one daemon, `daemon.toml`.
 //!
-//! A process learns its addresses and availability zone from here; everything
-//! that operators change while it runs is in the inventory and the rules.
-//! All addresses are IP numbers with a port. Durations carry their unit.
+//! Contains the addresses and the availability zone of the process. Configuration that can change
+//! while it runs is in the inventory and the rules. Addresses are IP addresses with a port,
+//! durations have a unit.
 
 mod read;
 
@@ -23,7 +23,7 @@
 const KIB: u64 = 1024;
 const MIB: u64 = 1024 * KIB;
 
-/// Everything one daemon is told at its start.
+/// Settings of one daemon, read at its start.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct DaemonSettings {
@@ -33,54 +33,53 @@
     pub zone: String,
     /// The region of that zone, as named in the inventory.
     pub region: String,
-    /// Where callers and operators reach it, HTTP. Port 0 takes a free one.
+    /// HTTP address for callers and operators. Port 0 selects a free port.
     pub caller_address: SocketAddr,
-    /// Where other daemons reach it, TCP and UDP. Port 0 takes a free one.
+    /// TCP and UDP address for other daemons. Port 0 selects a free port.
     pub peer_address: SocketAddr,
-    /// The address that other daemons are told, when they reach `peer_address`
-    /// by another one.
+    /// The address advertised to other daemons, if it differs from `peer_address`.
     pub peer_advertised: Option<SocketAddr>,
-    /// The platform's service, HTTP.
+    /// HTTP address of the platform's service.
     pub platform: SocketAddr,
-    /// Peer addresses to ask first when the platform does not answer.
+    /// Peer addresses to contact first if the platform does not answer.
     pub seeds: Vec<SocketAddr>,
-    /// Bounds on what one request, caller or queue may take.
+    /// Limits for requests, callers and queues.
     pub limits: LimitSettings,
-    /// Second attempts at slow targets.
+    /// Hedged requests to slow targets.
     pub hedge: HedgeSettings,
-    /// Planned stop.
+    /// Graceful shutdown.
     pub stop: StopSettings,
-    /// How targets are watched.
+    /// Probes of targets.
     pub probe: ProbeSettings,
-    /// How non-idempotent requests are kept to one run.
+    /// Claims, which ensure that non-idempotent requests run at most once.
     pub claims: ClaimSettings,
-    /// How daemons watch each other.
+    /// Failure detection between daemons.
     pub fleet: FleetSettings,
 }
 
-/// Bounds on what one request, caller or queue may take.
+/// Limits for requests, callers and queues.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct LimitSettings {
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
-    /// Largest answer taken from one target, in bytes.
+    /// Maximum size of an answer from one target, in bytes.
     pub max_answer_bytes: u64,
-    /// Most matches that one query may ask for.
+    /// Maximum number of matches that a query may request.
     pub max_limit: u32,
-    /// Longest request id of a caller, in bytes.
+    /// Maximum length of a caller's request id, in bytes.
     pub max_request_id_bytes: u32,
-    /// Longest deadline that a caller may ask for.
+    /// Maximum deadline that a caller may request.
     #[serde_as(as = "UnitDuration")]
     pub max_deadline: Duration,
-    /// How long a client may take to send its request.
+    /// Maximum time for a client to send its request.
     #[serde_as(as = "UnitDuration")]
     pub slow_client: Duration,
-    /// Most queries in work at once in one front.
+    /// Maximum number of queries in flight in one front.
     pub front_queue: u32,
-    /// Most pieces waiting in one owner's group of targets.
+    /// Maximum number of queued pieces in one owner's group of targets.
     pub group_queue: u32,
-    /// Most pieces of one caller waiting in one group of targets.
+    /// Maximum number of queued pieces of one caller in one group of targets.
     pub caller_queue: u32,
 }
 
@@ -100,13 +99,13 @@
     }
 }
 
-/// Second attempts at slow targets.
+/// Hedged requests to slow targets.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct HedgeSettings {
-    /// Most extra attempts for 100 first attempts.
+    /// Maximum number of hedged attempts per 100 first attempts.
     pub budget_percent: u32,
-    /// No second attempt before this long, whatever the latencies seen.
+    /// Minimum delay before a hedged attempt, regardless of measured latencies.
     #[serde_as(as = "UnitDuration")]
     pub min_delay: Duration,
 }
@@ -117,11 +116,11 @@
     }
 }
 
-/// Planned stop.
+/// Graceful shutdown.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct StopSettings {
-    /// How long requests in work may go on after the order to stop.
+    /// Maximum time for requests in flight to finish after shutdown has begun.
     #[serde_as(as = "UnitDuration")]
     pub grace: Duration,
 }
@@ -132,14 +131,14 @@
     }
 }
 
-/// How targets are watched.
+/// Probes of targets.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ProbeSettings {
-    /// Between two questions to one target.
+    /// Interval between probes of one target.
     #[serde_as(as = "UnitDuration")]
     pub interval: Duration,
-    /// How long one question may take.
+    /// Timeout of a probe.
     #[serde_as(as = "UnitDuration")]
     pub timeout: Duration,
 }
@@ -150,15 +149,15 @@
     }
 }
 
-/// How non-idempotent requests are kept to one run.
+/// Claims, which ensure that non-idempotent requests run at most once.
 ///
-/// How long claims are kept and how they are spread is no setting: two hosts
-/// that differed in it would look for one claim in two places, and a request
-/// could run twice while a change of settings rolls through the fleet.
+/// Retention and partitioning of claims are deliberately not configurable: while a change is rolled
+/// out, hosts with different values would look for the same claim in different places, and a
+/// request could run twice.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ClaimSettings {
-    /// How long claims are gathered before they are written together.
+    /// Time during which claims are batched before they are written together.
     #[serde_as(as = "UnitDuration")]
     pub gather: Duration,
 }
@@ -169,14 +168,14 @@
     }
 }
 
-/// How daemons watch each other.
+/// Failure detection between daemons.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FleetSettings {
-    /// Between two heartbeats to one peer.
+    /// Interval between heartbeats to one peer.
     #[serde_as(as = "UnitDuration")]
     pub heartbeat: Duration,
-    /// Silence after which a peer no longer owns targets.
+    /// Time without a heartbeat after which a peer is suspected and no longer owns targets.
     #[serde_as(as = "UnitDuration")]
     pub suspect_after: Duration,
 }
@@ -187,33 +186,37 @@
     }
 }
 
-/// What reading the settings gave.
+/// Result of [`read`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// The settings, with placeholders where `faults` has an error.
+    /// The settings; faulty values are replaced by placeholders.
     pub settings: DaemonSettings,
-    /// Every fault.
+    /// All faults.
     pub faults: Vec<ConfigFault>,
 }
 
 quick_error! {
-    /// Why settings can't be used.
+    /// Errors of [`DaemonSettings::from_toml`].
     #[derive(Debug)]
     pub enum Error {
         /// At least one fault is an error.
         Faulty(faults: Vec<ConfigFault>) {
-            display("{}", crate::settings::lines(faults))
+            display("{}", crate::settings::format_faults(faults))
         }
     }
 }
 
-pub(crate) fn lines(faults: &[ConfigFault]) -> String {
+pub(crate) fn format_faults(faults: &[ConfigFault]) -> String {
     let lines: Vec<String> = faults.iter().map(ConfigFault::to_string).collect();
     lines.join("\n")
 }
 
 impl DaemonSettings {
-    /// The settings in `text`, or every fault of it.
+    /// Parses settings.
+    ///
+    /// # Errors
+    ///
+    /// All faults, if at least one is an error.
     pub fn from_toml(text: &str) -> Result<Self, Error> {
         let outcome = read(text);
         if outcome.faults.iter().any(ConfigFault::is_error) {
--- a/crates/hawthorn-intent/src/settings/read.rs
+++ b/crates/hawthorn-intent/src/settings/read.rs
@@ -1,4 +1,4 @@
-//! Reads the settings key by key, with the limits of each.
+//! Parses the settings key by key and checks their limits.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -23,18 +23,18 @@
 use crate::source::ConfigSource;
 use crate::source::TableReader;
 
-/// Reads `text` to its end, whatever faults it has.
+/// Parses settings and reports all their faults.
 pub fn read(text: &str) -> Outcome {
     let mut faults = Vec::new();
     let source = ConfigSource::parse(ConfigFile::Settings, text, &mut faults);
     let mut reader = source.reader(&mut faults);
     let settings = read_settings(&mut reader);
     reader.finish();
-    check_order(&source, &settings, &mut faults);
+    check_constraints(&source, &settings, &mut faults);
     Outcome { settings, faults }
 }
 
-/// Stands for an address that could not be read.
+/// Placeholder for an address that is absent or invalid.
 pub(crate) const NO_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 fn read_settings(reader: &mut TableReader<'_, '_>) -> DaemonSettings {
@@ -44,8 +44,8 @@
         region: name(reader, "region"),
         caller_address: listen_address(reader, "caller_address"),
         peer_address: listen_address(reader, "peer_address"),
-        peer_advertised: advertised(reader),
-        platform: peer_of(reader, "platform"),
+        peer_advertised: advertised_address(reader),
+        platform: remote_address(reader, "platform"),
         seeds: seeds(reader),
         limits: reader.table("limits", limits),
         hedge: reader.table("hedge", hedge),
@@ -62,8 +62,8 @@
     name
 }
 
-/// An address that this process listens on and that others are told: port 0
-/// is resolved once it listens, an unspecified IP number never is.
+/// Reads an address that this process listens on and advertises. Port 0 is allowed, since it is
+/// resolved when listening; an unspecified IP address is not, since it never is.
 fn listen_address(reader: &mut TableReader<'_, '_>, key: &'static str) -> SocketAddr {
     let address = reader.required(key, NO_ADDRESS);
     if address != NO_ADDRESS && address.ip().is_unspecified() {
@@ -72,7 +72,7 @@
     address
 }
 
-fn peer_of(reader: &mut TableReader<'_, '_>, key: &'static str) -> SocketAddr {
+fn remote_address(reader: &mut TableReader<'_, '_>, key: &'static str) -> SocketAddr {
     let address = reader.required(key, NO_ADDRESS);
     if address != NO_ADDRESS && !is_reachable(address) {
         reject_address(reader, key, address);
@@ -80,7 +80,7 @@
     address
 }
 
-fn advertised(reader: &mut TableReader<'_, '_>) -> Option<SocketAddr> {
+fn advertised_address(reader: &mut TableReader<'_, '_>) -> Option<SocketAddr> {
     let address = reader.optional("peer_advertised");
     if let Some(address) = address.filter(|&address| !is_reachable(address)) {
         reject_address(reader, "peer_advertised", address);
@@ -88,7 +88,7 @@
     address
 }
 
-/// Whether a connection to `address` could ever be made.
+/// Whether `address` can be the destination of a connection.
 pub(crate) fn is_reachable(address: SocketAddr) -> bool {
     address.port() != 0 && !address.ip().is_unspecified() && !address.ip().is_multicast()
 }
@@ -117,73 +117,77 @@
 }
 
 fn limits(reader: &mut TableReader<'_, '_>) -> LimitSettings {
-    let usual = LimitSettings::default();
+    let defaults = LimitSettings::default();
     LimitSettings {
-        max_body_bytes: reader.within("max_body_bytes", usual.max_body_bytes, KIB..=16 * MIB),
-        max_answer_bytes: reader.within("max_answer_bytes", usual.max_answer_bytes, KIB..=64 * MIB),
-        max_limit: reader.within("max_limit", usual.max_limit, 1..=100_000),
+        max_body_bytes: reader.within("max_body_bytes", defaults.max_body_bytes, KIB..=16 * MIB),
+        max_answer_bytes: reader.within(
+            "max_answer_bytes",
+            defaults.max_answer_bytes,
+            KIB..=64 * MIB,
+        ),
+        max_limit: reader.within("max_limit", defaults.max_limit, 1..=100_000),
         max_request_id_bytes: reader.within(
             "max_request_id_bytes",
-            usual.max_request_id_bytes,
+            defaults.max_request_id_bytes,
             16..=1_024,
         ),
-        max_deadline: reader.within("max_deadline", usual.max_deadline, ms(1)..=secs(600)),
-        slow_client: reader.within("slow_client", usual.slow_client, ms(10)..=secs(60)),
-        front_queue: reader.within("front_queue", usual.front_queue, 1..=1_000_000),
-        group_queue: reader.within("group_queue", usual.group_queue, 1..=1_000_000),
-        caller_queue: reader.within("caller_queue", usual.caller_queue, 1..=1_000_000),
+        max_deadline: reader.within("max_deadline", defaults.max_deadline, ms(1)..=secs(600)),
+        slow_client: reader.within("slow_client", defaults.slow_client, ms(10)..=secs(60)),
+        front_queue: reader.within("front_queue", defaults.front_queue, 1..=1_000_000),
+        group_queue: reader.within("group_queue", defaults.group_queue, 1..=1_000_000),
+        caller_queue: reader.within("caller_queue", defaults.caller_queue, 1..=1_000_000),
     }
 }
 
 fn hedge(reader: &mut TableReader<'_, '_>) -> HedgeSettings {
-    let usual = HedgeSettings::default();
+    let defaults = HedgeSettings::default();
     HedgeSettings {
-        budget_percent: reader.within("budget_percent", usual.budget_percent, 0..=100),
-        min_delay: reader.within("min_delay", usual.min_delay, Duration::ZERO..=secs(10)),
+        budget_percent: reader.within("budget_percent", defaults.budget_percent, 0..=100),
+        min_delay: reader.within("min_delay", defaults.min_delay, Duration::ZERO..=secs(10)),
     }
 }
 
 fn stop(reader: &mut TableReader<'_, '_>) -> StopSettings {
-    let usual = StopSettings::default();
-    StopSettings { grace: reader.within("grace", usual.grace, ms(100)..=secs(600)) }
+    let defaults = StopSettings::default();
+    StopSettings { grace: reader.within("grace", defaults.grace, ms(100)..=secs(600)) }
 }
 
 fn probe(reader: &mut TableReader<'_, '_>) -> ProbeSettings {
-    let usual = ProbeSettings::default();
+    let defaults = ProbeSettings::default();
     ProbeSettings {
-        interval: reader.within("interval", usual.interval, ms(20)..=secs(60)),
-        timeout: reader.within("timeout", usual.timeout, ms(1)..=secs(60)),
+        interval: reader.within("interval", defaults.interval, ms(20)..=secs(60)),
+        timeout: reader.within("timeout", defaults.timeout, ms(1)..=secs(60)),
     }
 }
 
 fn claims(reader: &mut TableReader<'_, '_>) -> ClaimSettings {
-    let usual = ClaimSettings::default();
-    ClaimSettings { gather: reader.within("gather", usual.gather, ms(5)..=ms(1_000)) }
+    let defaults = ClaimSettings::default();
+    ClaimSettings { gather: reader.within("gather", defaults.gather, ms(5)..=ms(1_000)) }
 }
 
 fn fleet(reader: &mut TableReader<'_, '_>) -> FleetSettings {
-    let usual = FleetSettings::default();
+    let defaults = FleetSettings::default();
     FleetSettings {
-        heartbeat: reader.within("heartbeat", usual.heartbeat, ms(20)..=secs(10)),
-        suspect_after: reader.within("suspect_after", usual.suspect_after, ms(60)..=secs(60)),
+        heartbeat: reader.within("heartbeat", defaults.heartbeat, ms(20)..=secs(10)),
+        suspect_after: reader.within("suspect_after", defaults.suspect_after, ms(60)..=secs(60)),
     }
 }
 
-/// Heartbeats that may be lost in a row before a peer is suspected.
-const LOST_HEARTBEATS: u32 = 3;
+/// Minimum of `suspect_after`, in heartbeat intervals.
+const MIN_SUSPECT_HEARTBEATS: u32 = 3;
 
-/// Faults between two keys that are each good alone.
-fn check_order(
+/// Checks constraints between keys.
+fn check_constraints(
     source: &ConfigSource<'_>,
     settings: &DaemonSettings,
     faults: &mut Vec<ConfigFault>,
 ) {
     let fleet = &settings.fleet;
-    // One lost datagram must not move the ownership of targets: that shows as
-    // a wave of new connections, 6 ms each. Three in a row are not chance.
-    let least = fleet.heartbeat * LOST_HEARTBEATS;
-    if fleet.suspect_after < least {
-        let expected = format!("at least {LOST_HEARTBEATS} heartbeats, {}", least.show());
+    // Failure: a single lost datagram moves the ownership of targets, which causes a wave of new
+    // connections of 6 ms each. Three consecutive losses are unlikely to be coincidence.
+    let min = fleet.heartbeat * MIN_SUSPECT_HEARTBEATS;
+    if fleet.suspect_after < min {
+        let expected = format!("at least {MIN_SUSPECT_HEARTBEATS} heartbeats, {}", min.show());
         let found = fleet.suspect_after.show();
         let path = "fleet.suspect_after".to_owned();
         faults.push(source.fault(path, FaultKind::OutOfRange, found, expected));
--- a/crates/hawthorn-intent/src/source.rs
+++ b/crates/hawthorn-intent/src/source.rs
@@ -1,8 +1,7 @@
-//! Reads a file table by table and keeps going after each fault.
+//! Parses a file table by table and continues after faults.
 //!
-//! `serde` stops at the first error of a document. Operators are to see every
-//! fault in one run, so tables are walked key by key: a key that can't be read
-//! is noted and its placeholder used, and the walk goes on.
+//! `serde` stops at the first error, but operators should see all faults at once. Tables are
+//! therefore read key by key: an invalid value is reported and replaced by a placeholder.
 
 use std::ops::Range;
 use std::ops::RangeInclusive;
@@ -15,20 +14,20 @@
 use crate::fault::ConfigFile;
 use crate::fault::FaultKind;
 use crate::field::FieldValue;
-use crate::field::ShownValue;
+use crate::field::ValueExcerpt;
 
-/// One parsed file, with the position of every key.
+/// A parsed file with the positions of its keys.
 pub struct ConfigSource<'i> {
     file: ConfigFile,
     root: Spanned<DeTable<'i>>,
     line_starts: Vec<usize>,
 }
 
-/// Characters of a path that end one step of it.
-const PATH_MARKS: [char; 3] = ['.', '[', ']'];
+/// Separators of the segments of a path.
+const PATH_SEPARATORS: [char; 3] = ['.', '[', ']'];
 
 impl<'i> ConfigSource<'i> {
-    /// Parses `text`; what is not TOML is noted in `faults`, and the rest read.
+    /// Parses `text`. Syntax errors are added to `faults`, and the valid parts are kept.
     pub fn parse(file: ConfigFile, text: &'i str, faults: &mut Vec<ConfigFault>) -> Self {
         let (root, errors) = DeTable::parse_recoverable(text);
         let line_breaks = text.match_indices('\n').map(|(at, _)| at + 1);
@@ -38,12 +37,12 @@
         source
     }
 
-    /// The table at the root, to be read.
+    /// Creates a reader for the root table.
     pub fn reader<'s>(&'s self, faults: &'s mut Vec<ConfigFault>) -> TableReader<'s, 'i> {
         TableReader::new(self, self.root.get_ref(), String::new(), None, faults)
     }
 
-    /// A fault at `path`, with the line of the nearest key above it that exists.
+    /// Creates a fault at `path`, with the line of that key or of its nearest existing ancestor.
     pub fn fault(
         &self,
         path: String,
@@ -55,15 +54,16 @@
         ConfigFault { file: self.file, path, line, kind, found, expected }
     }
 
-    /// The line of the key at `path`, counted from 1.
+    /// Line of the key at `path` or of its nearest existing ancestor, counted from 1. `None` if the
+    /// first segment does not exist.
     pub fn line_of(&self, path: &str) -> Option<u32> {
-        let mut steps = path.split(PATH_MARKS).filter(|step| !step.is_empty());
-        let first = steps.next()?;
+        let mut segments = path.split(PATH_SEPARATORS).filter(|segment| !segment.is_empty());
+        let first = segments.next()?;
         let (key, value) = self.root.get_ref().get_key_value(first)?;
         let mut span = key.span();
         let mut value = value.get_ref();
-        for step in steps {
-            let Some((next_span, next)) = descend(value, step) else { break };
+        for segment in segments {
+            let Some((next_span, next)) = descend(value, segment) else { break };
             span = next_span;
             value = next;
         }
@@ -87,17 +87,20 @@
     }
 }
 
-fn descend<'v, 'i>(value: &'v DeValue<'i>, step: &str) -> Option<(Range<usize>, &'v DeValue<'i>)> {
+fn descend<'v, 'i>(
+    value: &'v DeValue<'i>,
+    segment: &str,
+) -> Option<(Range<usize>, &'v DeValue<'i>)> {
     if let Some(table) = value.as_table() {
-        let (key, child) = table.get_key_value(step)?;
+        let (key, child) = table.get_key_value(segment)?;
         return Some((key.span(), child.get_ref()));
     }
-    let index: usize = step.parse().ok()?;
+    let index: usize = segment.parse().ok()?;
     let child = value.as_array()?.get(index)?;
     Some((child.span(), child.get_ref()))
 }
 
-/// Reads the keys of one table, noting each fault.
+/// Reads the keys of a table and reports faults.
 pub struct TableReader<'s, 'i> {
     source: &'s ConfigSource<'i>,
     table: &'s DeTable<'i>,
@@ -118,28 +121,29 @@
         Self { source, table, path, line, known: Vec::new(), faults }
     }
 
-    /// The value of `key`; a fault, and the placeholder, when it is absent or bad.
+    /// Reads `key`. If it is absent or invalid, reports a fault and returns the placeholder.
     pub fn required<T: FieldValue>(&mut self, key: &'static str, placeholder: T) -> T {
         if !self.table.contains_key(key) {
             let path = self.child_path(key);
-            self.note(path, self.line, FaultKind::MissingKey, "no such key", T::EXPECTED);
+            self.report(path, self.line, FaultKind::MissingKey, "no such key", T::EXPECTED);
         }
         self.optional(key).unwrap_or(placeholder)
     }
 
-    /// The value of `key`, or its default; a fault and the default when it is bad.
+    /// Reads `key`. Returns the default if it is absent or, after reporting a fault, if it is
+    /// invalid.
     pub fn or_default<T: FieldValue>(&mut self, key: &'static str, default: T) -> T {
         self.optional(key).unwrap_or(default)
     }
 
-    /// The value of `key` when there is one and it can be read; a fault when it can't.
+    /// Reads `key`. Returns `None` if it is absent or, after reporting a fault, if it is invalid.
     pub fn optional<T: FieldValue>(&mut self, key: &'static str) -> Option<T> {
         let value = self.value(key)?;
         let path = self.child_path(key);
         self.read(path, value)
     }
 
-    /// Like [`Self::or_default`], with limits.
+    /// Like [`Self::or_default`], and checks limits.
     pub fn within<T>(&mut self, key: &'static str, default: T, limits: RangeInclusive<T>) -> T
     where
         T: FieldValue + PartialOrd,
@@ -147,7 +151,7 @@
         self.optional_within(key, limits).unwrap_or(default)
     }
 
-    /// Like [`Self::optional`], with limits.
+    /// Like [`Self::optional`], and checks limits.
     pub fn optional_within<T>(&mut self, key: &'static str, limits: RangeInclusive<T>) -> Option<T>
     where
         T: FieldValue + PartialOrd,
@@ -156,30 +160,30 @@
         if limits.contains(&value) {
             return Some(value);
         }
-        let expected = show_limits(&limits);
+        let expected = format_limits(&limits);
         self.reject(key, FaultKind::OutOfRange, value.show(), expected);
         None
     }
 
-    /// Like [`Self::required`], with limits; the placeholder is the least value.
+    /// Like [`Self::required`], and checks limits. The placeholder is the lower limit.
     pub fn required_within<T>(&mut self, key: &'static str, limits: RangeInclusive<T>) -> T
     where
         T: FieldValue + PartialOrd + Copy,
     {
         if !self.table.contains_key(key) {
             let path = self.child_path(key);
-            let expected = show_limits(&limits);
-            self.note(path, self.line, FaultKind::MissingKey, "no such key", &expected);
+            let expected = format_limits(&limits);
+            self.report(path, self.line, FaultKind::MissingKey, "no such key", &expected);
         }
-        let least = *limits.start();
-        self.within(key, least, limits)
+        let min = *limits.start();
+        self.within(key, min, limits)
     }
 
-    /// The values of the list at `key` that can be read, each with its place in the list.
+    /// Reads the list at `key`. Returns the valid values and their indices.
     pub fn list<T: FieldValue>(&mut self, key: &'static str) -> Vec<(usize, T)> {
         let Some(value) = self.value(key) else { return Vec::new() };
         let Some(items) = value.get_ref().as_array() else {
-            let found = ShownValue(value.get_ref()).to_string();
+            let found = ValueExcerpt(value.get_ref()).to_string();
             self.reject(key, FaultKind::WrongType, found, "a list".to_owned());
             return Vec::new();
         };
@@ -190,7 +194,7 @@
         items.iter().enumerate().filter_map(read).collect()
     }
 
-    /// Reads the table at `key`, which counts as empty when absent.
+    /// Reads the table at `key`. An absent table is read as an empty one.
     pub fn table<R>(
         &mut self,
         key: &'static str,
@@ -201,7 +205,7 @@
         let value = self.value(key);
         let table = value.and_then(|value| value.get_ref().as_table());
         if let (Some(value), None) = (value, table) {
-            let found = ShownValue(value.get_ref()).to_string();
+            let found = ValueExcerpt(value.get_ref()).to_string();
             self.reject(key, FaultKind::WrongType, found, "a table".to_owned());
         }
         let line = value.and_then(|_| self.source.line_of(&path));
@@ -212,7 +216,7 @@
         outcome
     }
 
-    /// Reads each table of the list of tables at `key`.
+    /// Reads all tables of the list at `key`.
     pub fn tables<R>(
         &mut self,
         key: &'static str,
@@ -220,7 +224,7 @@
     ) -> Vec<R> {
         let Some(value) = self.value(key) else { return Vec::new() };
         let Some(items) = value.get_ref().as_array() else {
-            let found = ShownValue(value.get_ref()).to_string();
+            let found = ValueExcerpt(value.get_ref()).to_string();
             self.reject(key, FaultKind::WrongType, found, format!("[[{key}]] entries"));
             return Vec::new();
         };
@@ -229,8 +233,8 @@
             let path = format!("{}[{index}]", self.child_path(key));
             let line = Some(self.source.line_at(item.span().start));
             let Some(table) = item.get_ref().as_table() else {
-                let found = ShownValue(item.get_ref()).to_string();
-                self.note(path, line, FaultKind::WrongType, &found, "a table");
+                let found = ValueExcerpt(item.get_ref()).to_string();
+                self.report(path, line, FaultKind::WrongType, &found, "a table");
                 continue;
             };
             let mut reader = TableReader::new(self.source, table, path, line, self.faults);
@@ -240,26 +244,26 @@
         outcomes
     }
 
-    /// Whether the value at `key` is a string, and so was read.
-    pub fn has_text(&self, key: &str) -> bool {
+    /// Whether the value at `key` is a string.
+    pub fn is_string(&self, key: &str) -> bool {
         self.table.get(key).is_some_and(|value| value.get_ref().is_str())
     }
 
-    /// Notes a fault of the value at `key`.
+    /// Reports a fault of the value at `key`.
     pub fn reject(&mut self, key: &str, kind: FaultKind, found: String, expected: String) {
         let path = self.child_path(key);
         let line = self.source.line_of(&path).or(self.line);
-        self.note(path, line, kind, &found, &expected);
+        self.report(path, line, kind, &found, &expected);
     }
 
-    /// Notes every key that was never asked for.
+    /// Reports all keys that were not read as unknown.
     pub fn finish(self) {
         let expected = format!("one of {}", self.known.join(", "));
         for (key, _) in self.table.iter() {
             if self.known.contains(&key.get_ref().as_ref()) {
                 continue;
             }
-            let path = join(&self.path, key.get_ref());
+            let path = join_path(&self.path, key.get_ref());
             let line = Some(self.source.line_at(key.span().start));
             self.faults.push(ConfigFault {
                 file: self.source.file,
@@ -282,18 +286,18 @@
         match T::read(value.get_ref()) {
             Ok(value) => Some(value),
             Err(kind) => {
-                let found = ShownValue(value.get_ref()).to_string();
-                self.note(path, line, kind, &found, T::EXPECTED);
+                let found = ValueExcerpt(value.get_ref()).to_string();
+                self.report(path, line, kind, &found, T::EXPECTED);
                 None
             }
         }
     }
 
     fn child_path(&self, key: &str) -> String {
-        join(&self.path, key)
+        join_path(&self.path, key)
     }
 
-    fn note(
+    fn report(
         &mut self,
         path: String,
         line: Option<u32>,
@@ -307,10 +311,10 @@
     }
 }
 
-fn show_limits<T: FieldValue>(limits: &RangeInclusive<T>) -> String {
+fn format_limits<T: FieldValue>(limits: &RangeInclusive<T>) -> String {
     format!("{} to {}", limits.start().show(), limits.end().show())
 }
 
-fn join(path: &str, key: &str) -> String {
+fn join_path(path: &str, key: &str) -> String {
     if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") }
 }
--- a/crates/hawthorn-intent/src/unit.rs
+++ b/crates/hawthorn-intent/src/unit.rs
@@ -1,4 +1,4 @@
-//! Durations as operators write them: a whole number and a unit, `50ms`, `3s`.
+//! Durations in the operators' files: an integer and a unit, such as `50ms` or `3s`.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use strum::IntoEnumIterator;
 use strum::IntoStaticStr;
 
-/// What a duration looks like, for messages.
+/// Description of the format for messages.
 pub const EXPECTED: &str = "a whole number with a unit, us, ms, s, m or h, such as \"50ms\"";
 
 /// The units, smallest first.
@@ -42,7 +42,8 @@
     }
 }
 
-/// The duration that `text` states; `None` without a unit that is known.
+/// Parses a duration. Returns `None` if the number or the unit is missing or invalid, or the value
+/// overflows.
 pub fn parse(text: &str) -> Option<Duration> {
     let digits = text.find(|c: char| !c.is_ascii_digit())?;
     let (number, unit) = text.split_at(digits);
@@ -51,8 +52,7 @@
     number.checked_mul(unit.micros()).map(Duration::from_micros)
 }
 
-/// `duration` in the largest unit that states it exactly; parts of a
-/// microsecond are cut off.
+/// Formats `duration` in the largest unit that represents it exactly, truncated to microseconds.
 pub fn format(duration: Duration) -> String {
     let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
     let exact = |unit: &TimeUnit| micros != 0 && micros.is_multiple_of(unit.micros());
@@ -60,7 +60,7 @@
     format!("{}{}", micros / unit.micros(), <&str>::from(unit))
 }
 
-/// Adapter of `serde_with` for durations with a unit.
+/// `serde_with` adapter for durations with a unit.
 pub struct UnitDuration;
 
 impl SerializeAs<Duration> for UnitDuration {
--- a/crates/hawthorn-intent/tests/catalog.rs
+++ b/crates/hawthorn-intent/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! The arenas of one revision: sizes, look-ups, groups.
+//! Catalogs: sizes, look-ups, groups and loading of documents.
 
 mod support;
 
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_examples_have_the_sizes_of_today() -> TestResult {
+fn example_catalogs_have_the_expected_sizes() -> TestResult {
     let cases = [
         size(DAR_PORT, "agent-desk", 20, 40, 2, 25),
         size(DAR_PORT, "supplier-portal", 30, 60, 2, 25),
@@ -76,14 +76,14 @@
             let mut zones: Vec<_> =
                 catalog.serving_targets_of(shard).map(|key| catalog.target(key).zone).collect();
             zones.dedup();
-            assert_eq!(zones.len(), 2, "{} in two zones", catalog.shard(shard).name);
+            assert_eq!(zones.len(), 2, "{} serves in two zones", catalog.shard(shard).name);
         }
     }
     Ok(())
 }
 
 #[test]
-fn names_lead_to_keys_and_back() -> TestResult {
+fn names_and_keys_map_to_each_other() -> TestResult {
     let catalog = example_catalog(POLAND)?;
     assert_eq!(catalog.revision(), ConfigRevision(3));
     for (key, zone) in catalog.zones() {
@@ -106,11 +106,10 @@
     Ok(())
 }
 
-/// A host that joins reads the same document from another peer, or its targets
-/// in another order. If it named groups otherwise, two hosts would own one
-/// target for good and overfill its slots.
+/// Failure: group ids depend on the order of entries in the inventory. Hosts that disagree on ids
+/// disagree on the owner of a target, so that two hosts own it permanently and exceed its slots.
 #[test]
-fn groups_are_named_alike_whatever_the_order() -> TestResult {
+fn group_ids_do_not_depend_on_entry_order() -> TestResult {
     let outcome = check_example(DAR_PORT);
     let mut reversed = outcome.inventory.clone();
     reversed.targets.reverse();
@@ -162,21 +161,21 @@
     }
 }
 
-/// During an upgrade a newer daemon accepts an edit with a key that older ones
-/// don't know. If those refused the document, they would stay at the revision
-/// before it, and answers would depend on the host that was asked.
+/// Failure: during a rolling upgrade, a newer daemon accepts a document with a key that older ones
+/// do not know. If those rejected it, they would stay at the previous revision, and answers would
+/// depend on which host receives the request.
 #[test]
-fn a_document_with_a_key_of_a_newer_daemon_comes_into_force() -> TestResult {
+fn a_document_with_an_unknown_key_is_loaded() -> TestResult {
     let rules = format!("{}[future]\nkey = 1\n", POLAND.rules);
     let inputs = Inputs { settings: None, inventory: POLAND.inventory, rules: &rules };
-    assert!(!check(inputs).is_accepted(), "the edit itself is refused here");
+    assert!(!check(inputs).is_accepted(), "an edit with the key is rejected");
     let catalog = catalog::load(&document(rules), Default::default())?;
     assert_eq!(catalog.revision(), ConfigRevision(4));
     Ok(())
 }
 
 #[test]
-fn a_document_that_leaves_a_shard_unserved_never_comes_into_force() -> TestResult {
+fn a_document_that_leaves_a_shard_unserved_is_not_loaded() -> TestResult {
     let rules = POLAND.rules.to_owned() + &rule("all-off", "", "off", "priority = 1");
     let loaded = catalog::load(&document(rules), Default::default());
     assert!(matches!(loaded, Err(LoadError::Faulty(_))));
--- a/crates/hawthorn-intent/tests/check.rs
+++ b/crates/hawthorn-intent/tests/check.rs
@@ -1,4 +1,4 @@
-//! Every fault is found in one run, and what is accepted can serve.
+//! The check reports all faults at once, and accepted configurations serve every shard.
 
 mod support;
 
@@ -24,7 +24,7 @@
 use support::small_inventory;
 
 #[test]
-fn committed_examples_have_no_fault() -> TestResult {
+fn examples_have_no_faults() -> TestResult {
     for example in [DAR_PORT, POLAND] {
         let outcome = check_example(example);
         assert_eq!(outcome.faults, [], "{}", example.name);
@@ -33,17 +33,17 @@
     Ok(())
 }
 
-/// One slip in one file: the first `old` becomes `new`.
-struct PlantedFault {
+/// A fault injected into a file by replacing the first `old` with `new`.
+struct InjectedFault {
     old: &'static str,
     new: &'static str,
 }
 
-const fn plant(old: &'static str, new: &'static str) -> PlantedFault {
-    PlantedFault { old, new }
+const fn inject(old: &'static str, new: &'static str) -> InjectedFault {
+    InjectedFault { old, new }
 }
 
-fn planted(text: &str, faults: &[PlantedFault]) -> Result<String, String> {
+fn with_faults(text: &str, faults: &[InjectedFault]) -> Result<String, String> {
     faults.iter().try_fold(text.to_owned(), |text, fault| {
         let found = text.contains(fault.old);
         found.then(|| text.replacen(fault.old, fault.new, 1)).ok_or(format!("no {}", fault.old))
@@ -52,40 +52,40 @@
 
 fn report(
     example: ExampleFiles,
-    daemon: &[PlantedFault],
-    inventory: &[PlantedFault],
-    rules: &[PlantedFault],
+    daemon: &[InjectedFault],
+    inventory: &[InjectedFault],
+    rules: &[InjectedFault],
 ) -> Result<String, String> {
-    let daemon = planted(example.daemon, daemon)?;
-    let inventory = planted(example.inventory, inventory)?;
-    let rules = planted(example.rules, rules)?;
+    let daemon = with_faults(example.daemon, daemon)?;
+    let inventory = with_faults(example.inventory, inventory)?;
+    let rules = with_faults(example.rules, rules)?;
     let inputs = Inputs { settings: Some(&daemon), inventory: &inventory, rules: &rules };
     let lines: Vec<_> = check(inputs).faults.iter().map(ConfigFault::to_string).collect();
     Ok(lines.join("\n"))
 }
 
 #[test]
-fn ten_faults_planted_in_dar_port_are_named() -> TestResult {
+fn faults_injected_into_dar_port_are_reported() -> TestResult {
     let report = report(
         DAR_PORT,
         &[
-            plant("slow_client = \"5s\"", "slow_client = 5"),
-            plant("platform = \"10.11.0.5:2390\"", "platform = \"store.port.example:2390\""),
-            plant("max_limit = 1000", "max_limt = 1000"),
+            inject("slow_client = \"5s\"", "slow_client = 5"),
+            inject("platform = \"10.11.0.5:2390\"", "platform = \"store.port.example:2390\""),
+            inject("max_limit = 1000", "max_limt = 1000"),
         ],
         &[
-            plant("asset = \"DA-1003\"", "asset = \"DA-1001\""),
-            plant("name = \"agent-desk-02-a\"", "name = \"agent desk 02 a\""),
-            plant(
+            inject("asset = \"DA-1003\"", "asset = \"DA-1001\""),
+            inject("name = \"agent-desk-02-a\"", "name = \"agent desk 02 a\""),
+            inject(
                 "zone = \"mbagala\"\naddress = \"10.13.0.22",
                 "zone = \"mbgala\"\naddress = \"10.13.0.22",
             ),
-            plant("\"agent-desk/04\"", "\"agent-desk/4\""),
-            plant("slots = 2", "slots = 0"),
+            inject("\"agent-desk/04\"", "\"agent-desk/4\""),
+            inject("slots = 2", "slots = 0"),
         ],
         &[
-            plant("wanted = \"off\"", "wanted = \"of\""),
-            plant("reason = \"spare hardware stays off to save power\"\n", ""),
+            inject("wanted = \"off\"", "wanted = \"of\""),
+            inject("reason = \"spare hardware stays off to save power\"\n", ""),
         ],
     )?;
     insta::assert_snapshot!(report, @r#"
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn ten_faults_planted_in_poland_are_named() -> TestResult {
+fn faults_injected_into_poland_are_reported() -> TestResult {
     let off = rule("halls-off", "service = \"archive-reader\"", "off", "priority = 5");
     let lost = rule("no-such-hall", "zone = \"hall-warsaw\"", "drain", "");
     let more = format!("{off}{lost}\n[[rule]]\nname = \"spares-off\"");
@@ -113,17 +113,17 @@
     let report = report(
         POLAND,
         &[
-            plant("zone = \"hall-kato\"", "zone = \"hall-katowice\""),
-            plant("grace = \"30s\"", "grace = \"30sec\""),
-            plant("peer_address = \"10.21.0.11:8700\"", "peer_address = \"0.0.0.0:8700\""),
+            inject("zone = \"hall-kato\"", "zone = \"hall-katowice\""),
+            inject("grace = \"30s\"", "grace = \"30sec\""),
+            inject("peer_address = \"10.21.0.11:8700\"", "peer_address = \"0.0.0.0:8700\""),
         ],
         &[
-            plant("10.22.0.21:7100", "10.21.0.21:7100"),
-            plant("service = \"claim-desk\"\nzone", "service = \"claims-desk\"\nzone"),
-            plant("connect_cost = \"6ms\"", "connect_cost = \"6\""),
-            plant("shards = 20", "shards = 21"),
+            inject("10.22.0.21:7100", "10.21.0.21:7100"),
+            inject("service = \"claim-desk\"\nzone", "service = \"claims-desk\"\nzone"),
+            inject("connect_cost = \"6ms\"", "connect_cost = \"6\""),
+            inject("shards = 20", "shards = 21"),
         ],
-        &[plant("weight = 1", "weight = 2"), plant("[[rule]]\nname = \"spares-off\"", more)],
+        &[inject("weight = 1", "weight = 2"), inject("[[rule]]\nname = \"spares-off\"", more)],
     )?;
     insta::assert_snapshot!(report, @r#"
     daemon.toml:6: error: dangling-name at zone: found "hall-katowice", expected a zone of the inventory: hall-kato, hall-krak, hall-gliw
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn each_fault_is_refused_or_shown_at_its_key() -> TestResult {
+fn each_fault_is_reported_at_its_key() -> TestResult {
     let fleet = [small("a", "east", &["desk/00"]), small("b", "west", &["desk/00"])];
     let inventory = small_inventory(1, &fleet);
     let case = |name, inventory, rules, expected| KindCase { name, inventory, rules, expected };
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn a_configuration_larger_than_the_store_takes_is_refused() -> TestResult {
+fn a_configuration_too_large_for_the_store_is_rejected() -> TestResult {
     let comment = "# a line that says nothing\n".repeat(40_000);
     let inventory = format!("{}{comment}", DAR_PORT.inventory);
     let outcome = check(Inputs { settings: None, inventory: &inventory, rules: DAR_PORT.rules });
@@ -240,16 +240,22 @@
     Ok(())
 }
 
-/// Asserts that an accepted configuration serves every shard; says whether it was.
-fn accepted_serves(inventory: &str, rules: &str) -> bool {
+/// Asserts that the configuration, if it is accepted, serves every shard. Returns whether it is
+/// accepted.
+fn assert_serves_if_accepted(inventory: &str, rules: &str) -> bool {
     let outcome = check(Inputs { settings: Some(inventory), inventory, rules });
-    let only = check(Inputs { settings: None, inventory, rules });
-    assert!(outcome.faults.len() >= only.faults.len());
-    if !only.is_accepted() {
+    let without_settings = check(Inputs { settings: None, inventory, rules });
+    assert!(outcome.faults.len() >= without_settings.faults.len());
+    if !without_settings.is_accepted() {
         return false;
     }
-    let built = catalog::build(&only.inventory, &only.rules, ConfigRevision(1), Default::default());
-    let catalog = built.expect("what the check accepts can be built");
+    let built = catalog::build(
+        &without_settings.inventory,
+        &without_settings.rules,
+        ConfigRevision(1),
+        Default::default(),
+    );
+    let catalog = built.expect("the catalog of an accepted configuration can be built");
     for (shard, record) in catalog.shards() {
         assert!(
             catalog.serving_targets_of(shard).next().is_some(),
@@ -265,27 +271,27 @@
     let bytes = prop::collection::vec(any::<u8>(), 0..400);
     fixed_runner(400).run(&bytes, |bytes| {
         let text = String::from_utf8_lossy(&bytes);
-        accepted_serves(&text, &text);
+        assert_serves_if_accepted(&text, &text);
         Ok(())
     })?;
     Ok(())
 }
 
-/// One change to a text: which line, what to do, and a character to put in.
+/// A random edit: the line, the kind of edit, and a character to insert.
 type LineEdit = (prop::sample::Index, u8, char);
 
 fn edited(text: &str, edits: &[LineEdit]) -> String {
     let mut lines: Vec<String> = text.lines().map(str::to_owned).collect();
-    for (place, action, character) in edits {
+    for (line, action, character) in edits {
         if lines.is_empty() {
             break;
         }
-        let at = place.index(lines.len());
+        let at = line.index(lines.len());
         match action % 5 {
             0 => drop(lines.remove(at)),
             1 => lines.insert(at, lines[at].clone()),
             2 => {
-                let other = place.index(at + 1);
+                let other = line.index(at + 1);
                 lines.swap(at, other);
             }
             3 => lines[at].push(*character),
@@ -296,14 +302,14 @@
 }
 
 #[test]
-fn edited_examples_never_panic_and_serve_when_accepted() -> TestResult {
+fn randomly_edited_examples_serve_every_shard_if_accepted() -> TestResult {
     let edits =
         || prop::collection::vec((any::<prop::sample::Index>(), any::<u8>(), any::<char>()), 0..3);
     let accepted = Cell::new(0);
     fixed_runner(150).run(&(edits(), edits()), |(inventory, rules)| {
         let inventory = edited(POLAND.inventory, &inventory);
         let rules = edited(POLAND.rules, &rules);
-        accepted.set(accepted.get() + u32::from(accepted_serves(&inventory, &rules)));
+        accepted.set(accepted.get() + u32::from(assert_serves_if_accepted(&inventory, &rules)));
         Ok(())
     })?;
     assert!((15..=135).contains(&accepted.get()), "{} of 150 accepted", accepted.get());
@@ -324,14 +330,15 @@
 }
 
 #[test]
-fn any_rules_that_are_accepted_leave_every_shard_served() -> TestResult {
+fn random_rules_serve_every_shard_if_accepted() -> TestResult {
     let accepted = Cell::new(0);
     let rules = prop::collection::vec(any_rule(), 1..5);
     fixed_runner(200).run(&rules, |rules| {
         let named = rules.iter().enumerate();
         let rules: String =
             named.map(|(index, rule)| rule.replacen("RULE", &format!("rule-{index}"), 1)).collect();
-        accepted.set(accepted.get() + u32::from(accepted_serves(POLAND.inventory, &rules)));
+        accepted
+            .set(accepted.get() + u32::from(assert_serves_if_accepted(POLAND.inventory, &rules)));
         Ok(())
     })?;
     assert!((20..=180).contains(&accepted.get()), "{} of 200 accepted", accepted.get());
--- a/crates/hawthorn-intent/tests/wanted.rs
+++ b/crates/hawthorn-intent/tests/desired_state.rs
@@ -1,11 +1,11 @@
-//! Which state is wanted of each target, and that only the rules decide it.
+//! Desired states that result from inventory and rules.
 
 mod support;
 
+use hawthorn_intent::desired_state::DecisionCause;
+use hawthorn_intent::desired_state::decide;
 use hawthorn_intent::inventory;
 use hawthorn_intent::rules;
-use hawthorn_intent::wanted::WantedCause;
-use hawthorn_intent::wanted::wanted;
 use hawthorn_types::DesiredState;
 use hawthorn_types::DesiredState::Drain;
 use hawthorn_types::DesiredState::Off;
@@ -18,7 +18,7 @@
 use support::small_inventory;
 use support::spare;
 
-/// Two replicas of each of two shards, in both zones, and a spare one.
+/// Two shards with a replica in each of two zones, and a spare target that holds both shards.
 const FLEET: [SmallTarget; 5] = [
     small("a0", "east", &["desk/00"]),
     small("b0", "west", &["desk/00"]),
@@ -27,59 +27,59 @@
     spare("s", "east", &["desk/00", "desk/01"]),
 ];
 
-struct WantedCase {
+struct DecisionCase {
     name: &'static str,
     rules: String,
     expected: [DesiredState; 5],
 }
 
 #[test]
-fn rules_decide_by_priority_then_order() -> TestResult {
+fn rules_apply_by_priority_then_order() -> TestResult {
     let cases = [
-        WantedCase {
-            name: "no rule: spare ones are off",
+        DecisionCase {
+            name: "no rule: spare targets are off",
             rules: String::new(),
             expected: [Serve, Serve, Serve, Serve, Off],
         },
-        WantedCase {
-            name: "a rule switches the spare one on",
+        DecisionCase {
+            name: "a rule switches the spare target on",
             rules: rule("spare-on", "spare = true", "serve", ""),
             expected: [Serve; 5],
         },
-        WantedCase {
-            name: "the first in the file decides among equals",
+        DecisionCase {
+            name: "of equal priorities, the first rule in the file applies",
             rules: rule("one", "zone = \"east\"", "drain", "") + &rule("two", "", "standby", ""),
             expected: [Drain, Standby, Drain, Standby, Drain],
         },
-        WantedCase {
-            name: "the greater priority goes before the order",
+        DecisionCase {
+            name: "priority takes precedence over order",
             rules: rule("one", "zone = \"east\"", "drain", "")
                 + &rule("two", "target = \"a*\"", "off", "priority = 1"),
             expected: [Off, Serve, Off, Serve, Drain],
         },
-        WantedCase {
-            name: "every pattern of a rule must fit",
+        DecisionCase {
+            name: "all patterns of a rule must match",
             rules: rule("one", "zone = \"east\", asset = \"A-?1\", spare = false", "off", ""),
             expected: [Serve, Serve, Off, Serve, Off],
         },
-        WantedCase {
-            name: "one replica of each shard is kept, the spare one last",
+        DecisionCase {
+            name: "one replica of each shard is kept, spare targets last",
             rules: rule("night", "", "off", "replicas = 1"),
             expected: [Serve, Off, Serve, Off, Off],
         },
-        WantedCase {
-            name: "replicas in another zone are kept before the spare one",
+        DecisionCase {
+            name: "replicas in another zone are kept before spare targets",
             rules: rule("night", "", "standby", "replicas = 2"),
             expected: [Serve, Serve, Serve, Serve, Standby],
         },
-        WantedCase {
-            name: "replicas that other rules keep serving count",
+        DecisionCase {
+            name: "replicas that serve because of other rules count",
             rules: rule("west-on", "zone = \"west\"", "serve", "priority = 1")
                 + &rule("night", "", "off", "replicas = 1"),
             expected: [Off, Serve, Off, Serve, Off],
         },
-        WantedCase {
-            name: "a drained target is replaced, by the spare one when no other is left",
+        DecisionCase {
+            name: "a draining target is replaced, by a spare one if no other is left",
             rules: rule("repair", "target = \"?0\"", "drain", "priority = 9")
                 + &rule("night", "", "off", "replicas = 1"),
             expected: [Drain, Drain, Serve, Off, Serve],
@@ -91,7 +91,7 @@
     for case in cases {
         let rules = rules::read(&case.rules);
         assert_eq!(rules.faults, [], "{}", case.name);
-        let decisions = wanted(&inventory.inventory, &rules.rules);
+        let decisions = decide(&inventory.inventory, &rules.rules);
         let states: Vec<_> = decisions.iter().map(|decision| decision.state).collect();
         assert_eq!(states, case.expected, "{}", case.name);
     }
@@ -99,16 +99,16 @@
 }
 
 #[test]
-fn the_cause_names_the_deciding_rule_and_all_that_match() -> TestResult {
+fn decisions_name_the_applied_rule_and_all_matching_ones() -> TestResult {
     let text = small_inventory(2, &FLEET);
     let inventory = inventory::read(&text).inventory;
     let text = rule("all", "", "off", "replicas = 1")
         + &rule("top", "zone = \"w*\"", "off", "priority = 1");
     let rules = rules::read(&text).rules;
-    let decisions = wanted(&inventory, &rules);
-    assert_eq!(decisions[0].cause, WantedCause::KeptReplica(0));
-    assert_eq!(decisions[1].cause, WantedCause::Rule(1));
+    let decisions = decide(&inventory, &rules);
+    assert_eq!(decisions[0].cause, DecisionCause::KeptReplica(0));
+    assert_eq!(decisions[1].cause, DecisionCause::Rule(1));
     assert_eq!(decisions[1].matched.as_slice(), [1, 0]);
-    assert_eq!(decisions[4].cause, WantedCause::Rule(0));
+    assert_eq!(decisions[4].cause, DecisionCause::Rule(0));
     Ok(())
 }
--- a/crates/hawthorn-intent/tests/diff.rs
+++ b/crates/hawthorn-intent/tests/diff.rs
@@ -1,4 +1,4 @@
-//! An operator sees what an edit changes before it comes into force.
+//! Differences between configurations, which operators see before an edit is applied.
 
 mod support;
 
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn nothing_changes_between_a_configuration_and_itself() -> TestResult {
+fn a_configuration_does_not_differ_from_itself() -> TestResult {
     let outcome = check_example(POLAND);
     let view = ConfigView { inventory: &outcome.inventory, rules: &outcome.rules };
     assert_eq!(diff(view, view).changes, []);
--- a/crates/hawthorn-intent/tests/document.rs
+++ b/crates/hawthorn-intent/tests/document.rs
@@ -1,4 +1,4 @@
-//! The value in the store: what is written is read, and any change shows.
+//! Configuration documents: serialization round trip, hash and size limit.
 
 mod support;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_is_written_is_read() -> TestResult {
+fn documents_survive_a_serialization_round_trip() -> TestResult {
     let document = document();
     let read = ConfigDocument::from_json(&document.to_json()?)?;
     assert_eq!(read, document);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn what_the_store_would_refuse_is_not_written() -> TestResult {
+fn a_document_too_large_for_the_store_is_not_serialized() -> TestResult {
     let mut document = document();
     document.rules = "# more\n".repeat(200_000);
     assert!(matches!(document.to_json(), Err(Error::TooLarge(_))));
--- a/crates/hawthorn-intent/tests/explain.rs
+++ b/crates/hawthorn-intent/tests/explain.rs
@@ -1,4 +1,4 @@
-//! An operator asks why a target is off, and is told.
+//! Explanations of the desired state of a target.
 
 mod support;
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn kept_and_released_replicas_are_told_apart() -> TestResult {
+fn kept_and_released_replicas_are_distinguished() -> TestResult {
     let fleet = [small("a", "east", &["desk/00"]), small("b", "west", &["desk/00"])];
     let text = small_inventory(1, &fleet);
     let inventory = inventory::read(&text).inventory;
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_name_that_nothing_bears_is_said_so() -> TestResult {
+fn an_unknown_name_is_an_error() -> TestResult {
     let outcome = check_example(DAR_PORT);
     let unknown = explain(&outcome.inventory, &outcome.rules, "agent-desk-99-a");
     assert_eq!(unknown, Err(Error::UnknownTarget("agent-desk-99-a".to_owned())));
--- a/crates/hawthorn-intent/tests/glob.rs
+++ b/crates/hawthorn-intent/tests/glob.rs
@@ -1,4 +1,4 @@
-//! Patterns of rules.
+//! Wildcard patterns of rules.
 
 mod support;
 
@@ -7,34 +7,38 @@
 
 struct GlobCase {
     pattern: &'static str,
-    fits: &'static [&'static str],
-    fits_not: &'static [&'static str],
+    matches: &'static [&'static str],
+    mismatches: &'static [&'static str],
 }
 
 #[test]
-fn stars_and_question_marks_stand_for_characters() -> TestResult {
+fn wildcards_match_characters() -> TestResult {
     let cases = [
-        GlobCase { pattern: "", fits: &[""], fits_not: &["a"] },
-        GlobCase { pattern: "*", fits: &["", "a", "a/b"], fits_not: &[] },
-        GlobCase { pattern: "a?c", fits: &["abc", "aéc"], fits_not: &["ac", "abbc"] },
+        GlobCase { pattern: "", matches: &[""], mismatches: &["a"] },
+        GlobCase { pattern: "*", matches: &["", "a", "a/b"], mismatches: &[] },
+        GlobCase { pattern: "a?c", matches: &["abc", "aéc"], mismatches: &["ac", "abbc"] },
         GlobCase {
             pattern: "a*b*c",
-            fits: &["abc", "aabbcc", "axbxbc"],
-            fits_not: &["acb", "abcd"],
+            matches: &["abc", "aabbcc", "axbxbc"],
+            mismatches: &["acb", "abcd"],
+        },
+        GlobCase {
+            pattern: "*-a",
+            matches: &["desk-a", "-a", "-a-a"],
+            mismatches: &["desk-b", "a"],
         },
-        GlobCase { pattern: "*-a", fits: &["desk-a", "-a", "-a-a"], fits_not: &["desk-b", "a"] },
         GlobCase {
             pattern: "hall-kato",
-            fits: &["hall-kato"],
-            fits_not: &["hall-kat", "Hall-kato"],
+            matches: &["hall-kato"],
+            mismatches: &["hall-kat", "Hall-kato"],
         },
     ];
     for case in cases {
-        for text in case.fits {
-            assert!(matches(case.pattern, text), "{} fits {text}", case.pattern);
+        for text in case.matches {
+            assert!(matches(case.pattern, text), "{} matches {text}", case.pattern);
         }
-        for text in case.fits_not {
-            assert!(!matches(case.pattern, text), "{} does not fit {text}", case.pattern);
+        for text in case.mismatches {
+            assert!(!matches(case.pattern, text), "{} does not match {text}", case.pattern);
         }
     }
     Ok(())
--- a/crates/hawthorn-intent/tests/import.rs
+++ b/crates/hawthorn-intent/tests/import.rs
@@ -1,4 +1,4 @@
-//! The asset register becomes an inventory; rows that can't are named.
+//! Import of the asset register: valid rows become targets, others are reported.
 
 mod support;
 
@@ -14,7 +14,7 @@
 use support::small_inventory;
 
 #[test]
-fn the_registers_of_the_examples_give_their_inventories() -> TestResult {
+fn example_registers_yield_the_example_inventories() -> TestResult {
     for (example, skipped) in [(DAR_PORT, 2), (POLAND, 1)] {
         let inventory = check_example(example).inventory;
         let base = Inventory { targets: Vec::new(), ..inventory.clone() };
@@ -24,13 +24,13 @@
         assert_eq!(outcome.ignored_columns, ["rack"], "{}", example.name);
         let read = inventory::read(&outcome.toml);
         assert_eq!(read.faults, [], "{}", example.name);
-        assert_eq!(read.inventory, inventory, "{}: written and read again", example.name);
+        assert_eq!(read.inventory, inventory, "{}: serialization round trip", example.name);
     }
     Ok(())
 }
 
 #[test]
-fn skipped_rows_are_named_with_every_reason() -> TestResult {
+fn skipped_rows_are_reported_with_all_reasons() -> TestResult {
     let register = "\
 asset,name,service,zone,address,shards,status,slots
 A1,a,desk,east,10.0.0.1:7000,desk/00,in-use,4
@@ -45,9 +45,9 @@
     let text = small_inventory(2, &[]);
     let base = inventory::read(&text).inventory;
     let outcome = import(register, &base, &Default::default())?;
-    let taken: Vec<_> =
+    let imported: Vec<_> =
         outcome.inventory.targets.iter().map(|target| (&*target.name, target.spare)).collect();
-    assert_eq!(taken, [("a", false), ("h", true)]);
+    assert_eq!(imported, [("a", false), ("h", true)]);
     assert_eq!(outcome.inventory.targets[0].slots, Some(4));
     let skipped: Vec<_> = outcome.skipped.iter().map(ToString::to_string).collect();
     insta::assert_snapshot!(skipped.join("\n"), @r#"
@@ -62,9 +62,11 @@
 }
 
 #[test]
-fn a_register_without_its_columns_is_refused() -> TestResult {
+fn a_register_without_required_columns_is_rejected() -> TestResult {
     let outcome = import("asset,zone\nA1,east\n", &Inventory::default(), &Default::default());
-    let Err(Error::MissingColumns(missing)) = outcome else { return Err("taken".into()) };
+    let Err(Error::MissingColumns(missing)) = outcome else {
+        return Err("imported without required columns".into());
+    };
     assert_eq!(missing, ["name", "service", "address", "shards", "status"]);
     Ok(())
 }
@@ -73,8 +75,9 @@
 fn random_registers_never_panic() -> TestResult {
     let header = "asset,name,service,zone,address,shards,status,slots\n";
     fixed_runner(300).run(&"[A-Za-z0-9,\"\n:./ -]{0,200}", |rows| {
-        let taken = import(&format!("{header}{rows}"), &Inventory::default(), &Default::default());
-        assert!(taken.is_ok_and(|outcome| outcome.inventory.targets.is_empty()));
+        let imported =
+            import(&format!("{header}{rows}"), &Inventory::default(), &Default::default());
+        assert!(imported.is_ok_and(|outcome| outcome.inventory.targets.is_empty()));
         Ok(())
     })?;
     Ok(())
--- a/crates/hawthorn-intent/tests/settings.rs
+++ b/crates/hawthorn-intent/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a daemon: defaults, units, and each fault at its key.
+//! Settings of a daemon: defaults, units and faults.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use support::DAR_PORT;
 use support::TestResult;
 
-const LEAST: &str = r#"
+const MINIMAL: &str = r#"
 host = "entry-1"
 zone = "kurasini"
 region = "dar-es-salaam"
@@ -21,21 +21,21 @@
 "#;
 
 #[test]
-fn all_but_names_and_addresses_have_defaults() -> TestResult {
-    let settings = DaemonSettings::from_toml(LEAST)?;
+fn only_names_and_addresses_are_required() -> TestResult {
+    let settings = DaemonSettings::from_toml(MINIMAL)?;
     assert_eq!(settings.hedge.budget_percent, 5);
     assert_eq!(settings.limits.slow_client, Duration::from_secs(5));
     assert_eq!(settings.seeds, []);
     let text = toml::to_string(&settings)?;
-    assert_eq!(DaemonSettings::from_toml(&text)?, settings, "written and read again");
+    assert_eq!(DaemonSettings::from_toml(&text)?, settings, "serialization round trip");
     Ok(())
 }
 
-/// The operators' page names each key with the default that the code has.
+/// The operators' documentation lists every key with its default.
 #[test]
-fn the_page_for_operators_names_every_key_and_default() -> TestResult {
+fn the_documentation_lists_every_key_and_default() -> TestResult {
     let page = include_str!("../../../docs/operators/settings.md");
-    let table = toml::Table::try_from(DaemonSettings::from_toml(LEAST)?)?;
+    let table = toml::Table::try_from(DaemonSettings::from_toml(MINIMAL)?)?;
     for (section, value) in &table {
         let Some(keys) = value.as_table() else {
             assert!(page.contains(&format!("| `{section}` |")), "{section}");
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn each_fault_is_found_at_its_key() -> TestResult {
+fn each_fault_of_the_settings_is_reported_at_its_key() -> TestResult {
     let cases = [
         fault("", &[]),
         fault("[stop]\ngrace = 30", &[(FaultKind::WrongUnit, "stop.grace")]),
@@ -88,7 +88,7 @@
         fault("[probe]\ninterval = \"100ms\"", &[(FaultKind::OutOfRange, "probe.timeout")]),
     ];
     for case in cases {
-        let outcome = settings::read(&format!("{LEAST}{}", case.more));
+        let outcome = settings::read(&format!("{MINIMAL}{}", case.more));
         let found: Vec<_> =
             outcome.faults.iter().map(|fault| (fault.kind, fault.path.as_str())).collect();
         assert_eq!(found, case.expected, "{}", case.more);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn one_address_for_two_purposes_is_refused() -> TestResult {
+fn caller_and_peer_address_must_differ() -> TestResult {
     let text = DAR_PORT.daemon.replace("10.11.0.11:8700", "10.11.0.11:8080");
     let faults = settings::read(&text).faults;
     assert_eq!(faults.len(), 1);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn durations_are_read_as_they_are_shown() -> TestResult {
+fn durations_survive_a_formatting_round_trip() -> TestResult {
     let cases = [
         ("0ms", 0),
         ("7us", 7),
--- a/crates/hawthorn-intent/tests/support/mod.rs
+++ b/crates/hawthorn-intent/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Texts shared by the tests: the committed examples and small fleets.
+//! Configurations shared by the tests: the example configurations and small fleets.
 #![allow(dead_code)]
 
 use std::error::Error;
@@ -14,7 +14,7 @@
 
 pub type TestResult = Result<(), Box<dyn Error>>;
 
-/// The files of one committed example.
+/// Files of an example configuration.
 #[derive(Clone, Copy)]
 pub struct ExampleFiles {
     pub name: &'static str,
@@ -45,13 +45,13 @@
     check(Inputs { settings: Some(daemon), inventory, rules })
 }
 
-/// A proptest runner that tries the same cases in every run.
+/// A proptest runner that generates the same cases in every run.
 pub fn fixed_runner(cases: u32) -> TestRunner {
     let config = Config { cases, failure_persistence: None, ..Config::default() };
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
 }
 
-/// A target of the one service `desk` in a small fleet.
+/// A target of the service `desk` in a small fleet.
 #[derive(Clone, Copy)]
 pub struct SmallTarget {
     pub name: &'static str,
@@ -76,7 +76,7 @@
     SmallTarget { name, zone, shards, spare: true }
 }
 
-/// The inventory of a small fleet: zones `east` and `west`, service `desk`.
+/// Inventory of a small fleet with zones `east` and `west` and service `desk`.
 pub fn small_inventory(shards: u32, targets: &[SmallTarget]) -> String {
     let mut text = String::new();
     for zone in ["east", "west"] {
@@ -93,7 +93,7 @@
     text
 }
 
-/// One rule in one line, with a reason.
+/// A rule in TOML.
 pub fn rule(name: &str, pattern: &str, wanted: &str, more: &str) -> String {
     format!(
         "[[rule]]\nname = \"{name}\"\nmatch = {{ {pattern} }}\nwanted = \"{wanted}\"\n\
