--- a/crates/hawthorn-edge/src/process/cold.rs
+++ b/crates/hawthorn-edge/src/process/cold.rs
@@ -70,7 +70,7 @@
     let body = store::claim_body(&key, write.revision, settings.name.as_bytes());
     match client.post_path(CallKind::Put, store::WRITE_PATH.to_owned(), body).await {
         Ok((StatusCode::OK, body)) => {
-            store::written(&body).map_or(WriteOutcome::Unknown, WriteOutcome::Done)
+            store::write_revision(&body).map_or(WriteOutcome::Unknown, WriteOutcome::Done)
         }
         Ok(_) | Err(ReadError::NotRun(_)) => WriteOutcome::NotDone,
         Err(_) => WriteOutcome::Unknown,
--- a/crates/hawthorn-edge/src/process/store_sync.rs
+++ b/crates/hawthorn-edge/src/process/store_sync.rs
@@ -135,11 +135,13 @@
     let after = host.mirror.borrow().as_of();
     let read = if after == 0 {
         // The watch that follows returns at once what a recent read lacks.
-        read_all(client, ReadMode::Recent).await.map(|all| (all, true))
+        read_all(client, ReadMode::Serializable).await.map(|all| (all, true))
     } else {
         match watch(host, client, after).await {
             WatchEnd::Update(update) => Ok((update, false)),
-            WatchEnd::Compacted => read_all(client, ReadMode::Exact).await.map(|all| (all, true)),
+            WatchEnd::Compacted => {
+                read_all(client, ReadMode::Linearizable).await.map(|all| (all, true))
+            }
             WatchEnd::Failed(error) => Err(error),
         }
     };
@@ -329,7 +331,7 @@
 
 /// The store's revision; may be seconds old.
 async fn check(client: &StoreClient) -> Option<u64> {
-    let read = client.read_path(CallKind::Get, store::cheap_path(), Duration::ZERO).await;
+    let read = client.read_path(CallKind::Get, store::serializable_path(), Duration::ZERO).await;
     match read {
         Ok((StatusCode::OK, body)) => store::as_of(&body).ok(),
         _ => None,
--- a/crates/hawthorn-edge/src/request/answer.rs
+++ b/crates/hawthorn-edge/src/request/answer.rs
@@ -58,7 +58,7 @@
 
     /// Sets the time after which the caller of a refused request should retry.
     pub(crate) fn set_retry_after(&mut self, after: Duration) {
-        caller::come_back(self.response.headers_mut(), after);
+        caller::set_retry_after(self.response.headers_mut(), after);
     }
 
     /// No route of the current version matches the request.
--- a/crates/hawthorn-edge/src/request/attempt.rs
+++ b/crates/hawthorn-edge/src/request/attempt.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use hawthorn_platform::target;
-use hawthorn_platform::target::RunWord;
+use hawthorn_platform::target::ExecutionStatus;
 use hawthorn_pool::Error;
 use hawthorn_pool::PoolAnswer;
 use hawthorn_pool::PoolConnection;
@@ -262,10 +262,10 @@
             }
             Some(Ok(_)) | None => {}
         }
-        match head.word {
-            RunWord::Misdirected => return none(AttemptEnd::Misdirected),
-            RunWord::NotRun => return none(AttemptEnd::NotRun),
-            RunWord::Ran => {}
+        match head.execution {
+            ExecutionStatus::Misdirected => return none(AttemptEnd::Misdirected),
+            ExecutionStatus::NotRun => return none(AttemptEnd::NotRun),
+            ExecutionStatus::Ran => {}
         }
         // Failure: an answer to an earlier request, duplicated or late, arrives in place of
         // this one, and a caller gets another caller's records. Targets echo the attempt id, so
--- a/crates/hawthorn-edge/src/request/context.rs
+++ b/crates/hawthorn-edge/src/request/context.rs
@@ -77,7 +77,7 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         let mut headers = self.headers.clone();
-        hawthorn_platform::target::address(&mut headers, target, left);
+        hawthorn_platform::target::set_request_headers(&mut headers, target, left);
         *request.headers_mut() = headers;
         request
     }
--- a/crates/hawthorn-edge/src/request/gather.rs
+++ b/crates/hawthorn-edge/src/request/gather.rs
@@ -233,7 +233,7 @@
         host.metrics.count_missing(missing);
     }
     let mut response = Response::new(Full::new(Bytes::from(records.into_body())));
-    caller::merged(response.headers_mut(), receipts, missing);
+    caller::set_part_headers(response.headers_mut(), receipts, missing);
     CallerAnswer::merged(response, state.parts, state.shards)
 }
 
--- a/crates/hawthorn-report/src/line.rs
+++ b/crates/hawthorn-report/src/line.rs
@@ -25,12 +25,12 @@
     }
 
     /// The names of all its values.
-    pub fn names(&self) -> impl Iterator<Item = &'a str> {
+    pub fn keys(&self) -> impl Iterator<Item = &'a str> {
         self.values.keys().copied()
     }
 
     /// One of the line's values as a number.
-    pub fn figure(&self, name: &str) -> Option<f64> {
+    pub fn numeric(&self, name: &str) -> Option<f64> {
         self.value(name)?.parse().ok()
     }
 }
@@ -75,7 +75,7 @@
         } else if let Some((at, host)) = collected {
             line = LogLine { at, host, collected: true, ..line };
         } else {
-            if let Some(millis) = line.figure("unix_ms") {
+            if let Some(millis) = line.numeric("unix_ms") {
                 ahead = millis / 1000.0 - line.at;
             }
             line.at += ahead;
--- a/crates/hawthorn-report/src/page.rs
+++ b/crates/hawthorn-report/src/page.rs
@@ -60,7 +60,7 @@
                  or back, the store lost or back.</p>"
             ),
         );
-        let marks: Vec<f64> = timeline.marks.iter().map(|mark| mark.at).collect();
+        let marks: Vec<f64> = timeline.annotations.iter().map(|mark| mark.at).collect();
         for drawing in drawings(timeline, span, &marks) {
             push(&mut html, &draw::draw(&drawing)?);
         }
@@ -98,8 +98,12 @@
     vec![
         drawing("Requests by outcome", "a second", series(&timeline.outcomes, span)),
         drawing("Time of requests by route", "ms", times(timeline)),
-        drawing("Attempts without an answer, by end", "a second", series(&timeline.bad_ends, span)),
-        drawing("Changes of beliefs", "a second", series(&timeline.beliefs, span)),
+        drawing(
+            "Attempts without an answer, by end",
+            "a second",
+            series(&timeline.failed_attempts, span),
+        ),
+        drawing("Changes of beliefs", "a second", series(&timeline.state_changes, span)),
         drawing("Versions in force", "version", versions(timeline)),
     ]
 }
@@ -123,13 +127,14 @@
 fn times(timeline: &RunTimeline) -> Vec<DrawnSeries> {
     let quantile = |route: &str, share: f64, label: &str| DrawnSeries {
         name: format!("{route} {label}"),
-        points: timeline.times[route]
+        points: timeline.latencies[route]
             .iter()
             .filter_map(|(second, times)| Some((*second as f64, timeline::quantile(times, share)?)))
             .collect(),
     };
-    let mut routes: Vec<&String> = timeline.times.keys().collect();
-    let weight = |route: &String| -> usize { timeline.times[route].values().map(Vec::len).sum() };
+    let mut routes: Vec<&String> = timeline.latencies.keys().collect();
+    let weight =
+        |route: &String| -> usize { timeline.latencies[route].values().map(Vec::len).sum() };
     routes.sort_by_key(|route| std::cmp::Reverse(weight(route)));
     let routes = routes.into_iter().take(MOST_SERIES / 2);
     routes.flat_map(|route| [quantile(route, 0.5, "p50"), quantile(route, 0.99, "p99")]).collect()
@@ -196,10 +201,10 @@
 
 fn marks(html: &mut String, timeline: &RunTimeline) {
     push(html, "<h2>What happened to hosts and their dependencies</h2><table>");
-    let mut marks = timeline.marks.clone();
+    let mut marks = timeline.annotations.clone();
     marks.sort_by(|a, b| a.at.total_cmp(&b.at));
     for mark in marks.iter().take(LISTED_MARKS) {
-        push(html, &format!("<tr><td>{:.3}<td>{}", mark.at, escape(&mark.what)));
+        push(html, &format!("<tr><td>{:.3}<td>{}", mark.at, escape(&mark.description)));
     }
     push(html, "</table>");
     if marks.len() > LISTED_MARKS {
--- a/crates/hawthorn-report/src/timeline.rs
+++ b/crates/hawthorn-report/src/timeline.rs
@@ -26,20 +26,20 @@
 pub type NamedCounts = BTreeMap<i64, SecondCounts>;
 
 /// Times of answers with the weight of each, in milliseconds.
-pub type WeightedTimes = Vec<(f64, f64)>;
+pub type WeightedLatencies = Vec<(f64, f64)>;
 
 /// Something that happened to the run itself.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RunMark {
+pub struct RunAnnotation {
     /// Second of the run.
     pub at: f64,
     /// What happened, to whom.
-    pub what: String,
+    pub description: String,
 }
 
 /// How a target's attempts ended, as all hosts saw it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct TargetEnds {
+pub struct TargetAttempts {
     /// The service whose requests it runs.
     pub service: String,
     /// Its availability zone.
@@ -50,9 +50,9 @@
     pub hosts: BTreeMap<String, usize>,
 }
 
-impl TargetEnds {
+impl TargetAttempts {
     /// Attempts that did not end with an answer.
-    pub fn bad(&self) -> usize {
+    pub fn failures(&self) -> usize {
         self.ends.iter().filter(|(end, _)| *end != "answered").map(|(_, count)| count).sum()
     }
 }
@@ -63,17 +63,17 @@
     /// Requests by outcome.
     pub outcomes: NamedCounts,
     /// Times of requests, by route and second.
-    pub times: BTreeMap<String, BTreeMap<i64, WeightedTimes>>,
+    pub latencies: BTreeMap<String, BTreeMap<i64, WeightedLatencies>>,
     /// Attempts that did not end with an answer, by their end.
-    pub bad_ends: NamedCounts,
-    /// Changes of beliefs: targets, zones, members, the store.
-    pub beliefs: NamedCounts,
+    pub failed_attempts: NamedCounts,
+    /// Changes of state: targets, zones, members, the store.
+    pub state_changes: NamedCounts,
     /// The greatest version in force anywhere, and the least among the newest of hosts.
     pub versions: BTreeMap<i64, (u64, u64)>,
     /// Starts, stops, lost dependencies.
-    pub marks: Vec<RunMark>,
+    pub annotations: Vec<RunAnnotation>,
     /// Attempts by target.
-    pub targets: BTreeMap<String, TargetEnds>,
+    pub targets: BTreeMap<String, TargetAttempts>,
     /// Parts that answers were given without, by shard and why.
     pub missing: BTreeMap<(String, String), usize>,
     /// Lines by event.
@@ -92,7 +92,7 @@
 impl RunTimeline {
     /// Takes in a line. Lines of one host come in their order; those of several
     /// hosts in any.
-    pub fn take(&mut self, line: &LogLine<'_>) {
+    pub fn add(&mut self, line: &LogLine<'_>) {
         *self.events.entry((line.number, line.name.to_owned())).or_default() += 1;
         match line.number {
             event::REQUEST_ENDED => self.take_request(line),
@@ -117,10 +117,10 @@
     }
 
     fn take_request(&mut self, line: &LogLine<'_>) {
-        let weight = line.figure("weight").unwrap_or(1.0);
+        let weight = line.numeric("weight").unwrap_or(1.0);
         count(&mut self.outcomes, second(line), line.value("outcome").unwrap_or("?"), weight);
-        if let (Some(route), Some(millis)) = (line.value("route"), line.figure("ms")) {
-            let route = self.times.entry(route.to_owned()).or_default();
+        if let (Some(route), Some(millis)) = (line.value("route"), line.numeric("ms")) {
+            let route = self.latencies.entry(route.to_owned()).or_default();
             route.entry(second(line)).or_default().push((millis, weight));
         }
     }
@@ -133,7 +133,7 @@
         *ends.ends.entry(end.to_owned()).or_default() += 1;
         if end != "answered" {
             *ends.hosts.entry(line.host.to_owned()).or_default() += 1;
-            count(&mut self.bad_ends, second(line), end, 1.0);
+            count(&mut self.failed_attempts, second(line), end, 1.0);
         }
     }
 
@@ -146,7 +146,7 @@
 
     fn believe(&mut self, line: &LogLine<'_>, what: &str, change: Option<&str>) {
         let name = format!("{what} {}", change.unwrap_or("?"));
-        count(&mut self.beliefs, second(line), &name, 1.0);
+        count(&mut self.state_changes, second(line), &name, 1.0);
     }
 
     fn take_version(&mut self, line: &LogLine<'_>) {
@@ -160,26 +160,27 @@
     }
 
     fn mark(&mut self, line: &LogLine<'_>, what: String) {
-        self.marks.push(RunMark { at: line.at, what });
+        self.annotations.push(RunAnnotation { at: line.at, description: what });
     }
 
     /// The seconds that any line is of: the first and the last.
     pub fn span(&self) -> Option<(i64, i64)> {
-        let counted = self.outcomes.keys().chain(self.beliefs.keys()).chain(self.versions.keys());
-        let marked = self.marks.iter().map(|mark| mark.at.floor() as i64);
+        let counted =
+            self.outcomes.keys().chain(self.state_changes.keys()).chain(self.versions.keys());
+        let marked = self.annotations.iter().map(|mark| mark.at.floor() as i64);
         let seconds = counted.copied().chain(marked);
         Some((seconds.clone().min()?, seconds.max()?))
     }
 
     /// The targets whose attempts ended badly most often.
-    pub fn worst_targets(&self, most: usize) -> Vec<(&str, &TargetEnds)> {
-        let mut worst: Vec<(&str, &TargetEnds)> = self
+    pub fn worst_targets(&self, most: usize) -> Vec<(&str, &TargetAttempts)> {
+        let mut worst: Vec<(&str, &TargetAttempts)> = self
             .targets
             .iter()
-            .filter(|(_, ends)| ends.bad() > 0)
+            .filter(|(_, ends)| ends.failures() > 0)
             .map(|(target, ends)| (target.as_str(), ends))
             .collect();
-        worst.sort_by_key(|(target, ends)| (std::cmp::Reverse(ends.bad()), *target));
+        worst.sort_by_key(|(target, ends)| (std::cmp::Reverse(ends.failures()), *target));
         worst.truncate(most);
         worst
     }
--- a/crates/hawthorn-report/tests/read.rs
+++ b/crates/hawthorn-report/tests/read.rs
@@ -61,7 +61,7 @@
     let line = line::read(text, "a").expect("an event's line");
     assert_eq!(line.value("duty"), Some("accept"));
     assert_eq!(line.value("error"), Some("no room: (os error 24)"));
-    assert_eq!(line.figure("n"), Some(2.0));
+    assert_eq!(line.numeric("n"), Some(2.0));
     assert_eq!(line.value("none"), None);
 }
 
@@ -80,18 +80,18 @@
         2.2 a 1 INFO E610 routes-in-force: version=4 routes=1\n\
         2.3 b 1 WARN E622 zone-reach: zone=west reachable=false\n";
     let mut run = RunTimeline::default();
-    line::lines(text, "file").for_each(|line| run.take(&line));
+    line::lines(text, "file").for_each(|line| run.add(&line));
     assert_eq!(run.outcomes[&1]["answered"], 64.0);
     assert_eq!(run.outcomes[&1]["partial"], 1.0);
-    assert_eq!(timeline::quantile(&run.times["r"][&1], 0.5), Some(10.0));
-    assert_eq!(timeline::quantile(&run.times["r"][&1], 0.99), Some(90.0));
-    assert_eq!(run.bad_ends[&1]["broken"], 1.0);
+    assert_eq!(timeline::quantile(&run.latencies["r"][&1], 0.5), Some(10.0));
+    assert_eq!(timeline::quantile(&run.latencies["r"][&1], 0.99), Some(90.0));
+    assert_eq!(run.failed_attempts[&1]["broken"], 1.0);
     assert_eq!(run.missing[&("s1".to_owned(), "late".to_owned())], 2);
     assert_eq!(run.versions[&2], (3, 4));
     assert_eq!(run.span(), Some((1, 2)));
-    assert_eq!(run.marks.len(), 1);
+    assert_eq!(run.annotations.len(), 1);
     let worst = run.worst_targets(5);
-    assert_eq!((worst[0].0, worst[0].1.bad(), worst[0].1.hosts.len()), ("t", 1, 1));
+    assert_eq!((worst[0].0, worst[0].1.failures(), worst[0].1.hosts.len()), ("t", 1, 1));
 }
 
 /// A host is started again between two readings: its counters begin anew, and
--- a/src/report.rs
+++ b/src/report.rs
@@ -26,7 +26,7 @@
         lines.iter_mut().for_each(|line| line.at -= begin);
     }
     let mut timeline = RunTimeline::default();
-    lines.iter().for_each(|line| timeline.take(line));
+    lines.iter().for_each(|line| timeline.add(line));
     let scrapes: Vec<_> = read_all(&options.metrics)?
         .into_iter()
         .map(|(host, text)| (host, scrape::read(&text)))
--- a/tests/route_events.rs
+++ b/tests/route_events.rs
@@ -234,7 +234,7 @@
     for text in [alone, cut_off, zones, cold, unread].concat() {
         let read = line::read(&text, "").ok_or_else(|| format!("not an event: {text}"))?;
         let keys = catalogue.get(&read.number).ok_or_else(|| format!("not listed: {text}"))?;
-        for name in read.names() {
+        for name in read.keys() {
             assert!(keys.contains(name), "E{}: {name} is not listed: {text}", read.number);
         }
         written.insert(read.number);
