--- a/crates/hawthorn-report/src/lib.rs
+++ b/crates/hawthorn-report/src/lib.rs
@@ -1,18 +1,18 @@
-//! What hosts' log lines and saved metrics tell of a run.
+//! Analysis of a run from hosts' log lines and saved metrics.
 //!
 //! | module | holds |
 //! |---|---|
-//! | [`line`] | one log line, taken apart |
-//! | [`timeline`] | counts of a run by second, from the lines of all its hosts |
-//! | [`scrape`] | metrics as they were saved, one text after the other |
-//! | `page` | one HTML page with a run's drawings and tables |
+//! | [`line`] | parsed log lines |
+//! | [`timeline`] | per-second counts of a run, from the lines of all its hosts |
+//! | [`scrape`] | saved metrics and their rates |
+//! | `page` | HTML page with the charts and tables of a run |
 //!
-//! Nothing here opens a file or a socket.
+//! The crate performs no I/O.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms)]
 
 #[cfg(feature = "draw")]
-mod draw;
+mod chart;
 pub mod line;
 #[cfg(feature = "draw")]
 pub mod page;
--- a/crates/hawthorn-report/src/line.rs
+++ b/crates/hawthorn-report/src/line.rs
@@ -1,17 +1,18 @@
-//! One log line, taken apart.
+//! Parsed log lines.
 
 use std::collections::HashMap;
 
 /// A line of a host's log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine<'a> {
-    /// Seconds: of whoever collected the line, or else since the host was switched on.
+    /// Time in seconds: the log collector's if there is one, otherwise the host's monotonic
+    /// clock, which counts from its boot.
     pub at: f64,
-    /// Whether it is a collector's time.
+    /// Whether `at` and `host` come from a log collector.
     pub collected: bool,
-    /// The host, as its collector names it, or as the file is named.
+    /// The host's name according to the collector, otherwise the name of the file.
     pub host: &'a str,
-    /// Number of the event; the catalogue says what it means.
+    /// Number of the event in the event catalogue.
     pub number: u16,
     /// Name of the event.
     pub name: &'a str,
@@ -19,28 +20,28 @@
 }
 
 impl<'a> LogLine<'a> {
-    /// One of the line's values.
-    pub fn value(&self, name: &str) -> Option<&'a str> {
-        self.values.get(name).copied()
+    /// The value of a key.
+    pub fn value(&self, key: &str) -> Option<&'a str> {
+        self.values.get(key).copied()
     }
 
-    /// The names of all its values.
+    /// All keys of the line, in no particular order.
     pub fn keys(&self) -> impl Iterator<Item = &'a str> {
         self.values.keys().copied()
     }
 
-    /// One of the line's values as a number.
-    pub fn numeric(&self, name: &str) -> Option<f64> {
-        self.value(name)?.parse().ok()
+    /// The value of a key as a number.
+    pub fn numeric(&self, key: &str) -> Option<f64> {
+        self.value(key)?.parse().ok()
     }
 }
 
-/// Takes a line of a host's log apart; `None` where it is no event's line.
+/// Parses a line of a host's log. Returns `None` if it is not the line of an event.
 ///
-/// A host writes `SECONDS LEVEL E630 request-ended: name=value ...`. A collector
-/// may have put its own time and the host's name before that.
+/// A host writes `SECONDS LEVEL E630 request-ended: key=value ...`. A log collector may
+/// prepend its own time and the host's name.
 pub fn read<'a>(text: &'a str, host: &'a str) -> Option<LogLine<'a>> {
-    // The level may begin with the same letter as the number.
+    // The level `ERROR` has the same first letter as the event number.
     let numbered = |(at, _): &(usize, _)| text[at + 2..].starts_with(|c: char| c.is_ascii_digit());
     let (at, _) = text.match_indices(" E").find(numbered)?;
     let (before, event) = (&text[..at], &text[at + 2..]);
@@ -48,26 +49,25 @@
     let (number, name) = head.split_once(' ')?;
     let words: Vec<&str> = before.split_whitespace().collect();
     let at = words.first()?.parse().ok()?;
-    let named = words.iter().rev().nth(2).copied();
+    let collector_host = words.iter().rev().nth(2).copied();
     Some(LogLine {
         at,
-        collected: named.is_some(),
-        host: named.unwrap_or(host),
+        collected: collector_host.is_some(),
+        host: collector_host.unwrap_or(host),
         number: number.parse().ok()?,
         name,
         values: values(pairs).collect(),
     })
 }
 
-/// All lines of a file in its order, each with its time set beside those of
-/// other hosts' files.
+/// All event lines of a file in file order, with times that are comparable between hosts.
 ///
-/// A host's own clock counts from when it was switched on, and the first line of
-/// each process says the time of day as well, to which its lines are brought. A
-/// collector that reads several lines at once puts its time before the first of
-/// them: the others take it over.
+/// A host's monotonic clock counts from its boot. The first line of each process also has
+/// the wall-clock time (`unix_ms`), which gives the offset for the lines that follow. A log
+/// collector that reads several lines at once prepends its time and host name to the first
+/// of them only; the lines that follow inherit both.
 pub fn lines<'a>(text: &'a str, host: &'a str) -> impl Iterator<Item = LogLine<'a>> {
-    let mut ahead = 0.0;
+    let mut wall_clock_offset = 0.0;
     let mut collected: Option<(f64, &'a str)> = None;
     text.lines().filter_map(move |text| read(text, host)).map(move |mut line| {
         if line.collected {
@@ -76,23 +76,23 @@
             line = LogLine { at, host, collected: true, ..line };
         } else {
             if let Some(millis) = line.numeric("unix_ms") {
-                ahead = millis / 1000.0 - line.at;
+                wall_clock_offset = millis / 1000.0 - line.at;
             }
-            line.at += ahead;
+            line.at += wall_clock_offset;
         }
         line
     })
 }
 
-/// `name=value` pairs; a value in quotes may hold spaces.
+/// Parses `key=value` pairs. A quoted value may contain spaces.
 fn values(mut text: &str) -> impl Iterator<Item = (&str, &str)> {
     std::iter::from_fn(move || {
-        let (name, rest) = text.trim_start().split_once('=')?;
+        let (key, rest) = text.trim_start().split_once('=')?;
         let (value, after) = match rest.strip_prefix('"') {
             Some(quoted) => quoted.split_once('"').unwrap_or((quoted, "")),
             None => rest.split_once(' ').unwrap_or((rest, "")),
         };
         text = after;
-        Some((name, value))
+        Some((key, value))
     })
 }
--- a/crates/hawthorn-report/src/scrape.rs
+++ b/crates/hawthorn-report/src/scrape.rs
@@ -1,33 +1,33 @@
-//! Metrics as they were saved, one text after the other.
+//! Saved metrics and their rates.
 
 use std::collections::BTreeMap;
 
-/// What begins a text of metrics in a file of several: the second it was read at.
-const SCRAPE_HEAD: &str = "# scraped ";
+/// Prefix of the line before each scrape in a file, followed by its time in seconds.
+const SCRAPE_HEADER: &str = "# scraped ";
 
-/// One reading of a host's metrics.
+/// One scrape of a host's metrics.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MetricsScrape {
-    /// When it was read, in seconds.
+    /// Time of the scrape, in seconds.
     pub at: f64,
-    /// Values by series: its name with its labels.
+    /// Values by series, which is a metric's name with its labels.
     pub values: BTreeMap<String, f64>,
 }
 
-/// How much one series grew between two readings, a second.
+/// Rate of a series between two consecutive scrapes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SeriesRate {
-    /// Middle of the two readings.
+    /// Midpoint of the two scrapes, in seconds.
     pub at: f64,
-    /// Growth a second.
+    /// Increase per second.
     pub rate: f64,
 }
 
-/// Reads a file of readings, each after a line `# scraped SECONDS`.
+/// Parses a file of scrapes, each preceded by a line `# scraped SECONDS`.
 pub fn read(text: &str) -> Vec<MetricsScrape> {
     let mut scrapes: Vec<MetricsScrape> = Vec::new();
     for line in text.lines() {
-        if let Some(at) = line.strip_prefix(SCRAPE_HEAD) {
+        if let Some(at) = line.strip_prefix(SCRAPE_HEADER) {
             let at = at.trim().parse().unwrap_or_default();
             scrapes.push(MetricsScrape { at, values: BTreeMap::new() });
         } else if !line.starts_with('#')
@@ -40,23 +40,23 @@
     scrapes
 }
 
-/// The rates of all series that begin so, by series. A counter that fell is of a
-/// process that began anew, and grew from nothing.
-pub fn rates(scrapes: &[MetricsScrape], begins: &str) -> BTreeMap<String, Vec<SeriesRate>> {
+/// The rates of all series with a prefix, by series. A counter that decreased was reset by a
+/// restart of its process and is counted from zero.
+pub fn rates(scrapes: &[MetricsScrape], prefix: &str) -> BTreeMap<String, Vec<SeriesRate>> {
     let mut rates: BTreeMap<String, Vec<SeriesRate>> = BTreeMap::new();
     for pair in scrapes.windows(2) {
         let [before, after] = pair else { continue };
-        let passed = after.at - before.at;
-        if passed <= 0.0 {
+        let elapsed = after.at - before.at;
+        if elapsed <= 0.0 {
             continue;
         }
-        for (series, value) in after.values.range(begins.to_owned()..) {
-            if !series.starts_with(begins) {
+        for (series, value) in after.values.range(prefix.to_owned()..) {
+            if !series.starts_with(prefix) {
                 break;
             }
-            let had = before.values.get(series).copied().unwrap_or_default();
-            let grown = if *value >= had { value - had } else { *value };
-            let rate = SeriesRate { at: (before.at + after.at) / 2.0, rate: grown / passed };
+            let previous = before.values.get(series).copied().unwrap_or_default();
+            let increase = if *value >= previous { value - previous } else { *value };
+            let rate = SeriesRate { at: (before.at + after.at) / 2.0, rate: increase / elapsed };
             rates.entry(series.clone()).or_default().push(rate);
         }
     }
--- a/crates/hawthorn-report/src/timeline.rs
+++ b/crates/hawthorn-report/src/timeline.rs
@@ -1,10 +1,10 @@
-//! Counts of a run by second, from the log lines of all its hosts.
+//! Per-second counts of a run, from the log lines of all its hosts.
 
 use std::collections::BTreeMap;
 
 use crate::line::LogLine;
 
-/// Numbers of the events that are counted; the catalogue says what they mean.
+/// Numbers of the events that are counted, as in the event catalogue.
 mod event {
     pub(super) const HOST_STARTED: u16 = 600;
     pub(super) const HOST_STOPPING: u16 = 602;
@@ -19,66 +19,66 @@
     pub(super) const PEER_CHANGED: u16 = 641;
 }
 
-/// What was counted in one second of a run: a weight by name.
+/// Weighted counts of one second of a run, by name.
 pub type SecondCounts = BTreeMap<String, f64>;
 
-/// One series by second of the run, of several names.
+/// Weighted counts by second of the run and name.
 pub type NamedCounts = BTreeMap<i64, SecondCounts>;
 
-/// Times of answers with the weight of each, in milliseconds.
+/// Request latencies in milliseconds, each with its sampling weight.
 pub type WeightedLatencies = Vec<(f64, f64)>;
 
-/// Something that happened to the run itself.
+/// A point in time at which a host or one of its dependencies changed state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunAnnotation {
     /// Second of the run.
     pub at: f64,
-    /// What happened, to whom.
+    /// The change and the host that it concerns.
     pub description: String,
 }
 
-/// How a target's attempts ended, as all hosts saw it.
+/// How the attempts at a target ended, over all hosts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TargetAttempts {
-    /// The service whose requests it runs.
+    /// The target's service.
     pub service: String,
-    /// Its availability zone.
+    /// The target's availability zone.
     pub zone: String,
-    /// Attempts by how they ended.
+    /// Number of attempts by their end.
     pub ends: BTreeMap<String, usize>,
-    /// Hosts that saw one end badly.
+    /// Number of failed attempts by host.
     pub hosts: BTreeMap<String, usize>,
 }
 
 impl TargetAttempts {
-    /// Attempts that did not end with an answer.
+    /// Number of attempts that did not end with an answer.
     pub fn failures(&self) -> usize {
         self.ends.iter().filter(|(end, _)| *end != "answered").map(|(_, count)| count).sum()
     }
 }
 
-/// A run, second by second. A calm request counts for all that its sample stands for.
+/// Timeline of a run. A sampled request counts with the weight of its sample.
 #[derive(Clone, Debug, Default)]
 pub struct RunTimeline {
-    /// Requests by outcome.
+    /// Requests by second and outcome.
     pub outcomes: NamedCounts,
-    /// Times of requests, by route and second.
+    /// Request latencies by route and second.
     pub latencies: BTreeMap<String, BTreeMap<i64, WeightedLatencies>>,
-    /// Attempts that did not end with an answer, by their end.
+    /// Attempts that did not end with an answer, by second and end.
     pub failed_attempts: NamedCounts,
-    /// Changes of state: targets, zones, members, the store.
+    /// State changes of targets, zones and hosts, by second and kind.
     pub state_changes: NamedCounts,
-    /// The greatest version in force anywhere, and the least among the newest of hosts.
+    /// Lowest and highest of the hosts' current configuration versions, by second.
     pub versions: BTreeMap<i64, (u64, u64)>,
-    /// Starts, stops, lost dependencies.
+    /// Starts and stops of hosts, and loss and recovery of zones and the store.
     pub annotations: Vec<RunAnnotation>,
-    /// Attempts by target.
+    /// Ends of attempts by target.
     pub targets: BTreeMap<String, TargetAttempts>,
-    /// Parts that answers were given without, by shard and why.
+    /// Number of answers without a part, by shard and reason.
     pub missing: BTreeMap<(String, String), usize>,
-    /// Lines by event.
+    /// Number of lines by event.
     pub events: BTreeMap<(u16, String), usize>,
-    in_force: BTreeMap<String, u64>,
+    current_versions: BTreeMap<String, u64>,
 }
 
 fn second(line: &LogLine<'_>) -> i64 {
@@ -90,33 +90,33 @@
 }
 
 impl RunTimeline {
-    /// Takes in a line. Lines of one host come in their order; those of several
-    /// hosts in any.
+    /// Adds a line. Lines of one host must be added in order; lines of different hosts may
+    /// interleave in any way.
     pub fn add(&mut self, line: &LogLine<'_>) {
         *self.events.entry((line.number, line.name.to_owned())).or_default() += 1;
         match line.number {
-            event::REQUEST_ENDED => self.take_request(line),
-            event::ATTEMPT_ENDED => self.take_attempt(line),
-            event::PARTS_MISSING => self.take_missing(line),
-            event::TARGET_CHANGED => self.believe(line, "target", line.value("change")),
-            event::PEER_CHANGED => self.believe(line, "host", line.value("change")),
-            event::ROUTES_IN_FORCE => self.take_version(line),
+            event::REQUEST_ENDED => self.add_request(line),
+            event::ATTEMPT_ENDED => self.add_attempt(line),
+            event::PARTS_MISSING => self.add_missing(line),
+            event::TARGET_CHANGED => self.count_change(line, "target", line.value("change")),
+            event::PEER_CHANGED => self.count_change(line, "host", line.value("change")),
+            event::ROUTES_IN_FORCE => self.add_version(line),
             event::ZONE_REACH => {
-                let reach =
+                let change =
                     if line.value("reachable") == Some("true") { "back" } else { "cut off" };
-                self.believe(line, "zone", Some(reach));
+                self.count_change(line, "zone", Some(change));
                 let zone = line.value("zone").unwrap_or("?");
-                self.mark(line, format!("{zone} {reach} for {}", line.host));
+                self.annotate(line, format!("{zone} {change} for {}", line.host));
             }
-            event::HOST_STARTED => self.mark(line, format!("{} starts", line.host)),
-            event::HOST_STOPPING => self.mark(line, format!("{} stops", line.host)),
-            event::STORE_LOST => self.mark(line, format!("{} lost the store", line.host)),
-            event::STORE_BACK => self.mark(line, format!("{} has the store back", line.host)),
+            event::HOST_STARTED => self.annotate(line, format!("{} starts", line.host)),
+            event::HOST_STOPPING => self.annotate(line, format!("{} stops", line.host)),
+            event::STORE_LOST => self.annotate(line, format!("{} lost the store", line.host)),
+            event::STORE_BACK => self.annotate(line, format!("{} has the store back", line.host)),
             _ => {}
         }
     }
 
-    fn take_request(&mut self, line: &LogLine<'_>) {
+    fn add_request(&mut self, line: &LogLine<'_>) {
         let weight = line.numeric("weight").unwrap_or(1.0);
         count(&mut self.outcomes, second(line), line.value("outcome").unwrap_or("?"), weight);
         if let (Some(route), Some(millis)) = (line.value("route"), line.numeric("ms")) {
@@ -125,77 +125,79 @@
         }
     }
 
-    fn take_attempt(&mut self, line: &LogLine<'_>) {
+    fn add_attempt(&mut self, line: &LogLine<'_>) {
         let (Some(target), Some(end)) = (line.value("target"), line.value("end")) else { return };
-        let ends = self.targets.entry(target.to_owned()).or_default();
-        ends.service = line.value("service").unwrap_or("?").to_owned();
-        ends.zone = line.value("zone").unwrap_or("?").to_owned();
-        *ends.ends.entry(end.to_owned()).or_default() += 1;
+        let attempts = self.targets.entry(target.to_owned()).or_default();
+        attempts.service = line.value("service").unwrap_or("?").to_owned();
+        attempts.zone = line.value("zone").unwrap_or("?").to_owned();
+        *attempts.ends.entry(end.to_owned()).or_default() += 1;
         if end != "answered" {
-            *ends.hosts.entry(line.host.to_owned()).or_default() += 1;
+            *attempts.hosts.entry(line.host.to_owned()).or_default() += 1;
             count(&mut self.failed_attempts, second(line), end, 1.0);
         }
     }
 
-    fn take_missing(&mut self, line: &LogLine<'_>) {
+    fn add_missing(&mut self, line: &LogLine<'_>) {
         let shards = line.value("shards").unwrap_or_default().split(',');
-        for (shard, why) in shards.filter_map(|shard| shard.split_once(':')) {
-            *self.missing.entry((shard.to_owned(), why.to_owned())).or_default() += 1;
+        for (shard, reason) in shards.filter_map(|shard| shard.split_once(':')) {
+            *self.missing.entry((shard.to_owned(), reason.to_owned())).or_default() += 1;
         }
     }
 
-    fn believe(&mut self, line: &LogLine<'_>, what: &str, change: Option<&str>) {
-        let name = format!("{what} {}", change.unwrap_or("?"));
+    fn count_change(&mut self, line: &LogLine<'_>, subject: &str, change: Option<&str>) {
+        let name = format!("{subject} {}", change.unwrap_or("?"));
         count(&mut self.state_changes, second(line), &name, 1.0);
     }
 
-    fn take_version(&mut self, line: &LogLine<'_>) {
+    fn add_version(&mut self, line: &LogLine<'_>) {
         let Some(version) = line.value("version").and_then(|text| text.parse().ok()) else {
             return;
         };
-        self.in_force.insert(line.host.to_owned(), version);
-        let least = self.in_force.values().min().copied().unwrap_or(version);
-        let most = self.in_force.values().max().copied().unwrap_or(version);
-        self.versions.insert(second(line), (least, most));
+        self.current_versions.insert(line.host.to_owned(), version);
+        let min = self.current_versions.values().min().copied().unwrap_or(version);
+        let max = self.current_versions.values().max().copied().unwrap_or(version);
+        self.versions.insert(second(line), (min, max));
     }
 
-    fn mark(&mut self, line: &LogLine<'_>, what: String) {
-        self.annotations.push(RunAnnotation { at: line.at, description: what });
+    fn annotate(&mut self, line: &LogLine<'_>, description: String) {
+        self.annotations.push(RunAnnotation { at: line.at, description });
     }
 
-    /// The seconds that any line is of: the first and the last.
+    /// The first and the last second with a counted request, state change, version or
+    /// annotation.
     pub fn span(&self) -> Option<(i64, i64)> {
         let counted =
             self.outcomes.keys().chain(self.state_changes.keys()).chain(self.versions.keys());
-        let marked = self.annotations.iter().map(|mark| mark.at.floor() as i64);
-        let seconds = counted.copied().chain(marked);
+        let annotated = self.annotations.iter().map(|annotation| annotation.at.floor() as i64);
+        let seconds = counted.copied().chain(annotated);
         Some((seconds.clone().min()?, seconds.max()?))
     }
 
-    /// The targets whose attempts ended badly most often.
-    pub fn worst_targets(&self, most: usize) -> Vec<(&str, &TargetAttempts)> {
+    /// Up to `max` targets with failed attempts, those with the most failures first.
+    pub fn worst_targets(&self, max: usize) -> Vec<(&str, &TargetAttempts)> {
         let mut worst: Vec<(&str, &TargetAttempts)> = self
             .targets
             .iter()
-            .filter(|(_, ends)| ends.failures() > 0)
-            .map(|(target, ends)| (target.as_str(), ends))
+            .filter(|(_, attempts)| attempts.failures() > 0)
+            .map(|(target, attempts)| (target.as_str(), attempts))
             .collect();
-        worst.sort_by_key(|(target, ends)| (std::cmp::Reverse(ends.failures()), *target));
-        worst.truncate(most);
+        worst.sort_by_key(|(target, attempts)| (std::cmp::Reverse(attempts.failures()), *target));
+        worst.truncate(max);
         worst
     }
 }
 
-/// The time that a share of the weight does not exceed.
-pub fn quantile(times: &[(f64, f64)], share: f64) -> Option<f64> {
-    let mut sorted = times.to_vec();
+/// The weighted quantile of latencies: the smallest latency that at least `share` of the
+/// weight does not exceed. `None` without samples.
+pub fn quantile(latencies: &[(f64, f64)], share: f64) -> Option<f64> {
+    let mut sorted = latencies.to_vec();
     sorted.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let all: f64 = sorted.iter().map(|(_, weight)| weight).sum();
-    let mut seen = 0.0;
-    for (time, weight) in &sorted {
-        seen += weight;
-        if seen >= all * share {
-            return Some(*time);
+    let total: f64 = sorted.iter().map(|(_, weight)| weight).sum();
+    let mut cumulative = 0.0;
+    for (latency, weight) in &sorted {
+        cumulative += weight;
+        if cumulative >= total * share {
+            return Some(*latency);
         }
     }
     None
--- a/crates/hawthorn-report/tests/read.rs
+++ b/crates/hawthorn-report/tests/read.rs
@@ -1,33 +1,33 @@
-//! Log lines and saved metrics as they are read.
+//! Parsing of log lines and saved metrics.
 
 use hawthorn_report::line;
 use hawthorn_report::scrape;
 use hawthorn_report::timeline;
 use hawthorn_report::timeline::RunTimeline;
 
-/// Lines come as a host wrote them, through a collector, through one that reads
-/// several at once, or are not the host's at all.
+/// Lines come directly from a host, from a log collector, from a collector that prefixes only
+/// the first of several lines, or are not lines of events.
 #[test]
-fn lines_are_read_whoever_collected_them() {
+fn parses_lines_with_and_without_a_collector() {
     struct Case {
         name: &'static str,
         text: &'static str,
-        /// Time, host and event number of each line that counts.
-        read: &'static [(f64, &'static str, u16)],
+        /// Time, host and event number of each parsed line.
+        parsed: &'static [(f64, &'static str, u16)],
     }
     let cases = [
         Case {
-            name: "as written, of a host without a start",
+            name: "directly from a host, without a start",
             text: "63486.5 INFO E630 request-ended: request=a1 outcome=answered\n",
-            read: &[(63486.5, "file", 630)],
+            parsed: &[(63486.5, "file", 630)],
         },
         Case {
-            name: "as written, brought to the time of day, twice started",
+            name: "directly from a host, with two starts and their wall-clock times",
             text: "10.5 INFO E600 host-started: host=a zone=z unix_ms=1000500\n\
                    12.5 INFO E601 host-ready: version=1\n\
                    3.0 INFO E600 host-started: host=a zone=z unix_ms=1009000\n\
                    3.5 INFO E601 host-ready: version=1\n",
-            read: &[
+            parsed: &[
                 (1000.5, "file", 600),
                 (1002.5, "file", 601),
                 (1009.0, "file", 600),
@@ -35,40 +35,40 @@
             ],
         },
         Case {
-            name: "collected, several lines at once",
+            name: "from a collector, several lines at once",
             text: "  -9.5 front-1 80.1 INFO E600 host-started: host=a zone=z unix_ms=5\n\
                    80.2 INFO E601 host-ready: version=1\n\
                    1.5 front-2 70.1 WARN E612 store-lost: error=\"no answer: reset\"\n",
-            read: &[(-9.5, "front-1", 600), (-9.5, "front-1", 601), (1.5, "front-2", 612)],
+            parsed: &[(-9.5, "front-1", 600), (-9.5, "front-1", 601), (1.5, "front-2", 612)],
         },
         Case {
-            name: "not a host's",
+            name: "not lines of events",
             text: "\nERROR Everything E630 is: x=1\nbuilt in 3 s\n4.2 INFO E6x0 odd: a=1\n\
                    4.2 INFO E\n4.2 INFO E630\n4.2 INFO E630 request-ended\n",
-            read: &[],
+            parsed: &[],
         },
     ];
     for case in cases {
-        let read: Vec<_> =
+        let parsed: Vec<_> =
             line::lines(case.text, "file").map(|line| (line.at, line.host, line.number)).collect();
-        assert_eq!(read, case.read, "{}", case.name);
+        assert_eq!(parsed, case.parsed, "{}", case.name);
     }
 }
 
 #[test]
-fn values_may_hold_spaces() {
+fn quoted_values_may_contain_spaces() {
     let text = "1.0 ERROR E605 duty-failed: duty=accept error=\"no room: (os error 24)\" n=2";
-    let line = line::read(text, "a").expect("an event's line");
+    let line = line::read(text, "a").expect("the line of an event");
     assert_eq!(line.value("duty"), Some("accept"));
     assert_eq!(line.value("error"), Some("no room: (os error 24)"));
     assert_eq!(line.numeric("n"), Some(2.0));
     assert_eq!(line.value("none"), None);
 }
 
-/// Calm requests are sampled, all others told of: what is counted is what was
-/// served, and times weigh as much as the requests that they stand for.
+/// Requests without anything unusual are sampled, all others are logged. Counts and latencies
+/// use the sampling weight, so that they describe all requests.
 #[test]
-fn a_timeline_counts_what_samples_stand_for() {
+fn a_timeline_weights_sampled_requests() {
     let text = "\
         1.2 a 1 INFO E630 request-ended: request=1 route=r outcome=answered ms=10.0 weight=64\n\
         1.4 a 1 INFO E630 request-ended: request=2 route=r outcome=partial ms=90.0 weight=1\n\
@@ -94,19 +94,19 @@
     assert_eq!((worst[0].0, worst[0].1.failures(), worst[0].1.hosts.len()), ("t", 1, 1));
 }
 
-/// A host is started again between two readings: its counters begin anew, and
-/// the rate is what it has counted since, never below zero.
+/// A host restarts between two scrapes and its counters reset. The rate is computed from zero
+/// and is never negative.
 #[test]
-fn rates_survive_a_restart() {
+fn rates_handle_counter_resets() {
     let text = "# scraped 10\n# HELP x\nreq_total{o=\"a\"} 100\nother 7\n\
                 # scraped 20\nreq_total{o=\"a\"} 150\nother 9\n\
                 # scraped 30\nreq_total{o=\"a\"} 20\nother 1\n";
     let scrapes = scrape::read(text);
     assert_eq!(scrapes.len(), 3);
     let rates = scrape::rates(&scrapes, "req_total");
-    let of = &rates["req_total{o=\"a\"}"];
+    let series = &rates["req_total{o=\"a\"}"];
     assert_eq!(
-        of.iter().map(|rate| (rate.at, rate.rate)).collect::<Vec<_>>(),
+        series.iter().map(|rate| (rate.at, rate.rate)).collect::<Vec<_>>(),
         [(15.0, 5.0), (25.0, 2.0)]
     );
     assert_eq!(rates.len(), 1);
