--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line parser.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,7 +11,7 @@
 use hawthorn_platform::process::SETTINGS_VARIABLE;
 use log::LevelFilter;
 
-/// What was asked for.
+/// A subcommand with its options.
 #[derive(Clone, Debug)]
 pub(crate) enum CliCommand {
     Serve(ServeOptions),
@@ -31,30 +31,33 @@
     Demo,
 }
 
-/// Of `serve`.
+/// Options of `serve`.
 #[derive(Clone, Debug)]
 pub(crate) struct ServeOptions {
     pub(crate) settings: PathBuf,
     pub(crate) log: LevelFilter,
 }
 
-/// Of `route`.
+/// Options of `route`.
 #[derive(Clone, Debug)]
 pub(crate) struct RouteOptions {
     pub(crate) settings: PathBuf,
     pub(crate) log: LevelFilter,
 }
 
-/// Of `explain-log`.
+/// Options of `explain-log`.
 #[derive(Clone, Debug)]
 pub(crate) struct ExplainLogOptions {
     pub(crate) request: String,
     pub(crate) files: Vec<PathBuf>,
 }
 
-/// Of `report`.
+/// Options of `report`.
 #[derive(Clone, Debug)]
-#[cfg_attr(not(feature = "report"), expect(dead_code, reason = "only drawing reads all of it"))]
+#[cfg_attr(
+    not(feature = "report"),
+    expect(dead_code, reason = "only the `report` feature reads all fields")
+)]
 pub(crate) struct ReportOptions {
     pub(crate) title: String,
     pub(crate) out: PathBuf,
@@ -62,14 +65,14 @@
     pub(crate) files: Vec<PathBuf>,
 }
 
-/// Of `check`.
+/// Options of `check`.
 #[derive(Clone, Debug)]
 pub(crate) struct CheckOptions {
     pub(crate) json: bool,
     pub(crate) path: PathBuf,
 }
 
-/// Of `query`.
+/// Options of `query`.
 #[derive(Clone, Debug)]
 pub(crate) struct QueryOptions {
     pub(crate) at: SocketAddr,
@@ -84,7 +87,7 @@
     pub(crate) json: bool,
 }
 
-/// Of `request`.
+/// Options of `request`.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestOptions {
     pub(crate) at: SocketAddr,
@@ -97,21 +100,21 @@
     pub(crate) json: bool,
 }
 
-/// Of `status`.
+/// Options of `status`.
 #[derive(Clone, Debug)]
 pub(crate) struct StatusOptions {
     pub(crate) at: SocketAddr,
     pub(crate) json: bool,
 }
 
-/// Of `explain`.
+/// Options of `explain`.
 #[derive(Clone, Debug)]
 pub(crate) struct ExplainOptions {
     pub(crate) at: SocketAddr,
     pub(crate) target: String,
 }
 
-/// Of `apply`.
+/// Options of `apply`.
 #[derive(Clone, Debug)]
 pub(crate) struct ApplyOptions {
     pub(crate) platform: SocketAddr,
@@ -121,7 +124,7 @@
     pub(crate) directory: PathBuf,
 }
 
-/// Of `diff`.
+/// Options of `diff`.
 #[derive(Clone, Debug)]
 pub(crate) struct DiffOptions {
     pub(crate) platform: SocketAddr,
@@ -130,7 +133,7 @@
     pub(crate) directory: PathBuf,
 }
 
-/// Of `history`.
+/// Options of `history`.
 #[derive(Clone, Debug)]
 pub(crate) struct HistoryOptions {
     pub(crate) platform: SocketAddr,
@@ -138,7 +141,7 @@
     pub(crate) revision: Option<u64>,
 }
 
-/// Of `import`.
+/// Options of `import`.
 #[derive(Clone, Debug)]
 pub(crate) struct ImportOptions {
     pub(crate) base: PathBuf,
@@ -150,43 +153,45 @@
 }
 
 fn platform() -> impl Parser<SocketAddr> {
-    long("platform").help("The platform's service, IP:PORT").argument::<SocketAddr>("ADDRESS")
+    long("platform")
+        .help("Address of the platform's store, IP:PORT")
+        .argument::<SocketAddr>("ADDRESS")
 }
 
 fn caller() -> impl Parser<String> {
-    long("caller").help("Who asks, as named in the rules").argument::<String>("NAME")
+    long("caller").help("The caller's name in the rules").argument::<String>("NAME")
 }
 
 fn service() -> impl Parser<String> {
-    long("service").help("The service, as named in the inventory").argument::<String>("NAME")
+    long("service").help("The service's name in the inventory").argument::<String>("NAME")
 }
 
 fn deadline() -> impl Parser<u64> {
     long("deadline-ms")
-        .help("How long to wait, in milliseconds")
+        .help("Deadline, in milliseconds from now")
         .argument::<u64>("N")
         .fallback(2_000)
         .display_fallback()
 }
 
 fn json() -> impl Parser<bool> {
-    long("json").help("Print JSON for scripts").switch()
+    long("json").help("Print JSON").switch()
 }
 
 fn directory() -> impl Parser<PathBuf> {
-    positional::<PathBuf>("DIRECTORY").help("Holds inventory.toml and rules.toml")
+    positional::<PathBuf>("DIRECTORY").help("Directory with inventory.toml and rules.toml")
 }
 
 fn log_level() -> impl Parser<LevelFilter> {
     long("log")
-        .help("error, warn, info, debug or trace")
+        .help("Log level: error, warn, info, debug or trace")
         .argument::<LevelFilter>("LEVEL")
         .fallback(LevelFilter::Info)
         .display_fallback()
 }
 
 fn serve() -> impl Parser<CliCommand> {
-    let settings = long("settings").short('s').help("The file of settings, TOML").argument("FILE");
+    let settings = long("settings").short('s').help("Settings file, TOML").argument("FILE");
     let log = log_level();
     construct!(ServeOptions { settings, log })
         .map(CliCommand::Serve)
@@ -200,7 +205,7 @@
     let settings = long("settings")
         .short('s')
         .env(SETTINGS_VARIABLE)
-        .help("The file of settings, TOML")
+        .help("Settings file, TOML")
         .argument("FILE");
     let log = log_level();
     construct!(RouteOptions { settings, log })
@@ -212,31 +217,31 @@
 }
 
 fn explain_log() -> impl Parser<CliCommand> {
-    let request = long("request").help("The id of the caller's try").argument::<String>("ID");
-    let files = positional::<PathBuf>("FILE").help("Hosts' logs, one file a host").some("a file");
+    let request = long("request").help("The attempt id of the request").argument::<String>("ID");
+    let files = positional::<PathBuf>("FILE").help("Hosts' logs, one file per host").some("a file");
     construct!(ExplainLogOptions { request, files })
         .map(CliCommand::ExplainLog)
         .to_options()
-        .descr("Tell the story of one routed request from hosts' logs")
+        .descr("Explain one routed request from hosts' logs")
         .footer("Example: hawthornroute explain-log --request 9c41d07be2a35f68 front-*.log")
         .command("explain-log")
 }
 
 fn report() -> impl Parser<CliCommand> {
     let title = long("title")
-        .help("What the page is called")
+        .help("Title of the page")
         .argument::<String>("TEXT")
         .fallback("hawthornroute".to_owned());
-    let out = long("out").help("The page to write, HTML").argument::<PathBuf>("FILE");
+    let out = long("out").help("HTML file to write").argument::<PathBuf>("FILE");
     let metrics = long("metrics")
-        .help("A host's saved metrics: readings, each after a line '# scraped SECONDS'")
+        .help("A host's saved metrics: scrapes, each after a line '# scraped SECONDS'")
         .argument::<PathBuf>("FILE")
         .many();
-    let files = positional::<PathBuf>("FILE").help("Hosts' logs, one file a host").some("a file");
+    let files = positional::<PathBuf>("FILE").help("Hosts' logs, one file per host").some("a file");
     construct!(ReportOptions { title, out, metrics, files })
         .map(CliCommand::Report)
         .to_options()
-        .descr("Draw a run of routed requests from hosts' logs and saved metrics, as one page")
+        .descr("Render a run of routed requests from hosts' logs and saved metrics as an HTML page")
         .footer("Example: hawthornroute report --out run.html front-*.log")
         .command("report")
 }
@@ -244,13 +249,13 @@
 fn check() -> impl Parser<CliCommand> {
     let json = json();
     let path = positional::<PathBuf>("PATH")
-        .help("Holds inventory.toml and rules.toml; or the settings file of `route`");
+        .help("Directory with inventory.toml and rules.toml, or the settings file of `route`");
     construct!(CheckOptions { json, path })
         .map(CliCommand::Check)
         .to_options()
         .descr(
-            "Find every fault of inventory.toml, rules.toml and, if there, daemon.toml; \
-             or the first of the settings of `route`",
+            "Report all errors in inventory.toml, rules.toml and, if present, daemon.toml; \
+             or the first error in the settings of `route`",
         )
         .footer("Example: hawthornroute check examples/dar-port")
         .command("check")
@@ -261,16 +266,23 @@
     let caller = caller();
     let service = service();
     let text = long("text")
-        .help("Words a document must all contain")
+        .help("Words that a matching document contains")
         .argument::<String>("WORDS")
         .fallback(String::new());
-    let range =
-        long("range").help("Keys to search, START..END").argument::<String>("RANGE").optional();
-    let limit =
-        long("limit").help("Most matches").argument::<u32>("N").fallback(20).display_fallback();
+    let range = long("range")
+        .help("Key range to search, START..END")
+        .argument::<String>("RANGE")
+        .optional();
+    let limit = long("limit")
+        .help("Maximum number of matches")
+        .argument::<u32>("N")
+        .fallback(20)
+        .display_fallback();
     let deadline_ms = deadline();
-    let normal = long("normal").help("May wait behind urgent queries").switch();
-    let id = long("id").help("Your own id, echoed").argument::<String>("ID").optional();
+    let normal =
+        long("normal").help("Use normal urgency; urgent queries may be served first").switch();
+    let id =
+        long("id").help("Request id, echoed in the answer").argument::<String>("ID").optional();
     let json = json();
     construct!(QueryOptions {
         at,
@@ -298,10 +310,10 @@
     let at = at();
     let caller = caller();
     let service = service();
-    let key = long("key").help("The key that chooses the shard").argument::<u32>("N");
-    let body = long("body").help("What to do").argument::<String>("TEXT");
+    let key = long("key").help("Key that selects the shard").argument::<u32>("N");
+    let body = long("body").help("Body of the request").argument::<String>("TEXT");
     let id = long("id")
-        .help("Your own id, SECONDS-REST; the same again for the same request")
+        .help("Request id, SECONDS-REST; a retry of the request has the same id")
         .argument::<String>("ID");
     let deadline_ms = deadline();
     let json = json();
@@ -322,7 +334,7 @@
     construct!(StatusOptions { at, json })
         .map(CliCommand::Status)
         .to_options()
-        .descr("Show the fleet, the configuration in force and drift, as one host sees them")
+        .descr("Show the fleet, the configuration in force and drift, from one host's view")
         .footer("Example: hawthornroute status --at 10.1.0.1:8400")
         .command("status")
 }
@@ -333,26 +345,26 @@
     construct!(ExplainOptions { at, target })
         .map(CliCommand::Explain)
         .to_options()
-        .descr("Say why a target is wanted in the state it is")
+        .descr("Explain the wanted state of a target")
         .footer("Example: hawthornroute explain --at 10.1.0.1:8400 agent-desk-07-a")
         .command("explain")
 }
 
 fn apply() -> impl Parser<CliCommand> {
     let platform = platform();
-    let author = long("author").help("Who edits").argument::<String>("NAME");
+    let author = long("author").help("Author of the edit").argument::<String>("NAME");
     let base = long("base")
-        .help("The revision the edit was made on, as diff shows it; 0 for the first")
+        .help("Revision that the edit is based on, as shown by diff; 0 for the first edit")
         .argument::<u64>("REVISION");
     let edit_id = long("edit-id")
-        .help("Repeat an edit whose outcome is not known, by the id it printed")
+        .help("Retry an edit with an unknown outcome, by the id that it printed")
         .argument::<String>("ID")
         .optional();
     let directory = directory();
     construct!(ApplyOptions { platform, author, base, edit_id, directory })
         .map(CliCommand::Apply)
         .to_options()
-        .descr("Check a configuration and bring it into force")
+        .descr("Check a configuration and put it into force")
         .footer(
             "Example: hawthornroute apply --platform 10.1.0.9:2379 --author asha --base 41 dar-port",
         )
@@ -362,7 +374,7 @@
 fn diff() -> impl Parser<CliCommand> {
     let platform = platform();
     let revision = long("revision")
-        .help("Compare with this earlier revision instead of the one in force")
+        .help("Compare with an earlier revision instead of the one in force")
         .argument::<u64>("REVISION")
         .optional();
     let json = json();
@@ -381,24 +393,25 @@
         .help("Write the revision's inventory.toml and rules.toml into this directory")
         .argument::<PathBuf>("DIRECTORY")
         .optional();
-    let revision = long("revision").help("One revision").argument::<u64>("REVISION").optional();
+    let revision =
+        long("revision").help("Show this revision only").argument::<u64>("REVISION").optional();
     construct!(HistoryOptions { platform, write, revision })
         .map(CliCommand::History)
         .to_options()
-        .descr("List earlier configurations, as far as the store holds them")
+        .descr("List the earlier configurations that the store still has")
         .footer("Example: hawthornroute history --platform 10.1.0.9:2379 --revision 41 --write old")
         .command("history")
 }
 
 fn import() -> impl Parser<CliCommand> {
     let base = long("base")
-        .help("An inventory.toml whose zones and services are taken over")
+        .help("An inventory.toml that provides the zones and services")
         .argument::<PathBuf>("FILE");
     let register = positional::<PathBuf>("REGISTER").help("The asset register, CSV");
     construct!(ImportOptions { base, register })
         .map(CliCommand::Import)
         .to_options()
-        .descr("Make an inventory from an asset register; the inventory goes to standard output")
+        .descr("Generate an inventory from an asset register and print it to standard output")
         .footer(
             "Example: hawthornroute import --base examples/dar-port/inventory.toml \
              examples/dar-port/asset-register.csv > inventory.toml",
@@ -410,11 +423,11 @@
 fn demo() -> impl Parser<CliCommand> {
     bpaf::pure(CliCommand::Demo)
         .to_options()
-        .descr("Run the whole path on loopback with stand-ins, for ten seconds at the most")
+        .descr("Run a tier on loopback against stand-ins, for at most ten seconds")
         .command("demo")
 }
 
-/// The parser of the whole command line.
+/// Builds the parser of the command line.
 pub(crate) fn command() -> OptionParser<CliCommand> {
     let serve = serve();
     let route = route();
@@ -454,7 +467,7 @@
         .version(env!("CARGO_PKG_VERSION"))
         .descr("A query tier over many shards")
         .footer(
-            "Exit codes: 0 done; 1 not run or not accepted; 2 usage; 3 not known whether it ran; \
+            "Exit codes: 0 success; 1 not run or not accepted; 2 usage; 3 unknown whether it ran; \
              4 answer incomplete; 5 ran and failed; 6 unreachable",
         )
 }
--- a/src/configure.rs
+++ b/src/configure.rs
@@ -1,4 +1,4 @@
-//! Commands on configurations: `check`, `apply`, `diff`, `history`, `import`.
+//! Configuration commands: `check`, `apply`, `diff`, `history`, `import`.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -30,7 +30,7 @@
 const RULES_FILE: &str = "rules.toml";
 const SETTINGS_FILE: &str = "daemon.toml";
 
-/// The two texts of a configuration.
+/// The contents of a configuration's two files.
 struct ConfigTexts {
     inventory: String,
     rules: String,
@@ -47,7 +47,7 @@
     })
 }
 
-/// `check` of the settings of `route`.
+/// Runs `check` on the settings of `route`.
 fn check_route(path: &PathBuf) -> Result<CommandExit, CommandError> {
     match route::read(path) {
         Ok(settings) => {
@@ -62,7 +62,7 @@
     }
 }
 
-/// `check`.
+/// Runs `check`.
 pub(crate) fn check(options: &CheckOptions) -> Result<CommandExit, CommandError> {
     if options.path.is_file() {
         return check_route(&options.path);
@@ -85,8 +85,8 @@
         }
         let targets = outcome.inventory.targets.len();
         let services = outcome.inventory.services.len();
-        let verdict = if outcome.is_accepted() { "accepted" } else { "not accepted" };
-        println!("{verdict}: {services} services, {targets} targets");
+        let summary = if outcome.is_accepted() { "accepted" } else { "not accepted" };
+        println!("{summary}: {services} services, {targets} targets");
     }
     Ok(if outcome.is_accepted() { CommandExit::Success } else { CommandExit::Refused })
 }
@@ -100,7 +100,7 @@
     CommandError::Unreachable(platform, error.to_string())
 }
 
-/// `apply`.
+/// Runs `apply`.
 pub(crate) fn apply(options: &ApplyOptions) -> Result<CommandExit, CommandError> {
     let texts = read_texts(&options.directory)?;
     let checked = check::check(check::Inputs {
@@ -112,7 +112,7 @@
         println!("{fault}");
     }
     if !checked.is_accepted() {
-        println!("not accepted, nothing was written");
+        println!("not accepted; nothing was written");
         return Ok(CommandExit::Refused);
     }
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -142,7 +142,7 @@
             Ok(CommandExit::Refused)
         }
         edit::Outcome::Uncertain { .. } => {
-            println!("not known whether it was written; repeat with --edit-id to find out");
+            println!("unknown whether the edit was written; retry with the same --edit-id");
             Ok(CommandExit::Unknown)
         }
     }
@@ -150,16 +150,17 @@
 
 fn print_conflict(proposed: &ProposedEdit, current: Option<&edit::ConfigDocument>) {
     let Some(current) = current else {
-        println!("conflict: the store holds no configuration; the first edit has --base 0");
+        println!("conflict: the store has no configuration; the first edit requires --base 0");
         return;
     };
     println!(
-        "conflict: revision {} by {} is in force, the edit was made on {}; nothing was written",
+        "conflict: revision {} by {} is in force, but the edit is based on {}; nothing was written",
         current.revision, current.author, proposed.base
     );
     println!("from revision {} to this edit:", current.revision);
-    let mine = ConfigTexts { inventory: proposed.inventory.clone(), rules: proposed.rules.clone() };
-    println!("{}", compare(&current.inventory, &current.rules, &mine));
+    let proposed_texts =
+        ConfigTexts { inventory: proposed.inventory.clone(), rules: proposed.rules.clone() };
+    println!("{}", compare(&current.inventory, &current.rules, &proposed_texts));
 }
 
 fn compare(old_inventory: &str, old_rules: &str, new: &ConfigTexts) -> diff::Outcome {
@@ -171,7 +172,7 @@
     )
 }
 
-/// `diff`.
+/// Runs `diff`.
 pub(crate) fn diff(options: &DiffOptions) -> Result<CommandExit, CommandError> {
     let texts = read_texts(&options.directory)?;
     let store = client(options.platform);
@@ -197,7 +198,7 @@
     Ok(CommandExit::Success)
 }
 
-/// `history`.
+/// Runs `history`.
 pub(crate) fn history(options: &HistoryOptions) -> Result<CommandExit, CommandError> {
     let store = client(options.platform);
     let runtime = http::runtime()?;
@@ -240,7 +241,7 @@
     found: Option<edit::ConfigDocument>,
 ) -> Result<CommandExit, CommandError> {
     let Some(document) = found else {
-        println!("the store does not hold revision {revision}");
+        println!("revision {revision} is not in the store");
         return Ok(CommandExit::Refused);
     };
     print_document(&document, "");
@@ -257,7 +258,7 @@
     std::fs::write(directory.join(file), text).map_err(fail)
 }
 
-/// `import`.
+/// Runs `import`.
 pub(crate) fn import(options: &ImportOptions) -> Result<CommandExit, CommandError> {
     let base = read(options.base.clone())?;
     let register = read(options.register.clone())?;
@@ -269,9 +270,9 @@
         eprintln!("{row}");
     }
     for column in &outcome.ignored_columns {
-        eprintln!("column {column:?} was ignored");
+        eprintln!("ignored column {column:?}");
     }
-    let taken = outcome.inventory.targets.len();
-    eprintln!("{taken} targets taken, {} rows skipped", outcome.skipped.len());
+    let imported = outcome.inventory.targets.len();
+    eprintln!("{imported} targets imported, {} rows skipped", outcome.skipped.len());
     Ok(CommandExit::Success)
 }
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: the whole path on loopback with stand-ins, no set-up.
+//! `demo`: a tier on loopback against stand-ins, without any set-up.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -28,39 +28,39 @@
 const SERVICE: &str = "agent-desk";
 const DEMO_TEXT: &str = "stem vlsfo";
 const SHARDS: u32 = 24;
-const READY_LIMIT: Duration = Duration::from_secs(3);
-const LIMIT: u32 = 5;
+const READY_TIMEOUT: Duration = Duration::from_secs(3);
+const MAX_MATCHES: u32 = 5;
 const DEADLINE_MS: u64 = 500;
-/// After a target stopped, its owner needs some failed attempts to eject it.
-const QUERIES_AFTER: usize = 3;
+/// Queries after a target stops: its owner ejects it only after several failed attempts.
+const QUERIES_AFTER_STOP: usize = 3;
 
 fn fail(error: impl std::fmt::Display) -> CommandError {
     CommandError::Start(error.to_string())
 }
 
-/// Runs the demonstration.
+/// Runs `demo`.
 pub(crate) fn demo() -> Result<CommandExit, CommandError> {
     let runtime = http::runtime()?;
     let mut deployment = runtime.block_on(start_standins())?;
     let targets = deployment.targets.len();
-    println!("{targets} stand-in targets hold {SHARDS} shards of {SERVICE}, two replicas each");
+    println!("{targets} stand-in targets serve {SHARDS} shards of {SERVICE}, two replicas each");
     let platform = deployment.platform.address();
     runtime.block_on(apply(platform, &deployment))?;
     let daemons = start_daemons(platform, &deployment)?;
-    println!("{} daemons serve, one in each zone", daemons.len());
+    println!("{} daemons are ready, one in each zone", daemons.len());
     let at = daemons[0].caller_address();
-    let before = runtime.block_on(first_whole_answer(at))?;
-    println!("\n== a query: text \"{DEMO_TEXT}\" over all shards");
+    let before = runtime.block_on(first_complete_answer(at))?;
+    println!("\n== query \"{DEMO_TEXT}\" over all shards");
     print!("{}", examine::describe(&before));
     let stopped = deployment.targets.remove(0);
-    println!("\n== target {} stops", stopped.name);
+    println!("\n== after target {} stops", stopped.name);
     drop(stopped);
-    let mut after = ask(&runtime, at)?;
-    for _ in 1..QUERIES_AFTER {
-        after = ask(&runtime, at)?;
+    let mut after = query(&runtime, at)?;
+    for _ in 1..QUERIES_AFTER_STOP {
+        after = query(&runtime, at)?;
     }
     print!("{}", examine::describe(&after));
-    println!("\n== what changed");
+    println!("\n== difference");
     print!("{}", compare(&before, &after));
     for daemon in daemons {
         daemon.drain().finish();
@@ -112,38 +112,38 @@
         daemons.push(daemon);
     }
     for daemon in &daemons {
-        if !daemon.wait_until_ready(READY_LIMIT) {
+        if !daemon.wait_until_ready(READY_TIMEOUT) {
             return Err(fail("a daemon did not become ready"));
         }
     }
     Ok(daemons)
 }
 
-/// Asks until every shard's owner has been heard, so that the first answer
-/// shown is a whole one.
-async fn first_whole_answer(at: std::net::SocketAddr) -> Result<CallerAnswer, CommandError> {
-    let began = Instant::now();
+/// Repeats the query until every shard's owner is known to the daemon, so that the first
+/// answer shown is complete.
+async fn first_complete_answer(at: std::net::SocketAddr) -> Result<CallerAnswer, CommandError> {
+    let started = Instant::now();
     loop {
-        let answer = send(at).await?;
-        let whole = answer.coverage.as_ref().is_some_and(|coverage| coverage.missing.is_empty());
-        if whole || began.elapsed() > READY_LIMIT {
+        let answer = post_query(at).await?;
+        let complete = answer.coverage.as_ref().is_some_and(|coverage| coverage.missing.is_empty());
+        if complete || started.elapsed() > READY_TIMEOUT {
             return Ok(answer);
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-fn ask(runtime: &Runtime, at: std::net::SocketAddr) -> Result<CallerAnswer, CommandError> {
-    runtime.block_on(send(at))
+fn query(runtime: &Runtime, at: std::net::SocketAddr) -> Result<CallerAnswer, CommandError> {
+    runtime.block_on(post_query(at))
 }
 
-async fn send(at: std::net::SocketAddr) -> Result<CallerAnswer, CommandError> {
+async fn post_query(at: std::net::SocketAddr) -> Result<CallerAnswer, CommandError> {
     let query = SearchQuery {
         caller: "bunker-desk".into(),
         service: SERVICE.into(),
         text: DEMO_TEXT.into(),
         range: None,
-        limit: LIMIT,
+        limit: MAX_MATCHES,
         deadline_ms: DEADLINE_MS,
         urgency: UrgencyClass::Urgent,
         request_id: None,
@@ -156,10 +156,10 @@
 fn compare(before: &CallerAnswer, after: &CallerAnswer) -> String {
     let fraction =
         |answer: &CallerAnswer| answer.coverage.as_ref().map_or(0.0, |coverage| coverage.fraction);
-    let matched =
-        if before.matches == after.matches { "the same matches" } else { "other matches" };
+    let comparison =
+        if before.matches == after.matches { "same matches" } else { "different matches" };
     format!(
-        "coverage {:.4} -> {:.4}, {matched}, {} -> {} documents, {} ms -> {} ms\n",
+        "coverage {:.4} -> {:.4}, {comparison}, {} -> {} documents, {} ms -> {} ms\n",
         fraction(before),
         fraction(after),
         before.total,
--- a/src/examine.rs
+++ b/src/examine.rs
@@ -1,4 +1,4 @@
-//! Commands that ask a running host: `query`, `request`, `status`, `explain`.
+//! Commands that query a running host: `query`, `request`, `status`, `explain`.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 use crate::exit::CommandExit;
 use crate::http;
 
-/// `query`.
+/// Runs `query`.
 pub(crate) fn query(options: &QueryOptions) -> Result<CommandExit, CommandError> {
     let query = SearchQuery {
         caller: options.caller.clone(),
@@ -35,12 +35,12 @@
     let body = serde_json::to_vec(&query).expect("a query has only string keys");
     let answer = post(options.at, "/v1/query", body, options.deadline_ms)?;
     print(&answer, options.json);
-    Ok(exit_of(&answer))
+    Ok(exit_code(&answer))
 }
 
-/// `request`.
+/// Runs `request`.
 pub(crate) fn request(options: &RequestOptions) -> Result<CommandExit, CommandError> {
-    let once = OnceRequest {
+    let request = OnceRequest {
         caller: options.caller.clone(),
         service: options.service.clone(),
         key: options.key,
@@ -48,17 +48,17 @@
         deadline_ms: options.deadline_ms,
         request_id: options.id.clone(),
     };
-    let body = serde_json::to_vec(&once).expect("a request has only string keys");
+    let body = serde_json::to_vec(&request).expect("a request has only string keys");
     let answer = post(options.at, "/v1/request", body, options.deadline_ms)?;
     print(&answer, options.json);
-    Ok(exit_of(&answer))
+    Ok(exit_code(&answer))
 }
 
 fn parse_range(text: &str) -> Result<KeyRange, CommandError> {
     let parsed = text.split_once("..").and_then(|(start, end)| {
         Some(KeyRange::new(start.trim().parse().ok()?, end.trim().parse().ok()?))
     });
-    parsed.ok_or_else(|| CommandError::Text(format!("not a range START..END: {text:?}")))
+    parsed.ok_or_else(|| CommandError::Text(format!("invalid range {text:?}, expected START..END")))
 }
 
 fn post(
@@ -67,17 +67,17 @@
     body: Vec<u8>,
     deadline_ms: u64,
 ) -> Result<CallerAnswer, CommandError> {
-    let timeout = Duration::from_millis(deadline_ms) + http::ANSWER_SLACK;
+    let timeout = Duration::from_millis(deadline_ms) + http::ANSWER_GRACE;
     let call = http::call(at, Method::POST, path, body, timeout);
     let (_, bytes) = http::runtime()?.block_on(call)?;
     serde_json::from_slice(&bytes).map_err(|error| {
         let text = String::from_utf8_lossy(&bytes).into_owned();
-        CommandError::Text(format!("not an answer of the tier ({error}): {text}"))
+        CommandError::Text(format!("invalid answer from the host ({error}): {text}"))
     })
 }
 
-/// The exit code that goes with an answer.
-fn exit_of(answer: &CallerAnswer) -> CommandExit {
+/// The exit code for an answer.
+fn exit_code(answer: &CallerAnswer) -> CommandExit {
     match answer.outcome {
         CallerOutcome::NotRun(_) => CommandExit::Refused,
         CallerOutcome::Unknown(_) => CommandExit::Unknown,
@@ -98,7 +98,7 @@
     }
 }
 
-/// The answer for people.
+/// Formats an answer as human-readable text.
 pub(crate) fn describe(answer: &CallerAnswer) -> String {
     use std::fmt::Write;
 
@@ -109,11 +109,11 @@
     match answer.outcome {
         CallerOutcome::Answer => line(format_args!("answer")),
         CallerOutcome::NotRun(reason) => line(format_args!("not run: {reason}")),
-        CallerOutcome::Unknown(reason) => line(format_args!("not known whether it ran: {reason}")),
+        CallerOutcome::Unknown(reason) => line(format_args!("unknown whether it ran: {reason}")),
         CallerOutcome::Failed(reason) => line(format_args!("ran and failed: {reason}")),
     }
     if let Some(after) = answer.retry_after_ms {
-        line(format_args!("worth asking again in {after} ms"));
+        line(format_args!("retry after {after} ms"));
     }
     if let Some(result) = &answer.result {
         line(format_args!("result: {result}"));
@@ -121,11 +121,11 @@
     if let Some(coverage) = &answer.coverage {
         let shown = answer.matches.len();
         let total = answer.total;
-        for found in &answer.matches {
-            line(format_args!("  {:<14} {}", found.id, found.text));
+        for document in &answer.matches {
+            line(format_args!("  {:<14} {}", document.id, document.text));
         }
         line(format_args!("{shown} of {total} matches shown"));
-        line(format_args!("coverage: {:.4} of the keys asked for", coverage.fraction));
+        line(format_args!("coverage: {:.4} of the requested keys", coverage.fraction));
         for missing in &coverage.missing {
             line(format_args!("  missing {}: {}", missing.range, missing.reason));
         }
@@ -142,7 +142,7 @@
     text
 }
 
-/// `status`.
+/// Runs `status`.
 pub(crate) fn status(options: &StatusOptions) -> Result<CommandExit, CommandError> {
     let call = http::call(options.at, Method::GET, "/v1/status", Vec::new(), http::PAGE_TIMEOUT);
     let (_, bytes) = http::runtime()?.block_on(call)?;
@@ -151,7 +151,7 @@
         return Ok(CommandExit::Success);
     }
     let report: FleetReport = serde_json::from_slice(&bytes)
-        .map_err(|error| CommandError::Text(format!("not a status page: {error}")))?;
+        .map_err(|error| CommandError::Text(format!("invalid status response: {error}")))?;
     print!("{}", describe_fleet(&report));
     Ok(CommandExit::Success)
 }
@@ -171,7 +171,7 @@
         line(format_args!("ALARM {alarm}"));
     }
     for zone in &report.lost_zones {
-        line(format_args!("zone {zone} cannot be heard"));
+        line(format_args!("zone {zone} is unreachable"));
     }
     line(format_args!("hosts:"));
     for host in &report.hosts {
@@ -183,7 +183,7 @@
     let wanted = report.wanted.iter().map(|(state, count)| format!("{count} {state}"));
     line(format_args!("targets wanted: {}", wanted.collect::<Vec<_>>().join(", ")));
     line(format_args!(
-        "owned here: {} targets, {} slots in use, {} pieces waiting",
+        "owned by this host: {} targets, {} slots in use, {} pieces queued",
         report.owned_targets, report.slots_in_use, report.queued
     ));
     for drift in &report.drift {
@@ -198,12 +198,12 @@
         ));
     }
     for shard in &report.uncovered {
-        line(format_args!("no usable replica known: {shard}"));
+        line(format_args!("no usable replica: {shard}"));
     }
     text
 }
 
-/// `explain`.
+/// Runs `explain`.
 pub(crate) fn explain(options: &ExplainOptions) -> Result<CommandExit, CommandError> {
     let path = format!("/v1/explain?target={}", options.target);
     let call = http::call(options.at, Method::GET, &path, Vec::new(), http::PAGE_TIMEOUT);
--- a/src/exit.rs
+++ b/src/exit.rs
@@ -1,5 +1,4 @@
-//! Exit codes and the errors that lead to them. The table is in
-//! docs/operators/command-line.md.
+//! Exit codes and command errors. docs/operators/command-line.md documents the codes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,19 +6,19 @@
 
 use quick_error::quick_error;
 
-/// How a command ended, as scripts see it.
+/// Exit code of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum CommandExit {
-    /// It did what was asked, whole.
+    /// The command succeeded completely.
     Success = 0,
-    /// The request was not run, or the configuration was not accepted.
+    /// The request did not run, or the configuration was not accepted.
     Refused = 1,
-    /// A file cannot be read, or the command line is wrong.
+    /// A file cannot be read, or the command line is invalid.
     Usage = 2,
-    /// It is not known whether the request or edit took effect.
+    /// It is unknown whether the request or edit took effect.
     Unknown = 3,
-    /// The answer does not cover everything asked for.
+    /// The answer does not cover everything that was requested.
     Incomplete = 4,
     /// The request ran and failed.
     Failed = 5,
@@ -34,20 +33,20 @@
 }
 
 quick_error! {
-    /// Why a command could not be carried out.
+    /// Why a command could not run.
     #[derive(Debug)]
     pub enum CommandError {
         /// A file cannot be read.
         File(path: PathBuf, source: std::io::Error) {
             display("{}: {}", path.display(), source)
         }
-        /// A text is not what it should be.
+        /// An input or a response is malformed.
         Text(text: String) {
             display("{text}")
         }
-        /// Nobody answers at the address.
+        /// The address does not respond.
         Unreachable(address: SocketAddr, text: String) {
-            display("{address} cannot be reached: {text}")
+            display("cannot reach {address}: {text}")
         }
         /// A process or runtime could not start.
         Start(text: String) {
@@ -57,7 +56,7 @@
 }
 
 impl CommandError {
-    /// The exit code that goes with it.
+    /// The exit code for the error.
     pub(crate) fn code(&self) -> CommandExit {
         match self {
             Self::Unreachable(..) => CommandExit::Unreachable,
--- a/src/story.rs
+++ b/src/explain_log.rs
@@ -1,4 +1,4 @@
-//! `explain-log`: the story of one request from hosts' log lines, in plain words.
+//! `explain-log`: describes one request from hosts' log lines.
 
 use std::path::Path;
 
@@ -9,14 +9,14 @@
 use crate::exit::CommandError;
 use crate::exit::CommandExit;
 
-/// Prints what happened to a request, host by host, in the order of the files.
+/// Runs `explain-log`: prints the events of a request by host, in the order of the files.
 pub(crate) fn explain_log(options: &ExplainLogOptions) -> Result<CommandExit, CommandError> {
     let mut found = false;
     for path in &options.files {
         let text = std::fs::read_to_string(path)
             .map_err(|error| CommandError::File(path.clone(), error))?;
-        for told in story(&text, &host_name(path), &options.request) {
-            println!("{told}");
+        for description in describe(&text, &host_name(path), &options.request) {
+            println!("{description}");
             found = true;
         }
     }
@@ -24,27 +24,27 @@
         return Ok(CommandExit::Success);
     }
     println!(
-        "no line tells of {}: it went well and was not sampled, or these hosts had no part in it",
+        "no line tells of {}: it succeeded and was not sampled, or none of these hosts handled it",
         options.request
     );
     Ok(CommandExit::Incomplete)
 }
 
-/// Of a host's own file, its name without the ending.
+/// The name of a host from its log file: the file name without extension.
 pub(crate) fn host_name(path: &Path) -> String {
     path.file_stem().map_or_else(String::new, |name| name.to_string_lossy().into_owned())
 }
 
-/// The lines of one request, in plain words.
-pub(crate) fn story(text: &str, host: &str, request: &str) -> Vec<String> {
+/// Describes the events of one request.
+pub(crate) fn describe(text: &str, host: &str, request: &str) -> Vec<String> {
     line::lines(text, host)
         .filter(|line| line.value("request") == Some(request))
-        .map(|line| tell(&line))
+        .map(|line| describe_event(&line))
         .collect()
 }
 
-fn tell(line: &LogLine<'_>) -> String {
-    let value = |name: &str| line.value(name).unwrap_or("?");
+fn describe_event(line: &LogLine<'_>) -> String {
+    let value = |key: &str| line.value(key).unwrap_or("?");
     let host = line.host;
     match line.number {
         630 => format!(
@@ -76,10 +76,10 @@
             value("after_ms"),
             match value("decision") {
                 "second-attempt" => "another target was asked",
-                "budget-spent" => "nobody else was asked, as the extra attempts were used up",
-                "no-target" => "nobody else was asked, as there is no other target",
-                "crowded" => "nobody else was asked, as queues stood everywhere",
-                _ => "nobody else was asked: no target or no extra attempt was left",
+                "budget-spent" => "no second attempt, as the retry budget was exhausted",
+                "no-target" => "no second attempt, as there is no other target",
+                "crowded" => "no second attempt, as every target had a queue",
+                _ => "no second attempt: no other target or no retry budget",
             }
         ),
         633 => format!(
@@ -90,11 +90,10 @@
             value("outcome"),
             value("took_ms")
         ),
-        636 => format!("{host}:   without a part: {}", value("shards").replace(',', ", ")),
-        634 => format!(
-            "{host}:   part of a long answer had left when it broke off: {}",
-            value("error")
-        ),
+        636 => format!("{host}:   missing parts: {}", value("shards").replace(',', ", ")),
+        634 => {
+            format!("{host}:   the answer broke off after part of it was sent: {}", value("error"))
+        }
         _ => format!("{host}:   event E{} {}", line.number, line.name),
     }
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for commands that ask a running host.
+//! Minimal HTTP client for commands that query a running host.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,22 +17,22 @@
 
 use crate::exit::CommandError;
 
-/// How much longer than the request's own deadline an answer is waited for.
-pub(crate) const ANSWER_SLACK: Duration = Duration::from_secs(2);
+/// Time beyond the request's deadline for which the client waits for an answer.
+pub(crate) const ANSWER_GRACE: Duration = Duration::from_secs(2);
 
-/// How long a page without a deadline of its own may take.
+/// Timeout of a call without a deadline of its own.
 pub(crate) const PAGE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A runtime for one command.
+/// Creates the async runtime of one command.
 pub(crate) fn runtime() -> Result<Runtime, CommandError> {
     Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()
-        .map_err(|error| CommandError::Start(format!("no runtime: {error}")))
+        .map_err(|error| CommandError::Start(format!("cannot start the async runtime: {error}")))
 }
 
-/// One request and its whole answer.
+/// Sends one request and reads the complete response.
 pub(crate) async fn call(
     address: SocketAddr,
     method: Method,
@@ -56,5 +56,5 @@
     };
     tokio::time::timeout(timeout, exchange)
         .await
-        .map_err(|_| fail(format!("no answer within {timeout:?}")))?
+        .map_err(|_| fail(format!("no response within {timeout:?}")))?
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
 //! hawthornroute: a query tier over many shards.
 //!
-//! The binary reads the command line and prints; everything else is in the
-//! crates beneath it.
+//! The binary parses the command line and prints results; the crates of the workspace
+//! implement everything else.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms)]
 
@@ -11,12 +11,12 @@
 mod demo;
 mod examine;
 mod exit;
+mod explain_log;
 mod http;
 #[cfg(feature = "report")]
 mod report;
 mod route;
 mod serve;
-mod story;
 
 use std::process::ExitCode;
 
@@ -25,12 +25,12 @@
     let outcome = match command {
         cli::CliCommand::Serve(options) => serve::serve(&options),
         cli::CliCommand::Route(options) => route::route(&options),
-        cli::CliCommand::ExplainLog(options) => story::explain_log(&options),
+        cli::CliCommand::ExplainLog(options) => explain_log::explain_log(&options),
         #[cfg(feature = "report")]
         cli::CliCommand::Report(options) => report::report(&options),
         #[cfg(not(feature = "report"))]
         cli::CliCommand::Report(options) => Err(exit::CommandError::Text(format!(
-            "this build draws no reports, and leaves {} unwritten: build it with --features report",
+            "cannot write {}: this build has no reports; rebuild it with --features report",
             options.out.display()
         ))),
         cli::CliCommand::Check(options) => configure::check(&options),
--- a/src/report.rs
+++ b/src/report.rs
@@ -1,4 +1,4 @@
-//! `report`: a run by its hosts' logs and saved metrics, as one page.
+//! `report`: renders a run as an HTML page from its hosts' logs and saved metrics.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -13,17 +13,17 @@
 use crate::cli::ReportOptions;
 use crate::exit::CommandError;
 use crate::exit::CommandExit;
-use crate::story::host_name;
+use crate::explain_log::host_name;
 
-/// Writes the page of a run.
+/// Runs `report`.
 pub(crate) fn report(options: &ReportOptions) -> Result<CommandExit, CommandError> {
     let texts = read_all(&options.files)?;
     let mut lines: Vec<LogLine<'_>> =
         texts.iter().flat_map(|(host, text)| line::lines(text, host)).collect();
-    // Seconds of the run; a collector's own are left as they are.
+    // Times are relative to the start of the run. A log collector's times already are.
     if lines.iter().any(|line| !line.collected) {
-        let begin = lines.iter().map(|line| line.at).fold(f64::INFINITY, f64::min).floor();
-        lines.iter_mut().for_each(|line| line.at -= begin);
+        let start = lines.iter().map(|line| line.at).fold(f64::INFINITY, f64::min).floor();
+        lines.iter_mut().for_each(|line| line.at -= start);
     }
     let mut timeline = RunTimeline::default();
     lines.iter().for_each(|line| timeline.add(line));
@@ -35,11 +35,11 @@
     let html = page::page(&input).map_err(|error| CommandError::Text(error.to_string()))?;
     std::fs::write(&options.out, html)
         .map_err(|error| CommandError::File(options.out.clone(), error))?;
-    println!("{}: {} lines of {} files", options.out.display(), lines.len(), texts.len());
+    println!("{}: {} lines from {} files", options.out.display(), lines.len(), texts.len());
     Ok(CommandExit::Success)
 }
 
-/// Files by the host that they are of.
+/// Reads files, each with the name of its host.
 fn read_all(paths: &[PathBuf]) -> Result<Vec<(String, String)>, CommandError> {
     let read = |path: &PathBuf| {
         let text = std::fs::read_to_string(path);
--- a/src/route.rs
+++ b/src/route.rs
@@ -1,4 +1,4 @@
-//! `route`: a host that routes requests, from start to stop.
+//! `route`: runs a host that routes requests.
 
 use std::path::PathBuf;
 
@@ -20,8 +20,8 @@
         .map_err(|error| CommandError::Text(format!("settings not accepted:\n{error}")))
 }
 
-/// Runs until SIGTERM or SIGINT; SIGHUP has the settings read again: the
-/// budget, the grace and the policy come into force, the rest at the next start.
+/// Runs until SIGTERM or SIGINT. SIGHUP reloads the settings: the budget, the grace and the
+/// policy take effect immediately, the rest at the next start.
 pub(crate) fn route(options: &RouteOptions) -> Result<CommandExit, CommandError> {
     let settings = read(&options.settings)?;
     let _writer =
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: a daemon from start to stop.
+//! `serve`: runs a daemon.
 
 use hawthorn_daemon::process::daemon;
 use hawthorn_daemon::process::logs;
@@ -8,7 +8,7 @@
 use crate::exit::CommandError;
 use crate::exit::CommandExit;
 
-/// Runs until a signal, then drains and finishes.
+/// Runs until SIGTERM or SIGINT, then drains requests in flight and stops.
 pub(crate) fn serve(options: &ServeOptions) -> Result<CommandExit, CommandError> {
     let text = std::fs::read_to_string(&options.settings)
         .map_err(|error| CommandError::File(options.settings.clone(), error))?;
