--- a/deploy/ablate.sh
+++ b/deploy/ablate.sh
@@ -1,14 +1,14 @@
 #!/usr/bin/env bash
-# What each mechanism of `route` is worth: days with and without it, paired by seed.
+# Ablation of the mechanisms of `route`: runs days with and without each, paired by seed.
 #
 #   deploy/ablate.sh BENCH OUT SITE... [-- ROW...]
 #
-# BENCH is the program that plays days, OUT a directory outside the repository, SITE a
-# deployment's file. Without ROW all rows are played. DAYS, SEEDS and JOBS may be set.
-# A day that has been played is not played again, so that a run that was stopped goes
-# on, and a row can be added. A row of one small site (five days, three seeds) takes
-# about 25 s with 7 jobs on 8 cores, all rows of one about 8 minutes. The table is
-# printed at the end, and by a run in which nothing is left to play.
+# BENCH is the program that runs days, OUT a directory outside the repository, SITE a
+# deployment's file. Without ROW all rows run. DAYS, SEEDS and JOBS are optional variables.
+# A day with a result in OUT is skipped, so that an interrupted run can be resumed and a
+# row can be added. A row of one small site (five days, three seeds) takes about 25 s with
+# 7 jobs on 8 cores, all rows of one site about 8 minutes. Prints the table at the end,
+# also when no day is left to run.
 set -euo pipefail
 bench=$(realpath "$1") out=$2
 shift 2
@@ -50,14 +50,14 @@
 template=$tree/platform/settings.toml
 git -C "$tree" checkout --quiet platform/settings.toml
 cp "$template" "$out/template.toml"
-play() { # ROW SITE DAY SEED
+run_day() { # ROW SITE DAY SEED
   local to="$out/$1/$(basename "$2" .toml)-$3-$4.txt"
   [ -s "$to" ] && return
   (cd "$tree" && "$bench" run "$2" "$3" --seed "$4" --jobs 1 --why "ablation: $1") > "$to.part" 2>&1 \
-    || echo "$1 $2 $3 $4: ended with $?" >&2
+    || echo "$1 $2 $3 $4: exited with $?" >&2
   mv "$to.part" "$to"
 }
-export -f play
+export -f run_day
 export out tree bench
 while IFS='|' read -r row policy; do
   [ -z "$row" ] && continue
@@ -66,11 +66,12 @@
   { cat "$out/template.toml"; echo; sed 's/\] /]\n/; s/; /\n/g' <<< "$policy"; } > "$template"
   for site in "${sites[@]}"; do for day in $days; do for seed in $seeds; do
     echo "$row $site $day $seed"
-  done; done; done | xargs -P "$jobs" -L 1 bash -c 'play "$@"' _
+  done; done; done | xargs -P "$jobs" -L 1 bash -c 'run_day "$@"' _
 done <<< "$rows"
 cp "$out/template.toml" "$template"
 cp -rn "$tree"/journal/* "$root"/journal/
-# Off against on: mean and half-width of 95 % over the pairs (t, two-sided).
+# Switched off against on: mean difference and half-width of its 95 % confidence interval
+# over the pairs (two-sided t).
 for site in "${sites[@]}"; do
   name=$(basename "$site" .toml)
   printf '\n%s\n%-22s %8s %8s %8s %7s %7s %6s\n' \
--- a/deploy/sweep.sh
+++ b/deploy/sweep.sh
@@ -1,13 +1,14 @@
 #!/usr/bin/env bash
-# One day of each deployment at 30, 100 and 300 hosts, as a table for docs/CAPACITY.md.
+# Scaling sweep: one day of each deployment at 30, 100 and 300 hosts, as a table for
+# docs/CAPACITY.md.
 #
 #   deploy/sweep.sh BENCH OUT SITE...
 #
-# BENCH is the program that plays days, OUT a directory outside the repository that keeps
-# what it prints, SITE a deployment's file. A sweep that was played is not played again. JOBS
-# may be set. A deployment takes about two minutes with 3 jobs on 6 cores. Prints, for each
-# row, the busiest host at the three sizes, its growth as a power of the number of hosts, and
-# what that comes to at the size to come; ends with 1 if a day breaks a rule.
+# BENCH is the program that runs days, OUT a directory outside the repository for its output,
+# SITE a deployment's file. A deployment with a result in OUT is skipped. JOBS is an optional
+# variable. A deployment takes about two minutes with 3 jobs on 6 cores. Prints, for each row,
+# the busiest host at the three sizes, the exponent of its growth with the number of hosts, and
+# the value extrapolated to the planned size. Exits with 1 if a day breaks a rule.
 set -euo pipefail
 bench=$(realpath "$1") out=$2
 shift 2
@@ -22,7 +23,7 @@
   }
   if grep -q '^rules broken: ' "$file"; then broken=1; fi
   printf '\n| %s | 30 | 100 | 300 | power | carried on |\n|---|---|---|---|---|---|\n' "$name"
-  # A day's line: name, own/targets, score, worth, served.
+  # Fields of a day's line: name, own/targets, score, worth, served.
   awk '/^sweep-[0-9]+ +[0-9]+\// {worth = worth " | " $4; served = served " | " $5}
        END {print "| worth of the day" worth " | | |"; print "| served" served " | | |"}' "$file"
   awk '/^middle \/ busiest/ {rows = 1; getline; next}
