--- a/examples/tier-cost/control.rs
+++ b/examples/tier-cost/control.rs
@@ -1,5 +1,5 @@
-//! What a daemon at rest spends on control: bytes between daemons, calls on
-//! the platform, processor time and memory.
+//! Control overhead of an idle daemon: bytes between daemons, calls to the platform, CPU time
+//! and memory.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -8,35 +8,35 @@
 
 use hawthorn_standin::DeploymentOptions;
 
-use crate::figures;
-use crate::machine;
 use crate::report::CostReport;
 use crate::setup;
+use crate::stats;
 use crate::support::TestFleet;
 use crate::support::TestResult;
+use crate::system;
 
-const USUAL: [usize; 2] = [8, 64];
-/// Daemons that watched the store at their start have let go by then.
-const SETTLE: Duration = Duration::from_secs(11);
-const WINDOW: Duration = Duration::from_secs(12);
+const DEFAULT_SIZES: [usize; 2] = [8, 64];
+/// By then, daemons that watched the store during start-up have stopped their watches.
+const SETTLE_TIME: Duration = Duration::from_secs(11);
+const MEASURED_TIME: Duration = Duration::from_secs(12);
 const MIB: f64 = 1_048_576.0;
-const GAUGE: &str = "hawthorn_gauge";
+const GAUGE_METRIC: &str = "hawthorn_gauge";
 
-/// Measures each size of the fleet.
+/// Measures each fleet size.
 pub async fn run(daemons: &[usize], report: &mut CostReport) -> TestResult {
-    let sizes = if daemons.is_empty() { &USUAL } else { daemons };
+    let sizes = if daemons.is_empty() { &DEFAULT_SIZES } else { daemons };
     for &size in sizes {
         let case = format!("{size} daemons at rest");
-        match machine::refuses(size) {
-            Some(cause) => report.skip("control", &case, &cause),
+        match system::skip_reason(size) {
+            Some(reason) => report.skip("control", &case, &reason),
             None => measure(size, &case, report).await?,
         }
     }
     Ok(())
 }
 
-/// What all daemons together have spent so far.
-struct SpentTotals {
+/// Resource use of all daemons together since their start.
+struct ResourceTotals {
     at: Instant,
     cpu: Duration,
     udp_bytes: f64,
@@ -46,21 +46,21 @@
 }
 
 async fn measure(size: usize, case: &str, report: &mut CostReport) -> TestResult {
-    let usual = DeploymentOptions::dar_port().services;
-    let fleet = TestFleet::start(setup::fleet(setup::deployment(usual), size)).await?;
-    tokio::time::sleep(SETTLE).await;
-    let before = spent(&fleet).await?;
-    tokio::time::sleep(WINDOW).await;
-    let after = spent(&fleet).await?;
+    let services = DeploymentOptions::dar_port().services;
+    let fleet = TestFleet::start(setup::fleet(setup::deployment(services), size)).await?;
+    tokio::time::sleep(SETTLE_TIME).await;
+    let before = resource_totals(&fleet).await?;
+    tokio::time::sleep(MEASURED_TIME).await;
+    let after = resource_totals(&fleet).await?;
     let daemon_seconds = (after.at - before.at).as_secs_f64() * size as f64;
     let tcp_bytes = match (&before.tcp_bytes, &after.tcp_bytes) {
-        (Some(before), Some(after)) => machine::tcp_growth(before, after) as f64,
+        (Some(before), Some(after)) => system::tcp_bytes_between(before, after) as f64,
         _ => f64::NAN,
     };
-    let resident: Vec<f64> = fleet
+    let resident_mib: Vec<f64> = fleet
         .daemons
         .iter()
-        .filter_map(|daemon| Some(machine::resident_bytes(daemon.id())? as f64 / MIB))
+        .filter_map(|daemon| Some(system::resident_bytes(daemon.id())? as f64 / MIB))
         .collect();
     let cpu = (after.cpu - before.cpu).as_secs_f64();
     report.add(
@@ -72,35 +72,35 @@
             ("tcp_bytes_per_s", tcp_bytes / daemon_seconds),
             (
                 "tcp_connections_all",
-                after.tcp_bytes.as_ref().map_or(f64::NAN, |all| all.len() as f64),
+                after.tcp_bytes.as_ref().map_or(f64::NAN, |connections| connections.len() as f64),
             ),
             ("platform_calls_per_s_all", {
                 let calls = (after.calls - before.calls) as f64;
                 calls / (after.at - before.at).as_secs_f64()
             }),
             ("core_percent", 100.0 * cpu / daemon_seconds),
-            ("resident_mean_mib", figures::mean(&resident)),
-            ("resident_max_mib", figures::most(&resident)),
+            ("resident_mean_mib", stats::mean(&resident_mib)),
+            ("resident_max_mib", stats::max(&resident_mib)),
         ],
     );
     Ok(())
 }
 
-async fn spent(fleet: &TestFleet) -> TestResult<SpentTotals> {
+async fn resource_totals(fleet: &TestFleet) -> TestResult<ResourceTotals> {
     let ports: HashSet<u16> = fleet.daemons.iter().map(|daemon| daemon.peer.port()).collect();
     let counters = fleet.deployment.platform.control().all_counters();
-    let mut totals = SpentTotals {
+    let mut totals = ResourceTotals {
         at: Instant::now(),
         cpu: Duration::ZERO,
         udp_bytes: 0.0,
         datagrams: 0.0,
-        tcp_bytes: machine::tcp_bytes(&ports),
+        tcp_bytes: system::tcp_bytes(&ports),
         calls: counters.values().map(|counter| counter.calls).sum(),
     };
     for (index, daemon) in fleet.daemons.iter().enumerate() {
-        totals.cpu += machine::cpu_time(daemon.id())?;
-        totals.udp_bytes += fleet.metric(index, GAUGE, "\"fleet-sent-bytes\"").await?;
-        totals.datagrams += fleet.metric(index, GAUGE, "\"fleet-sent-datagrams\"").await?;
+        totals.cpu += system::cpu_time(daemon.id())?;
+        totals.udp_bytes += fleet.metric(index, GAUGE_METRIC, "\"fleet-sent-bytes\"").await?;
+        totals.datagrams += fleet.metric(index, GAUGE_METRIC, "\"fleet-sent-datagrams\"").await?;
     }
     Ok(totals)
 }
--- a/examples/tier-cost/latency.rs
+++ b/examples/tier-cost/latency.rs
@@ -1,5 +1,5 @@
-//! What the tier adds to a direct call on the same targets, without contention:
-//! one caller, one query at a time, direct and through the tier in turn.
+//! Latency that the tier adds to a direct call to the same targets, without contention: one
+//! caller, one query at a time, alternately direct and through the tier.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,16 +9,16 @@
 use hawthorn_standin::load::tier::HeardAnswer;
 use hawthorn_types::SearchQuery;
 
-use crate::figures;
 use crate::report::CostReport;
 use crate::setup;
+use crate::stats;
 use crate::support::TestFleet;
 use crate::support::TestResult;
 use crate::support::fleet::is_whole;
 
 const PAIRS: usize = 1_000;
-/// Connections and routes are warm after so many.
-const WARM_UP: usize = 50;
+/// Queries before the measurement, to warm up connections and routes.
+const WARM_UP_QUERIES: usize = 50;
 const SEED: u64 = 1;
 const SERVICE: &str = "agent-desk";
 
@@ -70,24 +70,24 @@
 }
 
 async fn measure(case: &LatencyCase, report: &mut CostReport) -> TestResult {
-    let mut service = setup::even_service(SERVICE, case.shards, case.typical);
+    let mut service = setup::constant_time_service(SERVICE, case.shards, case.typical);
     service.replicas = case.replicas;
     let options = setup::fleet(setup::deployment(vec![service]), case.daemons);
     let fleet = TestFleet::start(options).await?;
-    tokio::time::sleep(setup::SETTLE).await;
+    tokio::time::sleep(setup::SETTLE_TIME).await;
     let tier = setup::tier(&fleet);
     let naive = NaiveTier::of_deployment(&fleet.deployment, SEED);
     let query = fleet.query(SERVICE);
-    for _ in 0..WARM_UP {
-        time(&naive, &query).await?;
-        time(tier.as_ref(), &query).await?;
+    for _ in 0..WARM_UP_QUERIES {
+        query_latency(&naive, &query).await?;
+        query_latency(tier.as_ref(), &query).await?;
     }
-    let (mut direct, mut through) = (Vec::new(), Vec::new());
+    let (mut direct, mut through_tier) = (Vec::new(), Vec::new());
     for _ in 0..PAIRS {
-        direct.push(time(&naive, &query).await?);
-        through.push(time(tier.as_ref(), &query).await?);
+        direct.push(query_latency(&naive, &query).await?);
+        through_tier.push(query_latency(tier.as_ref(), &query).await?);
     }
-    let at = |share: f64| (figures::quantile(&direct, share), figures::quantile(&through, share));
+    let at = |share: f64| (stats::quantile(&direct, share), stats::quantile(&through_tier, share));
     let ((direct_p50, tier_p50), (direct_p99, tier_p99)) = (at(0.5), at(0.99));
     report.add(
         "latency",
@@ -105,13 +105,13 @@
     Ok(())
 }
 
-/// Milliseconds of one whole answer at the first entry point.
-async fn time(tier: &dyn QueryTier, query: &SearchQuery) -> TestResult<f64> {
-    let began = Instant::now();
-    let heard = tier.query(0, query).await;
-    let elapsed = began.elapsed();
-    match heard {
-        HeardAnswer::Answered(answer) if is_whole(&answer) => Ok(figures::ms(elapsed)),
-        other => Err(format!("not a whole answer: {other:?}").into()),
+/// Latency of one complete answer at the first entry host, in milliseconds.
+async fn query_latency(tier: &dyn QueryTier, query: &SearchQuery) -> TestResult<f64> {
+    let started = Instant::now();
+    let response = tier.query(0, query).await;
+    let elapsed = started.elapsed();
+    match response {
+        HeardAnswer::Answered(answer) if is_whole(&answer) => Ok(stats::ms(elapsed)),
+        other => Err(format!("not a complete answer: {other:?}").into()),
     }
 }
--- a/examples/tier-cost/main.rs
+++ b/examples/tier-cost/main.rs
@@ -1,8 +1,7 @@
-//! Measures what the tier costs: real `serve` processes over stand-ins on
-//! loopback. Prints JSON lines as figures come, and a table at the end; passes
-//! no verdict.
+//! Measures the overhead of the tier with real `serve` processes and stand-ins on loopback.
+//! Prints one JSON line per measured case and a table at the end. Sets no thresholds.
 //!
-//! `cargo build --release --bin hawthornroute` first, then
+//! Run `cargo build --release --bin hawthornroute` first, then
 //! `cargo run --release --example tier-cost -- [--experiment NAME]...
 //! [--daemons N]... [--program PATH]`
 #![forbid(unsafe_code)]
@@ -10,13 +9,13 @@
 
 mod change;
 mod control;
-mod figures;
 mod latency;
-mod machine;
 mod ready;
 mod report;
 mod setup;
+mod stats;
 mod support;
+mod system;
 mod takeover;
 mod throughput;
 
@@ -30,21 +29,21 @@
 use crate::report::CostReport;
 use crate::support::TestResult;
 
-/// What can be measured.
+/// An experiment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::EnumString, strum::EnumIter, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 enum CostExperiment {
-    /// What the tier adds to a direct call.
+    /// Latency that the tier adds to a direct call.
     Latency,
-    /// Processor time for a query and a shard request.
+    /// CPU time of a query and of a shard request.
     Throughput,
-    /// From the start of a daemon to its readiness.
+    /// Time from the start of a daemon to its readiness.
     Ready,
-    /// From a change of configuration to its being in force everywhere.
+    /// Time until a configuration change is in force on all daemons.
     Change,
-    /// From the loss of a host to others serving its groups.
+    /// Time until other hosts own the targets of a lost host.
     Takeover,
-    /// What a daemon at rest spends on control.
+    /// Control overhead of an idle daemon.
     Control,
 }
 
@@ -57,11 +56,11 @@
 fn arguments() -> Arguments {
     let experiment = long("experiment").argument("NAME").many();
     let daemons = long("daemons")
-        .help("Fleet sizes of change and control; else 8, and 8 and 64")
+        .help("Fleet sizes of change and control [default: 8 for change, 8 and 64 for control]")
         .argument("N")
         .many();
     let program = long("program")
-        .help("The hawthornroute binary; else the one beside this program's directory")
+        .help("The hawthornroute binary [default: in the parent of this program's directory]")
         .argument("PATH")
         .optional();
     construct!(Arguments { experiment, daemons, program }).to_options().run()
--- a/examples/tier-cost/figures.rs
+++ b/examples/tier-cost/stats.rs
@@ -1,8 +1,8 @@
-//! Order statistics and a line through points.
+//! Order statistics and a least-squares fit.
 
 use std::time::Duration;
 
-/// The value that this share of the values do not exceed; NaN of none.
+/// The smallest value that at least `share` of the values do not exceed; NaN without values.
 pub fn quantile(values: &[f64], share: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -11,22 +11,22 @@
     sorted.get(index).copied().unwrap_or(f64::NAN)
 }
 
-/// The middle value.
+/// The median; NaN without values.
 pub fn median(values: &[f64]) -> f64 {
     quantile(values, 0.5)
 }
 
-/// The largest value.
-pub fn most(values: &[f64]) -> f64 {
+/// The maximum; NaN without values.
+pub fn max(values: &[f64]) -> f64 {
     quantile(values, 1.0)
 }
 
-/// The mean; NaN of none.
+/// The mean; NaN without values.
 pub fn mean(values: &[f64]) -> f64 {
     values.iter().sum::<f64>() / values.len() as f64
 }
 
-/// Milliseconds.
+/// Converts to milliseconds.
 pub fn ms(time: Duration) -> f64 {
     time.as_secs_f64() * 1e3
 }
@@ -34,15 +34,15 @@
 /// A least-squares line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FittedLine {
-    /// Its value at 0.
+    /// Value at x = 0.
     pub intercept: f64,
-    /// Its rise a unit.
+    /// Increase per unit of x.
     pub slope: f64,
-    /// The part of the variance that it explains.
+    /// Coefficient of determination.
     pub r_squared: f64,
 }
 
-/// The least-squares line through points `(x, y)`; NaN of fewer than two.
+/// Fits a least-squares line to points `(x, y)`; NaN with fewer than two points.
 pub fn fit(points: &[(f64, f64)]) -> FittedLine {
     let (xs, ys): (Vec<f64>, Vec<f64>) = points.iter().copied().unzip();
     let (x_mean, y_mean) = (mean(&xs), mean(&ys));
--- a/examples/tier-cost/support.rs
+++ b/examples/tier-cost/support.rs
@@ -1,5 +1,5 @@
-//! The harness of the integration tests, which starts real processes.
-#![allow(dead_code, reason = "the tests use the rest of it")]
+//! Harness of the integration tests, which starts real processes.
+#![allow(dead_code, reason = "only the integration tests use all of it")]
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -17,31 +17,30 @@
 pub use fleet::FleetOptions;
 pub use fleet::TestFleet;
 
-/// Of every experiment.
+/// Result of an experiment.
 pub type TestResult<T = ()> = Result<T, Box<dyn Error>>;
 
 const BINARY: &str = "hawthornroute";
 
 static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
 
-/// Chooses the binary that daemons run: the one given, or the one in the
-/// directory above the examples'.
-pub fn set_program(given: Option<PathBuf>) -> TestResult {
-    let program = match given {
+/// Sets the binary that daemons run. The default is in the parent of the examples' directory.
+pub fn set_program(path: Option<PathBuf>) -> TestResult {
+    let program = match path {
         Some(program) => program,
-        None => beside()?,
+        None => default_program()?,
     };
     if !program.is_file() {
-        return Err(format!("{} is missing: build it first", program.display()).into());
+        return Err(format!("{} does not exist; build it first", program.display()).into());
     }
     PROGRAM.get_or_init(|| program);
     Ok(())
 }
 
-fn beside() -> TestResult<PathBuf> {
+fn default_program() -> TestResult<PathBuf> {
     let example = std::env::current_exe()?;
     let directory = example.parent().and_then(|examples| examples.parent());
-    Ok(directory.ok_or("an example stands in a directory")?.join(BINARY))
+    Ok(directory.ok_or("the program is not in a directory")?.join(BINARY))
 }
 
 /// The binary that daemons run.
--- a/examples/tier-load/main.rs
+++ b/examples/tier-load/main.rs
@@ -1,5 +1,5 @@
-//! Loads a whole tier on loopback, 8 daemons in 3 zones over stand-in targets
-//! at the brief's sizes, and prints what callers saw beside the naive client.
+//! Load test of a tier on loopback, with 8 daemons in 3 zones and stand-in targets. Prints the
+//! results of callers of the tier and, for comparison, of a naive client.
 //!
 //! `cargo run --release --example tier-load -- [--deployment dar-port|poland]
 //! [--scenario NAME]... [--seconds N] [--share F] [--seed N] [--json]`
@@ -44,13 +44,13 @@
 
 type Outcome<T = ()> = Result<T, Box<dyn Error>>;
 
-const HOSTS: [usize; 3] = [3, 3, 2];
-const READY_LIMIT: Duration = Duration::from_secs(10);
-const FRONT_CONNECTIONS: usize = 256;
-/// Owners need a moment to open connections and to time their targets.
-const SETTLE: Duration = Duration::from_secs(2);
-/// One ordinary answer of a target.
-const TYPICAL: Duration = Duration::from_millis(5);
+const HOSTS_PER_ZONE: [usize; 3] = [3, 3, 2];
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+const ENTRY_CONNECTIONS: usize = 256;
+/// Time for owners to open connections to their targets and to measure their latency.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
+/// Typical service time of a target.
+const SERVICE_TIME: Duration = Duration::from_millis(5);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::EnumString, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
@@ -76,11 +76,11 @@
     let scenario = long("scenario").argument("NAME").many();
     let seconds = long("seconds").argument("N").fallback(5.0);
     let share = long("share")
-        .help("Of what the targets could serve, taken for the capacity")
+        .help("Capacity of the tier, as a share of what the targets could serve")
         .argument("F")
         .fallback(0.5);
     let stragglers = long("stragglers")
-        .help("The part of attempts that take 20 times as long")
+        .help("Share of attempts that take 20 times as long")
         .argument("F")
         .fallback(0.0);
     let replicas = long("replicas").argument("N").fallback(2);
@@ -91,17 +91,17 @@
         .run()
 }
 
-fn describe(arguments: &Arguments) -> DeploymentOptions {
+fn deployment_options(arguments: &Arguments) -> DeploymentOptions {
     let service_time = ServiceTime {
-        typical: TYPICAL,
+        typical: SERVICE_TIME,
         straggler_share: arguments.stragglers,
         ..ServiceTime::default()
     };
-    let (usual, name) = match arguments.deployment {
+    let (defaults, name) = match arguments.deployment {
         DeploymentName::DarPort => (DeploymentOptions::dar_port(), "agent-desk"),
         DeploymentName::Poland => (DeploymentOptions::poland(), "claim-desk"),
     };
-    let corpus = usual.services[0].corpus.clone();
+    let corpus = defaults.services[0].corpus.clone();
     let service = ServiceDescription {
         shards: 20,
         replicas: arguments.replicas,
@@ -109,10 +109,10 @@
         corpus,
         ..ServiceDescription::new(name)
     };
-    DeploymentOptions { services: vec![service], seed: arguments.seed, ..usual }
+    DeploymentOptions { services: vec![service], seed: arguments.seed, ..defaults }
 }
 
-/// Daemons in this process, each with threads of its own.
+/// Daemons in this process, each with its own threads.
 struct LocalDaemons {
     running: Mutex<Vec<Option<DaemonProcess<Serving>>>>,
     names: Vec<String>,
@@ -127,13 +127,13 @@
         async move {
             let Some(index) = self.names.iter().position(|name| name == daemon) else { return };
             let Some(process) = self.take(index) else { return };
-            let again = tokio::task::spawn_blocking(move || {
+            let restarted = tokio::task::spawn_blocking(move || {
                 let settings = process.settings_with_bound_addresses();
                 process.drain().finish();
                 let process = daemon::start(settings).ok()?;
-                process.wait_until_ready(READY_LIMIT).then_some(process)
+                process.wait_until_ready(READY_TIMEOUT).then_some(process)
             });
-            if let Ok(process) = again.await {
+            if let Ok(process) = restarted.await {
                 self.put(index, process);
             }
         }
@@ -141,7 +141,7 @@
     }
 
     fn cut_zone(&self, _cut: bool) -> BoxFuture<'_, ()> {
-        // Zones are cut by the fault-injecting proxy, in tests/.
+        // Not supported here: only the fault-injecting proxy of tests/ partitions zones.
         std::future::ready(()).boxed()
     }
 }
@@ -163,7 +163,7 @@
         let mut seeds: Vec<String> = Vec::new();
         let mut running = Vec::new();
         let mut names = Vec::new();
-        for (zone, count) in deployment.options().zones.iter().zip(HOSTS) {
+        for (zone, count) in deployment.options().zones.iter().zip(HOSTS_PER_ZONE) {
             for number in 1..=count {
                 let host = format!("{zone}-{number}");
                 let text = format!(
@@ -179,7 +179,7 @@
             }
         }
         for process in running.iter().flatten() {
-            if !process.wait_until_ready(READY_LIMIT) {
+            if !process.wait_until_ready(READY_TIMEOUT) {
                 return Err("a daemon did not become ready".into());
             }
         }
@@ -221,11 +221,11 @@
 fn main() -> Outcome {
     let arguments = arguments();
     let runtime = tokio::runtime::Runtime::new()?;
-    let described = describe(&arguments);
-    let deployment = runtime.block_on(StandinDeployment::start(described))?;
+    let options = deployment_options(&arguments);
+    let deployment = runtime.block_on(StandinDeployment::start(options))?;
     runtime.block_on(apply(&deployment))?;
     let daemons = LocalDaemons::start(&deployment)?;
-    std::thread::sleep(SETTLE);
+    std::thread::sleep(SETTLE_TIME);
     let output = runtime.block_on(measure(&arguments, &deployment, &daemons));
     daemons.stop();
     print!("{}", output?);
@@ -239,7 +239,7 @@
     daemons: &LocalDaemons,
 ) -> Outcome<String> {
     let stage = DeploymentStage::new(deployment);
-    let tier = Arc::new(HttpTier::new(daemons.hosts(), FRONT_CONNECTIONS));
+    let tier = Arc::new(HttpTier::new(daemons.hosts(), ENTRY_CONNECTIONS));
     let mut output = if arguments.json { String::new() } else { table_head() };
     let scenarios = match arguments.scenario.is_empty() {
         true => vec![LoadScenario::Calm],
@@ -263,11 +263,11 @@
     Ok(output)
 }
 
-/// Why ranges were missing from the tier's answers, and when.
+/// Reasons for ranges missing from the tier's answers, with counts and times.
 fn missing(deployment: &StandinDeployment, daemons: &LocalDaemons, since: Duration) -> String {
     let mut counts: BTreeMap<String, (u64, Duration, Duration)> = BTreeMap::new();
     let records = deployment.history().records();
-    let hosts: HashSet<u64> = records
+    let tier_sends: HashSet<u64> = records
         .iter()
         .filter_map(|record| match &record.event {
             HistoryEvent::QuerySent(sent) if daemons.names.contains(&sent.front) => Some(sent.send),
@@ -276,7 +276,7 @@
         .collect();
     for record in records {
         let HistoryEvent::Answered { send, answer } = &record.event else { continue };
-        if !hosts.contains(send) {
+        if !tier_sends.contains(send) {
             continue;
         }
         let Some(coverage) = answer.coverage.as_ref().filter(|_| record.at >= since) else {
