--- a/examples/tier-cost/latency.rs
+++ b/examples/tier-cost/latency.rs
@@ -14,7 +14,7 @@
 use crate::stats;
 use crate::support::TestFleet;
 use crate::support::TestResult;
-use crate::support::fleet::is_whole;
+use crate::support::fleet::is_complete;
 
 const PAIRS: usize = 1_000;
 /// Queries before the measurement, to warm up connections and routes.
@@ -111,7 +111,7 @@
     let response = tier.query(0, query).await;
     let elapsed = started.elapsed();
     match response {
-        HeardAnswer::Answered(answer) if is_whole(&answer) => Ok(stats::ms(elapsed)),
+        HeardAnswer::Answered(answer) if is_complete(&answer) => Ok(stats::ms(elapsed)),
         other => Err(format!("not a complete answer: {other:?}").into()),
     }
 }
--- a/examples/tier-cost/ready.rs
+++ b/examples/tier-cost/ready.rs
@@ -43,7 +43,7 @@
         fleet.start_daemon(spec)?;
         while !fleet.is_ready(index).await? {
             if started.elapsed() > TIMEOUT {
-                return Err(format!("not ready:\n{}", fleet.daemons[index].tail()).into());
+                return Err(format!("not ready:\n{}", fleet.daemons[index].log_tail()).into());
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
--- a/examples/tier-cost/takeover.rs
+++ b/examples/tier-cost/takeover.rs
@@ -15,7 +15,7 @@
 use crate::stats;
 use crate::support::TestFleet;
 use crate::support::TestResult;
-use crate::support::fleet::is_whole;
+use crate::support::fleet::is_complete;
 
 const KILLS: usize = 5;
 const DAEMONS: usize = 8;
@@ -135,7 +135,7 @@
     let mut answers = Vec::new();
     while !*stopped.borrow() {
         let response = tier.query(ENTRY_HOST, &query).await;
-        let complete = matches!(response, HeardAnswer::Answered(answer) if is_whole(&answer));
+        let complete = matches!(response, HeardAnswer::Answered(answer) if is_complete(&answer));
         answers.push((Instant::now(), complete));
         tokio::time::sleep(POLL_INTERVAL).await;
     }
--- a/examples/tier-cost/throughput.rs
+++ b/examples/tier-cost/throughput.rs
@@ -22,7 +22,7 @@
 use crate::stats;
 use crate::support::TestFleet;
 use crate::support::TestResult;
-use crate::support::fleet::is_whole;
+use crate::support::fleet::is_complete;
 use crate::system;
 
 const WIDTHS: [u32; 5] = [1, 8, 24, 72, 270];
@@ -231,7 +231,7 @@
 ) {
     while Instant::now() < end {
         let response = tier.query(entry_host, &query).await;
-        let complete = matches!(response, HeardAnswer::Answered(answer) if is_whole(&answer));
+        let complete = matches!(response, HeardAnswer::Answered(answer) if is_complete(&answer));
         counts[usize::from(!complete)].fetch_add(1, Ordering::Relaxed);
     }
 }
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -7,7 +7,7 @@
 use support::FleetOptions;
 use support::TestFleet;
 use support::TestResult;
-use support::fleet::is_whole;
+use support::fleet::is_complete;
 
 /// Bad answers each target gives.
 const BAD_ANSWERS: u32 = 3;
@@ -79,7 +79,7 @@
         fleet.wait_until_ready().await?;
         for index in 0..fleet.daemons.len() {
             let answer = fleet.send(index, fleet.query("claim-desk")).await?;
-            assert!(is_whole(&answer), "{}: {answer:?}", case.name);
+            assert!(is_complete(&answer), "{}: {answer:?}", case.name);
         }
     }
     fleet.check()
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -10,7 +10,7 @@
 use support::FleetOptions;
 use support::TestFleet;
 use support::TestResult;
-use support::fleet::PATIENCE;
+use support::fleet::WAIT_TIMEOUT;
 
 /// Pings, acks and the rest that all daemons send while calls are counted:
 /// about ten seconds of a fleet at rest. A count, so that a machine which
@@ -44,7 +44,7 @@
 async fn wait_for_datagrams(fleet: &TestFleet, count: f64) -> TestResult {
     let (before, began) = (datagrams(fleet).await?, Instant::now());
     while datagrams(fleet).await? - before < count {
-        assert!(began.elapsed() < 3 * PATIENCE, "daemons send no heartbeats");
+        assert!(began.elapsed() < 3 * WAIT_TIMEOUT, "daemons send no heartbeats");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     Ok(())
--- a/tests/freezes.rs
+++ b/tests/freezes.rs
@@ -41,8 +41,8 @@
     let fleet = TestFleet::start(options).await?;
     let frozen = &fleet.daemons[0];
     let load = RunningLoad::start(&fleet, &["agent-desk"]);
-    load.pass(STEP).await?;
-    frozen.freeze()?;
+    load.wait_for_sends(STEP).await?;
+    frozen.suspend()?;
     let began = tokio::time::Instant::now();
     for index in 1..fleet.daemons.len() {
         fleet
@@ -54,15 +54,15 @@
     let rules = format!("{}# edited\n", fleet.deployment.rules_toml());
     fleet.apply(1, "while it stands still", &rules).await?;
     tokio::time::sleep_until(began + STANDSTILL).await;
-    frozen.thaw()?;
-    load.pass(STEP).await?;
+    frozen.resume()?;
+    load.wait_for_sends(STEP).await?;
     fleet.wait_until_ready().await?;
     fleet.wait_for_revision(2).await?;
-    load.pass(STEP).await?;
-    load.take();
-    load.pass(STEP).await?;
-    load.finish().await?.is_spotless()?;
-    assert!(frozen.logged(PAUSED) > 0, "{}", frozen.tail());
+    load.wait_for_sends(STEP).await?;
+    load.take_report();
+    load.wait_for_sends(STEP).await?;
+    load.finish().await?.check_all_succeeded()?;
+    assert!(frozen.logged(PAUSED) > 0, "{}", frozen.log_tail());
     for target in &fleet.deployment.targets {
         let counters = target.standin.control().counters();
         let service = fleet.deployment.options().services.iter();
@@ -92,10 +92,10 @@
     platform.set_faults(|faults| faults.extra_delay = SLOW);
     let story = async {
         tokio::time::sleep(CLAIMING).await;
-        owners.iter().try_for_each(|owner| owner.freeze())?;
+        owners.iter().try_for_each(|owner| owner.suspend())?;
         platform.set_faults(|faults| faults.extra_delay = Duration::ZERO);
         tokio::time::sleep(STANDSTILL).await;
-        owners.iter().try_for_each(|owner| owner.thaw())
+        owners.iter().try_for_each(|owner| owner.resume())
     };
     let (heard, story) = tokio::join!(fleet.send_once(2, request.clone()), story);
     story?;
--- a/tests/intent.rs
+++ b/tests/intent.rs
@@ -22,8 +22,8 @@
 use support::FleetOptions;
 use support::TestFleet;
 use support::TestResult;
-use support::fleet::PATIENCE;
-use support::fleet::is_whole;
+use support::fleet::WAIT_TIMEOUT;
+use support::fleet::is_complete;
 use support::wire;
 
 /// Both hold `agent-desk/00`, in two zones.
@@ -94,7 +94,7 @@
 async fn until(what: &str, passes: impl Fn() -> bool) -> TestResult {
     let began = Instant::now();
     while !passes() {
-        if began.elapsed() > PATIENCE {
+        if began.elapsed() > WAIT_TIMEOUT {
             return Err(format!("{what} did not come").into());
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -122,8 +122,8 @@
         while !is_over.get() {
             for index in 0..fleet.daemons.len() {
                 let answer = fleet.send(index, fleet.query("agent-desk")).await?;
-                let is_complete = answer.outcome == CallerOutcome::Answer && is_whole(&answer);
-                if !is_complete {
+                let succeeded = answer.outcome == CallerOutcome::Answer && is_complete(&answer);
+                if !succeeded {
                     let mut answer = answer;
                     answer.matches.clear();
                     let logs = fleet.daemons.iter().flat_map(support::daemon::DaemonHost::log);
@@ -188,10 +188,10 @@
         let report = fleet.status(index).await?;
         assert!(is_quiet(&report) && report.drift.is_empty(), "{report:?}");
         assert_eq!(report.wanted.get("off"), Some(&1));
-        assert_eq!(daemon.logged("E400"), 0, "{}", daemon.tail());
+        assert_eq!(daemon.logged("E400"), 0, "{}", daemon.log_tail());
     }
     let path = format!("/v1/explain?target={SECOND}");
-    let (_, text) = wire::page(fleet.daemons[0].caller, &path).await?;
+    let (_, text) = wire::get(fleet.daemons[0].caller, &path).await?;
     assert!(text.contains("spare"), "{text}");
     check_promises(&fleet)
 }
@@ -240,7 +240,7 @@
     .await?;
     assert_eq!(first.phase(), TargetPhase::Draining);
     let path = format!("/v1/explain?target={FIRST}");
-    let (_, text) = wire::page(fleet.daemons[1].caller, &path).await?;
+    let (_, text) = wire::get(fleet.daemons[1].caller, &path).await?;
     assert!(text.contains("repairs") && text.contains("cooling is replaced"), "{text}");
     check_promises(&fleet)
 }
@@ -302,7 +302,7 @@
         .log()
         .into_iter()
         .filter(|line| line.contains("E403") && line.contains(FIRST) && line.ends_with("waiting"));
-    assert_eq!(logged.count(), 1, "{}", owner.tail());
+    assert_eq!(logged.count(), 1, "{}", owner.log_tail());
     let at = owner.caller.to_string();
     let page = run(&["status", "--at", &at])?;
     let text = String::from_utf8_lossy(&page.stdout);
--- a/tests/kills.rs
+++ b/tests/kills.rs
@@ -14,7 +14,7 @@
 use support::FleetOptions;
 use support::TestFleet;
 use support::TestResult;
-use support::fleet::PATIENCE;
+use support::fleet::WAIT_TIMEOUT;
 use support::load::RunningLoad;
 
 /// Sends between two steps of a story: some for each host.
@@ -54,20 +54,20 @@
 async fn kill_under_load(hosts: Vec<usize>, victim: usize) -> TestResult {
     let mut fleet = TestFleet::start(FleetOptions { hosts, ..FleetOptions::small() }).await?;
     let load = RunningLoad::start(&fleet, &["agent-desk", "port-feed"]);
-    load.pass(STEP).await?;
+    load.wait_for_sends(STEP).await?;
     kill(&fleet, victim)?;
     until_given_up(&fleet, victim).await?;
-    load.pass(STEP).await?;
-    load.take();
-    load.pass(STEP).await?;
-    load.take().is_spotless()?;
+    load.wait_for_sends(STEP).await?;
+    load.take_report();
+    load.wait_for_sends(STEP).await?;
+    load.take_report().check_all_succeeded()?;
     fleet.daemons[victim].kill()?;
     fleet.restart(victim)?;
     fleet.wait_until_ready().await?;
-    load.pass(STEP).await?;
-    load.take();
-    load.pass(STEP).await?;
-    load.finish().await?.is_spotless()?;
+    load.wait_for_sends(STEP).await?;
+    load.take_report();
+    load.wait_for_sends(STEP).await?;
+    load.finish().await?.check_all_succeeded()?;
     fleet.check()
 }
 
@@ -104,7 +104,7 @@
             let index = zones.iter().position(|zone| *zone == target.zone);
             return Ok(index.ok_or("a target stands in a zone")?);
         }
-        if began.elapsed() > PATIENCE {
+        if began.elapsed() > WAIT_TIMEOUT {
             return Err("no target runs the request".into());
         }
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
--- a/tests/partition.rs
+++ b/tests/partition.rs
@@ -11,7 +11,7 @@
 use support::FleetOptions;
 use support::TestFleet;
 use support::TestResult;
-use support::fleet::is_whole;
+use support::fleet::is_complete;
 use support::load::RunningLoad;
 
 const SERVICE: &str = "agent-desk";
@@ -56,7 +56,7 @@
     for index in 0..fleet.daemons.len() {
         fleet.wait_for(index, "no lost zone", |report| report.lost_zones.is_empty()).await?;
         let answer = fleet.send(index, fleet.query(SERVICE)).await?;
-        assert!(is_whole(&answer), "{answer:?}");
+        assert!(is_complete(&answer), "{answer:?}");
     }
     Ok(())
 }
@@ -100,7 +100,7 @@
     assert!(refused.retry_after_ms.is_some(), "{refused:?}");
     for index in [0, 1] {
         let answer = fleet.send(index, fleet.query(SERVICE)).await?;
-        assert!(is_whole(&answer), "{answer:?}");
+        assert!(is_complete(&answer), "{answer:?}");
         let other = fleet.once(SERVICE, KeyRange::part(1, SHARDS).start);
         let ran = fleet.send_once(index, other).await?;
         assert_eq!(ran.outcome, CallerOutcome::Answer, "{ran:?}");
@@ -142,7 +142,7 @@
 async fn a_zone_that_hears_and_is_not_heard_breaks_no_promise() -> TestResult {
     let fleet = TestFleet::start(FleetOptions::linked()).await?;
     let load = RunningLoad::start(&fleet, &[SERVICE]);
-    load.pass(STEP).await?;
+    load.wait_for_sends(STEP).await?;
     let network = fleet.network()?;
     for other in [0, 1] {
         network.cut_one_way(&zone(&fleet, LONE), &zone(&fleet, other));
@@ -150,14 +150,14 @@
     for index in [0, 1] {
         fleet.wait_for(index, "a lost zone", |report| !report.lost_zones.is_empty()).await?;
     }
-    load.pass(STEP).await?;
+    load.wait_for_sends(STEP).await?;
     for index in [0, 1] {
         let answer = fleet.send(index, fleet.query(SERVICE)).await?;
-        assert!(is_whole(&answer), "{answer:?}");
+        assert!(is_complete(&answer), "{answer:?}");
     }
-    load.pass(STEP).await?;
+    load.wait_for_sends(STEP).await?;
     let report = load.finish().await?;
-    assert!(report.whole > 0 && report.cut == 0, "{report:?}");
+    assert!(report.complete > 0 && report.disconnected == 0, "{report:?}");
     heal(&fleet).await?;
     fleet.check()
 }
@@ -188,7 +188,7 @@
     expected.insert(half);
     assert_eq!(missing(&answer), expected, "{answer:?}");
     let answer = fleet.send(0, fleet.query(SERVICE)).await?;
-    assert!(is_whole(&answer), "{answer:?}");
+    assert!(is_complete(&answer), "{answer:?}");
     heal(&fleet).await?;
     fleet.check()
 }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -12,8 +12,8 @@
 use support::FleetOptions;
 use support::TestFleet;
 use support::TestResult;
-use support::fleet::PATIENCE;
-use support::fleet::is_whole;
+use support::fleet::WAIT_TIMEOUT;
+use support::fleet::is_complete;
 use support::wire;
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
@@ -25,7 +25,7 @@
         for service in ["agent-desk", "port-feed"] {
             let answer = fleet.send(index, fleet.query(service)).await?;
             assert_eq!(answer.outcome, CallerOutcome::Answer);
-            assert!(is_whole(&answer), "{answer:?}");
+            assert!(is_complete(&answer), "{answer:?}");
             assert!(answer.total > 0);
         }
     }
@@ -146,7 +146,7 @@
 async fn a_client_that_trickles_is_turned_away() -> TestResult {
     let options = FleetOptions {
         hosts: vec![1, 0, 0],
-        more: "[limits]\nslow_client = \"200ms\"\n".into(),
+        extra_settings: "[limits]\nslow_client = \"200ms\"\n".into(),
         ..FleetOptions::small()
     };
     let fleet = TestFleet::start_unready(options).await?;
@@ -156,7 +156,7 @@
     let mut heard = Vec::new();
     let mut buffer = [0; 4_096];
     while !String::from_utf8_lossy(&heard).contains("slow-client") {
-        let count = tokio::time::timeout(PATIENCE, stream.read(&mut buffer)).await??;
+        let count = tokio::time::timeout(WAIT_TIMEOUT, stream.read(&mut buffer)).await??;
         assert!(count > 0, "closed without a reason: {}", String::from_utf8_lossy(&heard));
         heard.extend_from_slice(&buffer[..count]);
     }
--- a/tests/route.rs
+++ b/tests/route.rs
@@ -38,7 +38,7 @@
     operator::register(&store, "t-1", &first, "east");
     operator::register(&store, "t-2", &second, "east");
     let host = RouteHost::start("h-1", "east", store.address(), &[])?;
-    host.ready().await?;
+    host.wait_until_ready().await?;
     Ok(Pair { store, first, second, host })
 }
 
@@ -56,7 +56,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_is_passed_on_and_answered_unchanged() -> TestResult {
     let pair = pair().await?;
-    let answer = pair.host.ask("POST", "/safe/a%20b?x=1&y=%2F", "id-1", "the body").await?;
+    let answer = pair.host.send("POST", "/safe/a%20b?x=1&y=%2F", "id-1", "the body").await?;
     assert_eq!(answer.status, 200);
     assert_eq!(answer.body, target::records("s"));
     assert!(answer.headers[words::RECEIPT].ends_with(".id-1"));
@@ -64,7 +64,7 @@
     seen.extend(pair.second.requests());
     let expected = ("POST".to_owned(), "/safe/a%20b?x=1&y=%2F".to_owned(), b"the body".to_vec());
     assert_eq!(seen, [expected]);
-    assert_eq!(pair.host.ask("GET", "/none/", "id-2", "").await?.status, 404);
+    assert_eq!(pair.host.send("GET", "/none/", "id-2", "").await?.status, 404);
     Ok(())
 }
 
@@ -134,13 +134,13 @@
         let pair = pair().await?;
         pair.first.fail_always(Some(case.fault));
         for round in 0..2 {
-            let answer = pair.host.ask("GET", "/safe/", &format!("one-{round}"), "").await?;
+            let answer = pair.host.send("GET", "/safe/", &format!("one-{round}"), "").await?;
             assert_eq!(answer.status, case.safe.0, "{}: one target fails", case.name);
         }
         pair.fail_always(Some(case.fault));
-        let answer = pair.host.ask("GET", "/safe/", "both", "").await?;
+        let answer = pair.host.send("GET", "/safe/", "both", "").await?;
         assert_eq!(answer.status, case.safe.1, "{}: both fail", case.name);
-        let answer = pair.host.ask("POST", "/once/", "once", "").await?;
+        let answer = pair.host.send("POST", "/once/", "once", "").await?;
         assert_eq!(answer.status, case.once, "{}: may run once", case.name);
         assert_eq!(pair.runs("once"), case.once_runs, "{}: runs", case.name);
         assert_eq!(answer.status == 503, answer.headers.contains_key("retry-after"));
@@ -188,7 +188,7 @@
     pair.host.signal(Signal::HUP)?;
     let logged = async || pair.host.logged("settings-reloaded: outcome=accepted") == 1;
     route::wait_for("the settings to be read again", logged).await?;
-    assert_eq!(pair.host.ask("GET", "/safe/", "id-1", "").await?.status, 200);
+    assert_eq!(pair.host.send("GET", "/safe/", "id-1", "").await?.status, 200);
     Ok(())
 }
 
@@ -198,20 +198,20 @@
 async fn sighup_brings_a_new_budget_into_force() -> TestResult {
     let pair = pair().await?;
     pair.fail_always(Some(TargetFault::Fail));
-    pair.host.ask("GET", "/safe/", "id-1", "").await?;
+    pair.host.send("GET", "/safe/", "id-1", "").await?;
     assert_eq!(pair.runs("id-1"), 2);
     pair.host.change_settings("share = 0.2", "share = 0.0")?;
     pair.host.change_settings("allowance = 20000", "allowance = 0")?;
     pair.host.signal(Signal::HUP)?;
     let logged = async || pair.host.logged("settings-reloaded: outcome=accepted") == 1;
     route::wait_for("the settings to be read again", logged).await?;
-    pair.host.ask("GET", "/safe/", "id-2", "").await?;
+    pair.host.send("GET", "/safe/", "id-2", "").await?;
     assert_eq!(pair.runs("id-2"), 1);
     pair.host.change_settings("share = 0.0", "share = \"much\"")?;
     pair.host.signal(Signal::HUP)?;
     let refused = async || pair.host.logged("settings-reloaded: outcome=refused") == 1;
     route::wait_for("the settings to be refused", refused).await?;
-    assert_eq!(pair.host.ask("GET", "/safe/", "id-3", "").await?.status, 500);
+    assert_eq!(pair.host.send("GET", "/safe/", "id-3", "").await?.status, 500);
     Ok(())
 }
 
@@ -222,7 +222,7 @@
 async fn sighup_brings_a_new_policy_into_force() -> TestResult {
     let pair = pair().await?;
     pair.fail_always(Some(TargetFault::Slow(Duration::from_millis(600))));
-    pair.host.ask("GET", "/safe/", "id-1", "").await?;
+    pair.host.send("GET", "/safe/", "id-1", "").await?;
     assert_eq!(pair.runs("id-1"), 2);
     let off = "[policy.second_attempts]\non = false\n[budget]";
     pair.host.change_settings("[budget]", off)?;
@@ -230,13 +230,13 @@
     let accepted = "settings-reloaded: outcome=accepted policy=second_attempts.on=0";
     let logged = async || pair.host.logged(accepted) == 1;
     route::wait_for("the policy to be read again", logged).await?;
-    pair.host.ask("GET", "/safe/", "id-2", "").await?;
+    pair.host.send("GET", "/safe/", "id-2", "").await?;
     assert_eq!(pair.runs("id-2"), 1);
     pair.host.change_settings("on = false", "of = true")?;
     pair.host.signal(Signal::HUP)?;
     let refused = async || pair.host.logged("settings-reloaded: outcome=refused") == 1;
     route::wait_for("the policy to be refused", refused).await?;
-    pair.host.ask("GET", "/safe/", "id-3", "").await?;
+    pair.host.send("GET", "/safe/", "id-3", "").await?;
     assert_eq!(pair.runs("id-3"), 1);
     Ok(())
 }
@@ -250,9 +250,9 @@
     operator::configure(&store, 3, &[operator::single("/a/", "s", "safe")], &["s"]);
     operator::register(&store, "t-1", &target, "east");
     let taken = route::READY_PORT;
-    let host = RouteHost::start_with("h-1", "east", store.address(), &[], taken)?;
-    host.ready().await?;
-    assert_eq!(host.ask("GET", "/a/", "id-1", "").await?.status, 200);
+    let host = RouteHost::start_with_metrics_port("h-1", "east", store.address(), &[], taken)?;
+    host.wait_until_ready().await?;
+    assert_eq!(host.send("GET", "/a/", "id-1", "").await?.status, 200);
     let logged = async || host.logged("duty=metrics") == 1;
     route::wait_for("the line of the metrics", logged).await
 }
@@ -281,7 +281,7 @@
     sleep(Duration::from_millis(50)).await;
     let other = RouteTarget::start_at("t-9", "other", address).await?;
     for round in 0..6 {
-        let answer = pair.host.ask("POST", "/once/", &format!("id-{round}"), "").await?;
+        let answer = pair.host.send("POST", "/once/", &format!("id-{round}"), "").await?;
         assert_eq!(answer.status, 200, "request {round}");
     }
     assert_eq!(other.all_runs(), 0);
@@ -297,7 +297,7 @@
     let heard = async || pair.host.logged("target=t-1 change=draining") == 1;
     route::wait_for("the host to hear of it", heard).await?;
     for round in 0..10 {
-        assert_eq!(pair.host.ask("GET", "/safe/", &format!("id-{round}"), "").await?.status, 200);
+        assert_eq!(pair.host.send("GET", "/safe/", &format!("id-{round}"), "").await?.status, 200);
     }
     assert_eq!(pair.first.all_runs(), 0);
     Ok(())
@@ -315,18 +315,18 @@
     pair.store.compact();
     let lost = async || pair.host.logged("store-lost") > 0;
     route::wait_for("the host to miss the store", lost).await?;
-    assert_eq!(pair.host.ask("GET", "/safe/", "id-1", "").await?.status, 200);
+    assert_eq!(pair.host.send("GET", "/safe/", "id-1", "").await?.status, 200);
     pair.store.set_outage(RouteOutage::None);
     let heard = async || pair.host.logged("target=t-1 change=removed") == 1;
     route::wait_for("the host to hear of the target", heard).await?;
     // The watch that waited when the outage began may have brought the one and
     // not the other.
     let routed = async || {
-        let answer = pair.host.ask("GET", "/new/", "id-2", "").await;
+        let answer = pair.host.send("GET", "/new/", "id-2", "").await;
         answer.is_ok_and(|answer| answer.status == 200)
     };
     route::wait_for("the version to be in force", routed).await?;
-    assert_eq!(pair.host.ask("GET", "/safe/", "id-3", "").await?.status, 404);
+    assert_eq!(pair.host.send("GET", "/safe/", "id-3", "").await?.status, 404);
     Ok(())
 }
 
@@ -338,8 +338,8 @@
     operator::scribble(&pair.store, "other", b"{}");
     let heard = async || pair.host.logged("entry-broken: id=other") == 1;
     route::wait_for("the host to hear what came after", heard).await?;
-    assert_eq!(pair.host.ask("GET", "/old/", "id-1", "").await?.status, 404);
-    assert_eq!(pair.host.ask("GET", "/safe/", "id-2", "").await?.status, 200);
+    assert_eq!(pair.host.send("GET", "/old/", "id-1", "").await?.status, 404);
+    assert_eq!(pair.host.send("GET", "/safe/", "id-2", "").await?.status, 200);
     Ok(())
 }
 
@@ -350,16 +350,16 @@
     let pair = pair().await?;
     pair.store.set_outage(RouteOutage::Silent);
     let alone = RouteHost::start("h-2", "east", pair.store.address(), &[])?;
-    let answered = async || alone.ask("GET", "/safe/", "id-1", "").await.is_ok();
+    let answered = async || alone.send("GET", "/safe/", "id-1", "").await.is_ok();
     route::wait_for("the host to listen", answered).await?;
-    let answer = alone.ask("GET", "/safe/", "id-2", "").await?;
+    let answer = alone.send("GET", "/safe/", "id-2", "").await?;
     assert_eq!(answer.status, 503);
     assert!(answer.headers.contains_key("retry-after"));
     assert!(!alone.is_ready().await);
     for (name, zone) in [("h-3", "east"), ("h-4", "west")] {
         let joined = RouteHost::start(name, zone, pair.store.address(), &[&pair.host])?;
-        joined.ready().await?;
-        assert_eq!(joined.ask("GET", "/safe/", "id-3", "").await?.status, 200, "{zone}");
+        joined.wait_until_ready().await?;
+        assert_eq!(joined.send("GET", "/safe/", "id-3", "").await?.status, 200, "{zone}");
     }
     Ok(())
 }
@@ -374,11 +374,11 @@
     operator::configure(&store, 3, &[operator::single("/a/", "s", "safe")], &["s"]);
     operator::register(&store, "t-1", &target, "east");
     let first = RouteHost::start("h-1", "east", store.address(), &[])?;
-    first.ready().await?;
+    first.wait_until_ready().await?;
     let mut hosts = vec![first];
     for name in ["h-2", "h-3"] {
         let joined = RouteHost::start(name, "east", store.address(), &[&hosts[0]])?;
-        joined.ready().await?;
+        joined.wait_until_ready().await?;
         hosts.push(joined);
     }
     // A zone that is alone has two hosts that watch; the third's own watch, from
@@ -390,7 +390,7 @@
     let written = std::time::Instant::now();
     for host in &hosts {
         let routed = async || {
-            let answer = host.ask("GET", "/b/", "id-1", "").await;
+            let answer = host.send("GET", "/b/", "id-1", "").await;
             answer.is_ok_and(|answer| answer.status == 200)
         };
         route::wait_for("the version to be in force", routed).await?;
@@ -417,8 +417,8 @@
     operator::configure(&store, 3, &routes, &names);
     let east = RouteHost::start("h-1", "east", store.address(), &[])?;
     let west = RouteHost::start("h-2", "west", store.address(), &[&east])?;
-    east.ready().await?;
-    west.ready().await?;
+    east.wait_until_ready().await?;
+    west.wait_until_ready().await?;
     let met = async || east.logged("host=h-2 zone=west change=up") == 1;
     route::wait_for("the hosts to know each other", met).await?;
     sleep(Duration::from_millis(500)).await;
@@ -432,7 +432,7 @@
     records.sort_by(|a, b| b.cmp(a));
     for round in 0..5 {
         let id = format!("id-{round}");
-        let answer = east.ask("GET", "/all/", &id, "").await?;
+        let answer = east.send("GET", "/all/", &id, "").await?;
         assert_eq!(answer.status, 200);
         assert_eq!(answer.headers[words::MISSING_PARTS], "0");
         assert_eq!(answer.body, records[..4].concat());
@@ -446,7 +446,7 @@
     drop(west);
     targets.pop();
     let whole = async || {
-        let answer = east.ask("GET", "/all/", "id-9", "").await;
+        let answer = east.send("GET", "/all/", "id-9", "").await;
         answer
             .is_ok_and(|answer| answer.status == 200 && answer.headers[words::MISSING_PARTS] == "1")
     };
@@ -479,9 +479,9 @@
             .iter()
             .map(|name| RouteHost::start(name, "west", store.address(), &[&east]))
             .collect::<TestResult<Vec<_>>>()?;
-        east.ready().await?;
+        east.wait_until_ready().await?;
         for host in &west {
-            host.ready().await?;
+            host.wait_until_ready().await?;
         }
         let met = async || east.logged("zone=west change=up") == west.len();
         route::wait_for("the hosts to know each other", met).await?;
@@ -492,7 +492,7 @@
     async fn gathers(&self) -> TestResult {
         let before = self.east.logged("outcome=whole");
         let delegated = async || {
-            let answer = self.east.ask("GET", "/all/", "id-0", "").await;
+            let answer = self.east.send("GET", "/all/", "id-0", "").await;
             answer.is_ok() && self.east.logged("outcome=whole") > before
         };
         route::wait_for("a peer to gather", delegated).await
@@ -512,7 +512,7 @@
         sleep(Duration::from_millis(300)).await;
         for step in 0..40 {
             let id = format!("id-{round}-{step}");
-            let answer = fleet.east.ask("GET", "/all/", &id, "").await?;
+            let answer = fleet.east.send("GET", "/all/", &id, "").await?;
             assert_eq!(answer.status, 200, "{id}");
             sleep(Duration::from_millis(25)).await;
         }
@@ -532,7 +532,7 @@
         frozen.signal(Signal::STOP)?;
         for step in 0..4 {
             let id = format!("id-{round}-{step}");
-            let answer = east.ask("GET", "/all/", &id, "").await?;
+            let answer = east.send("GET", "/all/", &id, "").await?;
             assert_eq!(answer.status, 200, "{id}");
             assert_eq!(answer.headers[words::MISSING_PARTS], "0", "{id}");
         }
@@ -620,7 +620,7 @@
         }
         assert_eq!(pair.first.all_runs() + pair.second.all_runs(), 0, "{}", case.name);
     }
-    assert_eq!(pair.host.ask("GET", "/safe/", "id-1", "").await?.status, 200);
+    assert_eq!(pair.host.send("GET", "/safe/", "id-1", "").await?.status, 200);
     Ok(())
 }
 
@@ -661,7 +661,7 @@
     for target in targets {
         target.fail_always(Some(TargetFault::Slow(Duration::from_millis(700))));
     }
-    let answer = east.ask("GET", "/all/", "id-1", "").await?;
+    let answer = east.send("GET", "/all/", "id-1", "").await?;
     assert_eq!(answer.status, 200);
     assert_eq!(answer.headers[words::MISSING_PARTS], "0");
     for target in targets {
@@ -672,7 +672,7 @@
         target.fail_always(Some(TargetFault::Mute));
     }
     let started = std::time::Instant::now();
-    let answer = east.ask("GET", "/all/", "id-2", "").await?;
+    let answer = east.send("GET", "/all/", "id-2", "").await?;
     assert!([502, 504].contains(&answer.status), "{}", answer.status);
     assert!(started.elapsed() < Duration::from_millis(1700), "{:?}", started.elapsed());
     Ok(())
@@ -693,7 +693,7 @@
     }
     let callers = (0..CALLERS).map(|number| {
         let host = &fleet.east;
-        async move { host.ask("GET", "/all/", &format!("id-{number}"), "").await }
+        async move { host.send("GET", "/all/", &format!("id-{number}"), "").await }
     });
     let answers = futures::future::join_all(callers).await;
     let mut refused = 0;
@@ -721,7 +721,7 @@
     for host in west {
         host.signal(Signal::STOP)?;
     }
-    let answer = east.ask("GET", "/all/", "id-1", "").await?;
+    let answer = east.send("GET", "/all/", "id-1", "").await?;
     // The cancellations are on their way when the answer comes.
     sleep(Duration::from_millis(100)).await;
     for host in west {
--- a/tests/route_callers.rs
+++ b/tests/route_callers.rs
@@ -38,7 +38,7 @@
     operator::configure_heads(&store, 3, &routes, &["s"], HEAD_MS);
     operator::register(&store, "t-1", &target, "east");
     let host = RouteHost::start("h-1", "east", store.address(), &[])?;
-    host.ready().await?;
+    host.wait_until_ready().await?;
     Ok(Single { store, target, host })
 }
 
@@ -54,14 +54,14 @@
     stream.write_all(&route::request("POST", "/once/", "id-1", "x")).await?;
     let started = Instant::now();
     let mut half = vec![0; LONG / 4];
-    timeout(route::PATIENCE, stream.read_exact(&mut half)).await??;
+    timeout(route::WAIT_TIMEOUT, stream.read_exact(&mut half)).await??;
     let head = String::from_utf8_lossy(&half[..300]).to_ascii_lowercase();
     assert!(head.starts_with("http/1.1 200"), "{head}");
     assert!(head.contains(&format!("content-length: {LONG}")), "{head}");
     assert!(started.elapsed() < pause, "{:?}", started.elapsed());
     let begin = half.windows(4).position(|part| part == b"\r\n\r\n").ok_or("no head")? + 4;
     let mut rest = vec![0; LONG - (half.len() - begin)];
-    timeout(route::PATIENCE, stream.read_exact(&mut rest)).await??;
+    timeout(route::WAIT_TIMEOUT, stream.read_exact(&mut rest)).await??;
     assert!(half[begin..].iter().chain(&rest).all(|byte| *byte == b'x'));
     // The connection is good for another request.
     single.target.fail_always(None);
@@ -78,7 +78,7 @@
 async fn a_long_answer_that_breaks_off_does_not_look_whole() -> TestResult {
     let single = single().await?;
     single.target.fail_always(Some(TargetFault::LongHalf(LONG)));
-    let error = single.host.ask("GET", "/safe/", "id-1", "").await.expect_err("it breaks off");
+    let error = single.host.send("GET", "/safe/", "id-1", "").await.expect_err("it breaks off");
     assert_eq!(error.to_string(), "the connection ended within an answer");
     assert_eq!(single.target.runs("id-1"), 1);
     let logged = async || single.host.logged("E634 answer-cut: request=id-1") == 1;
@@ -93,7 +93,7 @@
     let silence = Duration::from_secs(20);
     single.target.fail_always(Some(TargetFault::Long(LONG, silence)));
     let started = Instant::now();
-    let error = single.host.ask("GET", "/safe/", "id-1", "").await.expect_err("it breaks off");
+    let error = single.host.send("GET", "/safe/", "id-1", "").await.expect_err("it breaks off");
     assert_eq!(error.to_string(), "the connection ended within an answer");
     // The route allows 1.5 s.
     assert!(started.elapsed() < Duration::from_millis(2200), "{:?}", started.elapsed());
@@ -135,7 +135,7 @@
             std::future::pending::<()>().await;
         });
         let mut answer = [0; 12];
-        timeout(route::PATIENCE, reader.read_exact(&mut answer)).await??;
+        timeout(route::WAIT_TIMEOUT, reader.read_exact(&mut answer)).await??;
         sent.abort();
         let status = String::from_utf8_lossy(&answer[9..]).parse::<u16>()?;
         assert_eq!(status, case.status, "{}", case.name);
@@ -162,7 +162,7 @@
             sleep(Duration::from_millis(20)).await;
         }
         let mut answer = [0; 12];
-        timeout(route::PATIENCE, stream.read_exact(&mut answer)).await??;
+        timeout(route::WAIT_TIMEOUT, stream.read_exact(&mut answer)).await??;
         assert_eq!(&answer[..], b"HTTP/1.1 408");
     }
     Ok(())
@@ -181,11 +181,11 @@
     let first = (0..CONNECTIONS).map(|number| {
         let id = format!("first-{number}");
         let host = &single.host;
-        async move { host.ask("GET", "/safe/", &id, "").await }
+        async move { host.send("GET", "/safe/", &id, "").await }
     });
     let later = async {
         sleep(Duration::from_millis(50)).await;
-        single.host.ask("GET", "/safe/", "later", "").await
+        single.host.send("GET", "/safe/", "later", "").await
     };
     let (first, later) = tokio::join!(futures::future::join_all(first), later);
     for answer in first {
--- a/tests/route_cold.rs
+++ b/tests/route_cold.rs
@@ -36,9 +36,9 @@
         targets.push(target);
     }
     let first = RouteHost::start("h-1", "east", store.address(), &[])?;
-    first.ready().await?;
+    first.wait_until_ready().await?;
     let second = RouteHost::start("h-2", "east", store.address(), &[&first])?;
-    second.ready().await?;
+    second.wait_until_ready().await?;
     Ok(Fleet { store, targets, hosts: vec![first, second] })
 }
 
@@ -53,7 +53,7 @@
         for (number, host) in fleet.hosts.iter().enumerate() {
             for path in ["/safe/x", "/all/x"] {
                 let id = format!("{name}-{round}-{number}-{}", &path[1..4]);
-                let answer = host.ask("GET", path, &id, "").await?;
+                let answer = host.send("GET", path, &id, "").await?;
                 match answer.status {
                     200 => served += 1,
                     503 => {
--- a/tests/route_crashes.rs
+++ b/tests/route_crashes.rs
@@ -46,10 +46,10 @@
     ];
     operator::configure(&store, 3, &routes, &SHARDS);
     let mut hosts = vec![RouteHost::start("h-1", "east", store.address(), &[])?];
-    hosts[0].ready().await?;
+    hosts[0].wait_until_ready().await?;
     for (name, zone) in [("h-2", "east"), ("h-3", "west"), ("h-4", "west")] {
         let host = RouteHost::start(name, zone, store.address(), &[&hosts[0]])?;
-        host.ready().await?;
+        host.wait_until_ready().await?;
         hosts.push(host);
     }
     sleep(PAUSE).await;
@@ -91,7 +91,7 @@
         for round in 0..9 {
             let host = &fleet.hosts[round % fleet.hosts.len()];
             let id = format!("crash-{round}");
-            let answer = host.ask("GET", &crashing, &id, "").await?;
+            let answer = host.send("GET", &crashing, &id, "").await?;
             if fleet.runs(&id) > 0 {
                 reached.push(round);
             } else {
@@ -100,7 +100,7 @@
             }
             sleep(PAUSE).await;
             let ordinary = format!("{route}ordinary?q={round}");
-            let answer = host.ask("GET", &ordinary, &format!("ordinary-{round}"), "").await?;
+            let answer = host.send("GET", &ordinary, &format!("ordinary-{round}"), "").await?;
             assert_eq!(answer.status, 200, "{route}: an ordinary request after try {round}");
         }
         assert!(reached.len() <= 5, "{route}: tries {reached:?} reached targets");
@@ -118,10 +118,10 @@
     let fleet = fleet().await?;
     let crashing = format!("/all/{CRASHING}");
     fleet.crash_on(&crashing);
-    fleet.hosts[0].ask("GET", &crashing, "crash-0", "").await?;
+    fleet.hosts[0].send("GET", &crashing, "crash-0", "").await?;
     // The first attempts: a second one would crash the last target of its shard.
     assert!(fleet.runs("crash-0") <= SHARDS.len(), "{} runs", fleet.runs("crash-0"));
-    let answer = fleet.hosts[0].ask("GET", "/all/ordinary", "ordinary-0", "").await?;
+    let answer = fleet.hosts[0].send("GET", "/all/ordinary", "ordinary-0", "").await?;
     assert_eq!(answer.status, 200);
     Ok(())
 }
@@ -133,7 +133,7 @@
     let crashing = format!("/all/{CRASHING}");
     fleet.crash_on(&crashing);
     for round in 0..4 {
-        fleet.hosts[0].ask("GET", &crashing, &format!("crash-{round}"), "").await?;
+        fleet.hosts[0].send("GET", &crashing, &format!("crash-{round}"), "").await?;
         sleep(PAUSE).await;
     }
     let crashes = fleet.crashes();
@@ -145,14 +145,14 @@
         host.restart()?;
     }
     for host in &fleet.hosts {
-        host.ready().await?;
-        let answer = host.ask("GET", &crashing, "crash-again", "").await?;
+        host.wait_until_ready().await?;
+        let answer = host.send("GET", &crashing, "crash-again", "").await?;
         assert_eq!(answer.status, 503);
         let after: f64 = answer.headers["retry-after"].parse()?;
         assert!((300.0..=600.0).contains(&after), "retry-after is {after} s");
     }
     assert_eq!(fleet.crashes(), crashes);
-    let answer = fleet.hosts[0].ask("GET", "/all/ordinary", "ordinary-0", "").await?;
+    let answer = fleet.hosts[0].send("GET", "/all/ordinary", "ordinary-0", "").await?;
     assert_eq!(answer.status, 200);
     Ok(())
 }
@@ -168,7 +168,7 @@
         for round in 0..16 {
             let host = &fleet.hosts[round % fleet.hosts.len()];
             let id = format!("crash-{round}");
-            host.ask("GET", &format!("{crashing}?q={round}"), &id, "").await?;
+            host.send("GET", &format!("{crashing}?q={round}"), &id, "").await?;
             reached += usize::from(fleet.runs(&id) > 0);
             sleep(DOWN * 2).await;
         }
@@ -185,7 +185,7 @@
     fleet.crash_on(&crashing);
     // One strike each: the third one refuses the request.
     for round in 0..3 {
-        fleet.hosts[0].ask("GET", &crashing, &format!("crash-{round}"), "").await?;
+        fleet.hosts[0].send("GET", &crashing, &format!("crash-{round}"), "").await?;
         sleep(PAUSE).await;
     }
     let stored = async || !fleet.store.keys_with_prefix("quarantine/").is_empty();
--- a/tests/route_evacuation.rs
+++ b/tests/route_evacuation.rs
@@ -34,7 +34,7 @@
         for (number, host) in self.hosts.iter().enumerate() {
             for path in ["/all/x", "/safe/x", "/once/x"] {
                 let id = format!("{name}-{number}-{}", &path[1..4]);
-                statuses.push(host.ask("GET", path, &id, "").await?.status);
+                statuses.push(host.send("GET", path, &id, "").await?.status);
             }
         }
         Ok(statuses)
@@ -76,7 +76,7 @@
     let before = fleet.targets.runs(0) + fleet.targets.runs(1);
     for (number, path) in ["/all/x", "/safe/x", "/once/x"].into_iter().enumerate() {
         let asked = std::time::Instant::now();
-        let answer = fleet.hosts[0].ask("GET", path, &format!("id-{number}"), "").await?;
+        let answer = fleet.hosts[0].send("GET", path, &format!("id-{number}"), "").await?;
         assert_eq!(answer.status, 503, "{path}");
         assert!(answer.headers.contains_key("retry-after"), "{path}: when to come back");
         assert!(asked.elapsed() < Duration::from_millis(200), "{path}: {:?}", asked.elapsed());
@@ -167,7 +167,7 @@
     let host = &fleet.hosts[0];
     let asked = (0..60).map(|number| {
         let id = format!("waiting-{number}");
-        async move { host.ask("GET", "/once/x", &id, "").await }
+        async move { host.send("GET", "/once/x", &id, "").await }
     });
     let evacuation = async {
         sleep(Duration::from_millis(150)).await;
--- a/tests/route_events.rs
+++ b/tests/route_events.rs
@@ -41,20 +41,21 @@
     operator::register(&store, "t-1", &first, "east");
     operator::register(&store, "t-2", &second, "east");
     // The port of its metrics is taken by its own page of readiness.
-    let mut host = RouteHost::start_with("h-1", "east", store.address(), &[], route::READY_PORT)?;
-    host.ready().await?;
+    let mut host =
+        RouteHost::start_with_metrics_port("h-1", "east", store.address(), &[], route::READY_PORT)?;
+    host.wait_until_ready().await?;
     first.fail_next(&[TargetFault::Slow(Duration::from_secs(1))]);
     second.fail_next(&[TargetFault::Slow(Duration::from_secs(1))]);
-    host.ask("GET", "/safe/", "id-late", "").await?;
+    host.send("GET", "/safe/", "id-late", "").await?;
     wait_for_line(&host, "attempt-late").await?;
     first.fail_next(&[TargetFault::Break]);
     second.fail_next(&[TargetFault::Break]);
-    host.ask("GET", "/safe/", "id-broken", "").await?;
+    host.send("GET", "/safe/", "id-broken", "").await?;
     wait_for_line(&host, "attempt-broken").await?;
     for target in [&first, &second] {
         target.fail_always(Some(TargetFault::LongHalf(1 << 20)));
     }
-    assert!(host.ask("GET", "/safe/", "id-cut", "").await.is_err());
+    assert!(host.send("GET", "/safe/", "id-cut", "").await.is_err());
     wait_for_line(&host, "answer-cut").await?;
     let mut slow = TcpStream::connect(host.caller()).await?;
     slow.write_all(b"GET /safe/ HT").await?;
@@ -76,7 +77,7 @@
     while !host.has_ended() {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    Ok(host.lines())
+    Ok(host.log_lines())
 }
 
 /// Two of three zones are cut off with all that callers ask for.
@@ -90,15 +91,15 @@
     }
     operator::configure(&store, 3, &[operator::single("/safe/", "s", "safe")], &["s"]);
     let host = RouteHost::start("h-1", "east", store.address(), &[])?;
-    host.ready().await?;
+    host.wait_until_ready().await?;
     // Nobody listens at their addresses any more.
     targets.drain(..).for_each(RouteTarget::end);
     let stranded = async || {
-        let _refused = host.ask("GET", "/safe/", "id-1", "").await;
+        let _refused = host.send("GET", "/safe/", "id-1", "").await;
         host.logged("host-stranded") > 0
     };
     route::wait_for("the host to step aside", stranded).await?;
-    Ok(host.lines())
+    Ok(host.log_lines())
 }
 
 /// The store answers nothing to the hosts that watch it, and a zone that it
@@ -115,10 +116,10 @@
     let routes = [operator::gathered("/all/", &names, 0.5)];
     operator::configure(&store, 3, &routes, &names);
     let mut hosts = vec![RouteHost::start("h-1", "east", store.address(), &[])?];
-    hosts[0].ready().await?;
+    hosts[0].wait_until_ready().await?;
     for name in ["h-2", "h-3"] {
         let joined = RouteHost::start(name, "east", store.address(), &[&hosts[0]])?;
-        joined.ready().await?;
+        joined.wait_until_ready().await?;
         hosts.push(joined);
     }
     route::wait_for("two hosts to watch", async || store.watching() == 2).await?;
@@ -128,23 +129,23 @@
     let stale = async || logged(&hosts, "peer-stale") > 0;
     route::wait_for("a source to be stale", stale).await?;
     hosts.push(RouteHost::start("h-4", "west", store.address(), &[&hosts[0]])?);
-    hosts[3].ready().await?;
+    hosts[3].wait_until_ready().await?;
     operator::configure(&store, 5, &routes, &names);
     let caught_up = async || logged(&hosts, "caught-up") > 0;
     route::wait_for("the east to catch up with the west", caught_up).await?;
     let delegated = async || {
-        let _answer = hosts[0].ask("GET", "/all/", "id-1", "").await;
+        let _answer = hosts[0].send("GET", "/all/", "id-1", "").await;
         hosts[0].logged("shards-delegated") > 0
     };
     route::wait_for("a peer to gather", delegated).await?;
     // One shard of three does not answer: the peer says which.
     targets[0].fail_always(Some(TargetFault::Mute));
     let partial = async || {
-        let _answer = hosts[0].ask("GET", "/all/", "id-2", "").await;
+        let _answer = hosts[0].send("GET", "/all/", "id-2", "").await;
         hosts[3].logged("parts-missing: request=id-2 shards=a:late") > 0
     };
     route::wait_for("the peer to name the shard", partial).await?;
-    Ok(hosts.iter().flat_map(RouteHost::lines).collect())
+    Ok(hosts.iter().flat_map(RouteHost::log_lines).collect())
 }
 
 /// Whoever reads the lines is stuck, while every request writes some: the host
@@ -155,8 +156,8 @@
     operator::configure(&store, 3, &[operator::single("/safe/", "s", "safe")], &["s"]);
     operator::register(&store, "t-1", &target, "east");
     let host = RouteHost::start("h-1", "east", store.address(), &[])?;
-    host.ready().await?;
-    host.hold_lines(true);
+    host.wait_until_ready().await?;
+    host.pause_log_reader(true);
     let address: SocketAddr = host.caller();
     // Two lines a request: the ring, what the pipe holds, and some.
     let asked = (0..8).map(|caller| async move {
@@ -169,13 +170,13 @@
         TestResult::Ok(())
     });
     futures::future::try_join_all(asked).await?;
-    host.hold_lines(false);
+    host.pause_log_reader(false);
     let dropped = async || {
-        let _answer = host.ask("GET", "/safe/", "id-more", "").await;
+        let _answer = host.send("GET", "/safe/", "id-more", "").await;
         host.logged("lines-dropped") > 0
     };
     route::wait_for("the host to say that it dropped lines", dropped).await?;
-    Ok(host.lines())
+    Ok(host.log_lines())
 }
 
 /// A host whose zone is evacuated, with a value that cannot be read too, and whose targets are
@@ -187,19 +188,19 @@
     operator::configure_cold(&store, 3, &routes, &["s"], 8.0);
     operator::register_cold(&store, "t-1", &target, "east", 60_000.0);
     let host = RouteHost::start("h-1", "east", store.address(), &[])?;
-    host.ready().await?;
+    host.wait_until_ready().await?;
     operator::evacuate(&store, "east");
     operator::scribble_evacuation(&store, "west", b"[]");
     route::wait_for("the evacuation", async || host.logged("E624") > 0).await?;
     operator::end_evacuation(&store, "east");
     let served = async || {
-        let answer = host.ask("GET", "/safe/", "id-cold", "").await;
+        let answer = host.send("GET", "/safe/", "id-cold", "").await;
         answer.is_ok_and(|answer| answer.status == 200)
     };
     route::wait_for("the cold target to be used", served).await?;
     operator::configure_cold(&store, 4, &routes, &["s"], 0.0);
     route::wait_for("the bad rate", async || host.logged("E627") > 0).await?;
-    Ok(host.lines())
+    Ok(host.log_lines())
 }
 
 /// The keys of each event as the catalogue lists them.
--- a/tests/route_homes.rs
+++ b/tests/route_homes.rs
@@ -34,7 +34,7 @@
         for round in 0..5 {
             for path in ["/all/x", "/safe/x", "/once/x"] {
                 let id = format!("id-{number}-{round}-{}", &path[1..4]);
-                let answer = host.ask("POST", path, &id, "a body").await?;
+                let answer = host.send("POST", path, &id, "a body").await?;
                 assert_eq!(answer.status, 200, "{path} at host {number}");
             }
         }
@@ -42,7 +42,7 @@
     assert_eq!(fleet.targets.runs(0), 0, "requests were run outside their home");
     assert!(fleet.targets.runs(1) > 0);
     assert_eq!(fleet.hosts[1].logged("E633"), 0, "shards were handed to a host elsewhere");
-    fleet.hosts[0].ask("GET", "/anywhere/x", "any", "").await?;
+    fleet.hosts[0].send("GET", "/anywhere/x", "any", "").await?;
     assert_eq!(fleet.targets.runs(0), 1, "a route without homes is served near its caller");
     Ok(())
 }
@@ -58,10 +58,10 @@
     sleep(Duration::from_millis(2000)).await;
     for path in ["/all/x", "/safe/x", "/once/x", "/nowhere/x"] {
         let asked = Instant::now();
-        let answer = fleet.hosts[0].ask("GET", path, &format!("id-{}", &path[1..4]), "").await?;
+        let answer = fleet.hosts[0].send("GET", path, &format!("id-{}", &path[1..4]), "").await?;
         assert_eq!(answer.status, 503, "{path}");
         assert!(answer.headers.contains_key("retry-after"), "{path}");
-        assert!(asked.elapsed() < route::PATIENCE / 20, "{path}: {:?}", asked.elapsed());
+        assert!(asked.elapsed() < route::WAIT_TIMEOUT / 20, "{path}: {:?}", asked.elapsed());
     }
     assert_eq!(fleet.targets.runs(0), 0);
     Ok(())
--- a/tests/route_parts.rs
+++ b/tests/route_parts.rs
@@ -31,10 +31,10 @@
     let west = RouteHost::start("h-2", "west", store.address(), &[&east])?;
     let south = RouteHost::start("h-3", "south", store.address(), &[&east])?;
     for host in [&east, &west, &south] {
-        host.ready().await?;
+        host.wait_until_ready().await?;
     }
     let gathered = async || {
-        let answer = east.ask("GET", "/all/", "id-0", "").await;
+        let answer = east.send("GET", "/all/", "id-0", "").await;
         let by = |zone: &str| east.logged(&format!("zone={zone} shards=4 decision=delegated"));
         answer.is_ok() && by("west") > 0 && by("south") > 0
     };
@@ -43,7 +43,7 @@
     for place in [0, 1, 4, 5] {
         targets[place].fail_always(Some(TargetFault::Slow(Duration::from_millis(700))));
     }
-    let answer = east.ask("GET", "/all/", "id-1", "").await?;
+    let answer = east.send("GET", "/all/", "id-1", "").await?;
     assert_eq!(answer.status, 200);
     let missing: usize = answer.headers[words::MISSING_PARTS].parse()?;
     assert!(missing <= 2, "{missing} parts are missing");
--- a/tests/stops.rs
+++ b/tests/stops.rs
@@ -12,8 +12,8 @@
 use support::FleetOptions;
 use support::TestFleet;
 use support::TestResult;
-use support::fleet::PATIENCE;
-use support::fleet::is_whole;
+use support::fleet::WAIT_TIMEOUT;
+use support::fleet::is_complete;
 use support::load::RunningLoad;
 
 /// Sends between two steps of a story.
@@ -45,22 +45,22 @@
     let mut fleet = TestFleet::start(options).await?;
     let load = RunningLoad::start(&fleet, &["agent-desk", "port-feed"]);
     for index in 0..fleet.daemons.len() {
-        load.pass(STEP).await?;
+        load.wait_for_sends(STEP).await?;
         stop_begins(&fleet, index);
-        let status = fleet.daemons[index].stop(PATIENCE)?;
-        assert!(status.success(), "{status}: {}", fleet.daemons[index].tail());
-        load.pass(STEP).await?;
+        let status = fleet.daemons[index].stop(WAIT_TIMEOUT)?;
+        assert!(status.success(), "{status}: {}", fleet.daemons[index].log_tail());
+        load.wait_for_sends(STEP).await?;
         start_again(&mut fleet, index).await?;
     }
-    load.pass(STEP).await?;
-    load.finish().await?.is_spotless()?;
+    load.wait_for_sends(STEP).await?;
+    load.finish().await?.check_all_succeeded()?;
     fleet.check()
 }
 
 async fn until(what: &str, passes: impl Fn() -> bool) -> TestResult {
     let began = Instant::now();
     while !passes() {
-        if began.elapsed() > PATIENCE {
+        if began.elapsed() > WAIT_TIMEOUT {
             return Err(format!("{what} did not come").into());
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -106,11 +106,11 @@
         let (answer, ran, story) = tokio::join!(query, once, story);
         story?;
         let answer = answer?;
-        assert!(answer.outcome == CallerOutcome::Answer && is_whole(&answer), "{answer:?}");
+        assert!(answer.outcome == CallerOutcome::Answer && is_complete(&answer), "{answer:?}");
         let ran = ran?;
         assert_eq!(ran.outcome, CallerOutcome::Answer, "{ran:?}");
-        let status = fleet.daemons[index].wait(PATIENCE)?;
-        assert!(status.success(), "{status}: {}", fleet.daemons[index].tail());
+        let status = fleet.daemons[index].wait(WAIT_TIMEOUT)?;
+        assert!(status.success(), "{status}: {}", fleet.daemons[index].log_tail());
         fleet.check()?;
     }
     Ok(())
@@ -123,12 +123,12 @@
     let mut fleet = TestFleet::start(FleetOptions::small()).await?;
     let rules = format!("{}# edited\n", fleet.deployment.rules_toml());
     stop_begins(&fleet, 1);
-    let status = fleet.daemons[1].stop(PATIENCE)?;
+    let status = fleet.daemons[1].stop(WAIT_TIMEOUT)?;
     assert!(status.success(), "{status}");
     fleet.apply(1, "second", &rules).await?;
     start_again(&mut fleet, 1).await?;
     let answer = fleet.send(1, fleet.query("agent-desk")).await?;
-    assert!(is_whole(&answer), "{answer:?}");
+    assert!(is_complete(&answer), "{answer:?}");
     assert_eq!(answer.configuration.revision.0, 2);
     fleet.wait_for_revision(2).await?;
     fleet.check()
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -14,7 +14,7 @@
 use support::FleetOptions;
 use support::TestFleet;
 use support::TestResult;
-use support::fleet::is_whole;
+use support::fleet::is_complete;
 
 /// The longest that the store holds a watch open in the test of a restore.
 const SHORT_WATCH: Duration = Duration::from_millis(500);
@@ -41,7 +41,7 @@
         fleet.wait_until_ready().await?;
         let newcomer = fleet.daemons.len() - 1;
         let answer = fleet.send(newcomer, fleet.query("agent-desk")).await?;
-        assert!(is_whole(&answer), "{outage:?}: {answer:?}");
+        assert!(is_complete(&answer), "{outage:?}: {answer:?}");
         assert_eq!(answer.configuration.revision.0, 2, "{outage:?}");
         fleet.check()?;
     }
@@ -60,7 +60,7 @@
         let request = fleet.once("agent-desk", KEY_SPACE / 3);
         for index in 0..fleet.daemons.len() {
             let answer = fleet.send(index, fleet.query("agent-desk")).await?;
-            assert!(is_whole(&answer), "{outage:?}: {answer:?}");
+            assert!(is_complete(&answer), "{outage:?}: {answer:?}");
         }
         let refused = fleet.send_once(0, request.clone()).await?;
         let expected = CallerOutcome::NotRun(RefusalReason::ClaimUnavailable);
@@ -168,7 +168,7 @@
     fleet.wait_until_ready().await?;
     for index in 0..fleet.daemons.len() {
         let answer = fleet.send(index, fleet.query("agent-desk")).await?;
-        assert!(is_whole(&answer), "{answer:?}");
+        assert!(is_complete(&answer), "{answer:?}");
         assert_eq!(answer.configuration.revision.0, 2, "host {index}: {answer:?}");
     }
     fleet.check()
--- a/tests/support/daemon.rs
+++ b/tests/support/daemon.rs
@@ -35,7 +35,7 @@
     /// What other daemons are told instead of `peer_address`.
     pub peer_advertised: Option<SocketAddr>,
     /// Further lines of the settings.
-    pub more: String,
+    pub extra_settings: String,
 }
 
 impl DaemonSpec {
@@ -53,7 +53,7 @@
             self.platform,
             seeds.join(", "),
             advertised.unwrap_or_default(),
-            self.more
+            self.extra_settings
         )
     }
 }
@@ -91,12 +91,12 @@
     }
 
     /// Where other daemons reach it.
-    pub fn reached_at(&self) -> SocketAddr {
+    pub fn advertised_address(&self) -> SocketAddr {
         self.spec.peer_advertised.unwrap_or(self.peer)
     }
 
     /// The spec of the same host at the same addresses.
-    pub fn respec(&self) -> DaemonSpec {
+    pub fn restart_spec(&self) -> DaemonSpec {
         DaemonSpec { caller_address: self.caller, peer_address: self.peer, ..self.spec.clone() }
     }
 
@@ -130,12 +130,12 @@
     }
 
     /// Stops it in its tracks; `thaw` lets it go on.
-    pub fn freeze(&self) -> TestResult {
+    pub fn suspend(&self) -> TestResult {
         self.signal(Signal::STOP)
     }
 
     /// Lets a frozen process go on.
-    pub fn thaw(&self) -> TestResult {
+    pub fn resume(&self) -> TestResult {
         self.signal(Signal::CONT)
     }
 
@@ -160,14 +160,14 @@
                 return Ok(status);
             }
             if began.elapsed() > limit {
-                return Err(format!("{} did not end:\n{}", self.spec.host, self.tail()).into());
+                return Err(format!("{} did not end:\n{}", self.spec.host, self.log_tail()).into());
             }
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
     /// The last lines of its log, for a failed test.
-    pub fn tail(&self) -> String {
+    pub fn log_tail(&self) -> String {
         let log = self.log();
         log[log.len().saturating_sub(30)..].join("\n")
     }
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -37,10 +37,10 @@
 
 /// What is waited for on a machine that is busy with other tests. No verdict
 /// rests on how much of it was used.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// How often a caller sends a request that is refused.
-const MOST_SENDS: usize = 10;
+const MAX_SENDS: usize = 10;
 
 /// How a fleet is laid out.
 #[derive(Clone, Debug)]
@@ -53,7 +53,7 @@
     /// Zones reach each other and the platform through links that can be cut.
     pub linked: bool,
     /// Further lines of every daemon's settings.
-    pub more: String,
+    pub extra_settings: String,
 }
 
 impl FleetOptions {
@@ -64,7 +64,7 @@
             hosts: vec![3, 3, 2],
             platform: None,
             linked: false,
-            more: "[stop]\ngrace = \"5s\"\n".into(),
+            extra_settings: "[stop]\ngrace = \"5s\"\n".into(),
         }
     }
 
@@ -132,7 +132,7 @@
         for (zone, count) in zones.iter().zip(self.options.hosts.clone()) {
             for number in 1..=count {
                 let spec = self.spec(&format!("{zone}-{number}"), zone);
-                self.start_reached(spec).await?;
+                self.start_linked(spec).await?;
             }
         }
         Ok(())
@@ -146,16 +146,16 @@
             zone: zone.into(),
             region: self.deployment.options().region.clone(),
             platform: self.options.platform.unwrap_or(self.deployment.platform.address()),
-            seeds: self.daemons.iter().take(2).map(|daemon| daemon.reached_at()).collect(),
+            seeds: self.daemons.iter().take(2).map(|daemon| daemon.advertised_address()).collect(),
             caller_address: any,
             peer_address: any,
             peer_advertised: None,
-            more: self.options.more.clone(),
+            extra_settings: self.options.extra_settings.clone(),
         }
     }
 
     /// Starts a daemon behind a link, when zones are linked.
-    async fn start_reached(&mut self, spec: DaemonSpec) -> TestResult {
+    async fn start_linked(&mut self, spec: DaemonSpec) -> TestResult {
         let Some(network) = &mut self.network else { return self.start_daemon(spec) };
         let (spec, link) = network.link(spec).await?;
         self.start_daemon(spec)?;
@@ -178,7 +178,7 @@
 
     /// Starts a daemon again at the addresses it had.
     pub fn restart(&mut self, index: usize) -> TestResult {
-        let spec = self.daemons[index].respec();
+        let spec = self.daemons[index].restart_spec();
         self.daemons[index] = DaemonHost::start(spec, self.directory.path())?;
         Ok(())
     }
@@ -214,8 +214,8 @@
             {
                 return Ok(report.clone());
             }
-            if began.elapsed() > PATIENCE {
-                let log = self.daemons[index].tail();
+            if began.elapsed() > WAIT_TIMEOUT {
+                let log = self.daemons[index].log_tail();
                 return Err(format!("{what} did not come: {report:#?}\n{log}").into());
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -225,7 +225,7 @@
     /// A daemon's status page; its revision goes into the history.
     pub async fn status(&self, index: usize) -> TestResult<FleetReport> {
         let daemon = &self.daemons[index];
-        let (_, text) = wire::page(daemon.caller, "/v1/status").await?;
+        let (_, text) = wire::get(daemon.caller, "/v1/status").await?;
         let report: FleetReport = serde_json::from_str(&text)?;
         // A process that just started has none in force, and says so.
         let has_none = report.configuration.revision == ConfigRevision(0);
@@ -240,12 +240,12 @@
 
     /// Whether a daemon tells the balancer to send callers.
     pub async fn is_ready(&self, index: usize) -> TestResult<bool> {
-        Ok(wire::page(self.daemons[index].caller, "/ready").await?.0 == StatusCode::OK)
+        Ok(wire::get(self.daemons[index].caller, "/ready").await?.0 == StatusCode::OK)
     }
 
     /// The value of a counter or gauge line of a daemon's metrics, 0 when absent.
     pub async fn metric(&self, index: usize, name: &str, label: &str) -> TestResult<f64> {
-        let (_, text) = wire::page(self.daemons[index].caller, "/metrics").await?;
+        let (_, text) = wire::get(self.daemons[index].caller, "/metrics").await?;
         let line = text.lines().find(|line| line.starts_with(name) && line.contains(label));
         Ok(line.and_then(|line| line.rsplit(' ').next()?.parse().ok()).unwrap_or(0.0))
     }
@@ -312,7 +312,7 @@
         let front = daemon.spec.host.clone();
         let body = serde_json::to_vec(&query)?;
         self.history.record(HistoryEvent::QuerySent(SentQuery { send, front, query }));
-        self.hear(send, wire::call(daemon.caller, Method::POST, "/v1/query", body).await)
+        self.record_answer(send, wire::call(daemon.caller, Method::POST, "/v1/query", body).await)
     }
 
     /// A non-idempotent request with a fresh id, stamped now.
@@ -336,7 +336,7 @@
         let front = daemon.spec.host.clone();
         let body = serde_json::to_vec(&request)?;
         self.history.record(HistoryEvent::OnceSent(SentOnce { send, front, request }));
-        self.hear(send, wire::call(daemon.caller, Method::POST, "/v1/request", body).await)
+        self.record_answer(send, wire::call(daemon.caller, Method::POST, "/v1/request", body).await)
     }
 
     /// Sends a request until it is no longer refused, as a caller does that
@@ -346,7 +346,7 @@
         index: usize,
         request: OnceRequest,
     ) -> TestResult<CallerAnswer> {
-        for _ in 0..MOST_SENDS {
+        for _ in 0..MAX_SENDS {
             let answer = self.send_once(index, request.clone()).await?;
             let Some(pause) = answer.retry_after_ms else { return Ok(answer) };
             tokio::time::sleep(Duration::from_millis(pause)).await;
@@ -354,12 +354,12 @@
         Err("the request is refused for good".into())
     }
 
-    fn hear(
+    fn record_answer(
         &self,
         send: u64,
-        heard: TestResult<(StatusCode, bytes::Bytes)>,
+        response: TestResult<(StatusCode, bytes::Bytes)>,
     ) -> TestResult<CallerAnswer> {
-        let parsed = heard.and_then(|(_, body)| Ok(serde_json::from_slice(&body)?));
+        let parsed = response.and_then(|(_, body)| Ok(serde_json::from_slice(&body)?));
         match parsed {
             Ok(answer) => {
                 let answer: CallerAnswer = answer;
@@ -390,6 +390,6 @@
 }
 
 /// Whether the answer covers everything asked for.
-pub fn is_whole(answer: &CallerAnswer) -> bool {
+pub fn is_complete(answer: &CallerAnswer) -> bool {
     answer.coverage.as_ref().is_some_and(|coverage| coverage.missing.is_empty())
 }
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -24,15 +24,15 @@
 
 use super::TestFleet;
 use super::TestResult;
-use super::fleet::PATIENCE;
-use super::fleet::is_whole;
+use super::fleet::WAIT_TIMEOUT;
+use super::fleet::is_complete;
 use super::wire;
 
 /// Between two sends to one host.
-const GAP: Duration = Duration::from_millis(10);
+const SEND_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Sends to one host at the most, should a test forget to stop.
-const MOST_SENDS: usize = 3_000;
+const MAX_SENDS: usize = 3_000;
 
 /// Every so many sends is a non-idempotent request.
 const ONCE_EVERY: usize = 5;
@@ -42,7 +42,7 @@
 
 /// An answer that is not what callers hope for.
 #[derive(Clone, Debug)]
-pub struct LoadSpot {
+pub struct LoadAnswer {
     /// The host that gave it.
     pub front: String,
     /// When, since the history began.
@@ -50,7 +50,7 @@
     pub answer: CallerAnswer,
 }
 
-impl fmt::Display for LoadSpot {
+impl fmt::Display for LoadAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { front, at, answer } = self;
         let missing = answer.coverage.as_ref().map(|coverage| coverage.missing.as_slice());
@@ -66,17 +66,17 @@
 #[derive(Clone, Debug, Default)]
 pub struct LoadReport {
     /// Whole answers to queries.
-    pub whole: usize,
+    pub complete: usize,
     /// Answers to queries that miss something.
-    pub partial: Vec<LoadSpot>,
+    pub partial: Vec<LoadAnswer>,
     /// Requests that ran.
     pub ran: usize,
-    /// Queries and requests refused.
-    pub refused: Vec<LoadSpot>,
+    /// Queries and requests rejected.
+    pub rejected: Vec<LoadAnswer>,
     /// Requests whose outcome is not known, or that failed.
-    pub doubtful: Vec<LoadSpot>,
+    pub uncertain: Vec<LoadAnswer>,
     /// Sends whose connection broke.
-    pub cut: usize,
+    pub disconnected: usize,
 }
 
 /// Load in the background, one sender for each host. A sender skips its host
@@ -84,7 +84,7 @@
 #[derive(Debug)]
 pub struct RunningLoad {
     report: Arc<Mutex<LoadReport>>,
-    sent: Arc<AtomicUsize>,
+    completed: Arc<AtomicUsize>,
     stop: Arc<AtomicBool>,
     senders: Vec<JoinHandle<()>>,
 }
@@ -95,9 +95,9 @@
     history: History,
     queries: Vec<SearchQuery>,
     once: OnceRequest,
-    number: usize,
+    send_count: usize,
     report: Arc<Mutex<LoadReport>>,
-    sent: Arc<AtomicUsize>,
+    completed: Arc<AtomicUsize>,
     stop: Arc<AtomicBool>,
 }
 
@@ -106,7 +106,7 @@
     pub fn start(fleet: &TestFleet, services: &[&str]) -> Self {
         let mut load = Self {
             report: Arc::default(),
-            sent: Arc::default(),
+            completed: Arc::default(),
             stop: Arc::default(),
             senders: Vec::new(),
         };
@@ -117,9 +117,9 @@
                 history: fleet.history.clone(),
                 queries: services.iter().map(|service| fleet.query(service)).collect(),
                 once: fleet.once(services[0], 0),
-                number: 0,
+                send_count: 0,
                 report: Arc::clone(&load.report),
-                sent: Arc::clone(&load.sent),
+                completed: Arc::clone(&load.completed),
                 stop: Arc::clone(&load.stop),
             };
             load.senders.push(tokio::spawn(sender.run()));
@@ -128,11 +128,11 @@
     }
 
     /// Waits until `more` further sends were answered or cut.
-    pub async fn pass(&self, more: usize) -> TestResult {
-        let goal = self.sent.load(Ordering::Relaxed) + more;
+    pub async fn wait_for_sends(&self, more: usize) -> TestResult {
+        let goal = self.completed.load(Ordering::Relaxed) + more;
         let began = Instant::now();
-        while self.sent.load(Ordering::Relaxed) < goal {
-            if began.elapsed() > PATIENCE {
+        while self.completed.load(Ordering::Relaxed) < goal {
+            if began.elapsed() > WAIT_TIMEOUT {
                 return Err("the load stands still".into());
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -141,12 +141,12 @@
     }
 
     /// What came back since the start or the last call.
-    pub fn take(&self) -> LoadReport {
+    pub fn take_report(&self) -> LoadReport {
         self.report.lock().map(|mut report| std::mem::take(&mut *report)).unwrap_or_default()
     }
 
     /// Ends the load once every answer is in; tells what came since the last
-    /// [`RunningLoad::take`].
+    /// [`RunningLoad::take_report`].
     pub async fn finish(self) -> TestResult<LoadReport> {
         self.stop.store(true, Ordering::Relaxed);
         for sender in self.senders {
@@ -159,24 +159,24 @@
 
 impl HostSender {
     async fn run(mut self) {
-        while self.number < MOST_SENDS && !self.stop.load(Ordering::Relaxed) {
-            tokio::time::sleep(GAP).await;
-            let ready = wire::page(self.caller, "/ready").await;
+        while self.send_count < MAX_SENDS && !self.stop.load(Ordering::Relaxed) {
+            tokio::time::sleep(SEND_INTERVAL).await;
+            let ready = wire::get(self.caller, "/ready").await;
             if !ready.is_ok_and(|(status, _)| status.is_success()) {
                 continue;
             }
-            match self.number % ONCE_EVERY {
+            match self.send_count % ONCE_EVERY {
                 0 => self.send_once().await,
                 _ => self.send_query().await,
             }
-            self.number += 1;
-            self.sent.fetch_add(1, Ordering::Relaxed);
+            self.send_count += 1;
+            self.completed.fetch_add(1, Ordering::Relaxed);
         }
     }
 
     async fn send_query(&mut self) {
         let send = self.history.next_send();
-        let query = self.queries[self.number % self.queries.len()].clone();
+        let query = self.queries[self.send_count % self.queries.len()].clone();
         let body = serde_json::to_vec(&query).unwrap_or_default();
         let front = self.front.clone();
         self.history.record(HistoryEvent::QuerySent(SentQuery { send, front, query }));
@@ -186,8 +186,8 @@
     async fn send_once(&mut self) {
         let send = self.history.next_send();
         let mut request = self.once.clone();
-        request.request_id = format!("{}-{}-{}", request.request_id, self.front, self.number);
-        request.key = (self.number as u32).wrapping_mul(KEY_STEP) % KEY_SPACE;
+        request.request_id = format!("{}-{}-{}", request.request_id, self.front, self.send_count);
+        request.key = (self.send_count as u32).wrapping_mul(KEY_STEP) % KEY_SPACE;
         let body = serde_json::to_vec(&request).unwrap_or_default();
         let front = self.front.clone();
         self.history.record(HistoryEvent::OnceSent(SentOnce { send, front, request }));
@@ -195,8 +195,8 @@
     }
 
     async fn exchange(&self, send: u64, path: &str, body: Vec<u8>) {
-        let heard = wire::call(self.caller, Method::POST, path, body).await;
-        let answer = heard.ok().and_then(|(_, body)| serde_json::from_slice(&body).ok());
+        let response = wire::call(self.caller, Method::POST, path, body).await;
+        let answer = response.ok().and_then(|(_, body)| serde_json::from_slice(&body).ok());
         let event = match &answer {
             Some(answer) => {
                 let answer: CallerAnswer = CallerAnswer::clone(answer);
@@ -207,39 +207,42 @@
         self.history.record(event);
         if let Ok(mut report) = self.report.lock() {
             let at = self.history.now();
-            report.count(answer.map(|answer| LoadSpot { front: self.front.clone(), at, answer }));
+            report.count(answer.map(|answer| LoadAnswer { front: self.front.clone(), at, answer }));
         }
     }
 }
 
 impl LoadReport {
-    fn count(&mut self, spot: Option<LoadSpot>) {
-        let Some(spot) = spot else {
-            self.cut += 1;
+    fn count(&mut self, received: Option<LoadAnswer>) {
+        let Some(received) = received else {
+            self.disconnected += 1;
             return;
         };
-        match spot.answer.outcome {
-            CallerOutcome::Answer if spot.answer.coverage.is_none() => self.ran += 1,
-            CallerOutcome::Answer if is_whole(&spot.answer) => self.whole += 1,
-            CallerOutcome::Answer => self.partial.push(spot),
-            CallerOutcome::NotRun(_) => self.refused.push(spot),
-            CallerOutcome::Unknown(_) | CallerOutcome::Failed(_) => self.doubtful.push(spot),
+        match received.answer.outcome {
+            CallerOutcome::Answer if received.answer.coverage.is_none() => self.ran += 1,
+            CallerOutcome::Answer if is_complete(&received.answer) => self.complete += 1,
+            CallerOutcome::Answer => self.partial.push(received),
+            CallerOutcome::NotRun(_) => self.rejected.push(received),
+            CallerOutcome::Unknown(_) | CallerOutcome::Failed(_) => self.uncertain.push(received),
         }
     }
 
     /// Answers that are not what callers hope for.
-    fn spots(&self) -> impl Iterator<Item = &LoadSpot> {
-        self.partial.iter().chain(&self.refused).chain(&self.doubtful)
+    fn degraded(&self) -> impl Iterator<Item = &LoadAnswer> {
+        self.partial.iter().chain(&self.rejected).chain(&self.uncertain)
     }
 
     /// Fails unless every query was whole and every request ran.
-    pub fn is_spotless(&self) -> TestResult {
-        let spots: Vec<String> = self.spots().map(ToString::to_string).collect();
-        if self.cut == 0 && spots.is_empty() {
+    pub fn check_all_succeeded(&self) -> TestResult {
+        let degraded: Vec<String> = self.degraded().map(ToString::to_string).collect();
+        if self.disconnected == 0 && degraded.is_empty() {
             return Ok(());
         }
-        let (whole, ran, cut) = (self.whole, self.ran, self.cut);
-        let spots = spots.join("\n");
-        Err(format!("{whole} whole, {ran} ran, {cut} cut, and:\n{spots}").into())
+        let (complete, ran, disconnected) = (self.complete, self.ran, self.disconnected);
+        let degraded = degraded.join("\n");
+        Err(format!(
+            "{complete} complete, {ran} ran, {disconnected} disconnected, and:\n{degraded}"
+        )
+        .into())
     }
 }
--- a/tests/support/route.rs
+++ b/tests/support/route.rs
@@ -34,20 +34,20 @@
 use super::TestResult;
 
 /// How long a test waits for something that should come at once.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 const CALLER_PORT: u16 = 8104;
 /// Where a host says whether it is ready.
 pub const READY_PORT: u16 = 8108;
 const PEER_PORT: u16 = 7380;
 const METRICS_PORT: u16 = 9464;
 
-static HOSTS: AtomicU32 = AtomicU32::new(0);
+static NEXT_HOST: AtomicU32 = AtomicU32::new(0);
 
 /// An address of loopback that no other host of this machine's tests has:
 /// hosts of one fleet listen for peers at one port.
-fn own_ip() -> IpAddr {
+fn unique_loopback() -> IpAddr {
     let process = std::process::id();
-    let host = HOSTS.fetch_add(1, Ordering::Relaxed);
+    let host = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
     let octet = |value: u32| (value % 250 + 1) as u8;
     IpAddr::V4(Ipv4Addr::new(127, octet(process), octet(process / 250 + host / 250), octet(host)))
 }
@@ -66,7 +66,7 @@
     ip: IpAddr,
     child: Child,
     log: Arc<Mutex<Vec<String>>>,
-    held: Arc<AtomicBool>,
+    reader_paused: Arc<AtomicBool>,
     file: PathBuf,
     _files: TempDir,
 }
@@ -79,18 +79,18 @@
         store: SocketAddr,
         seeds: &[&RouteHost],
     ) -> TestResult<Self> {
-        Self::start_with(name, zone, store, seeds, METRICS_PORT)
+        Self::start_with_metrics_port(name, zone, store, seeds, METRICS_PORT)
     }
 
     /// Starts a host whose metrics are to be at a port of its address.
-    pub fn start_with(
+    pub fn start_with_metrics_port(
         name: &str,
         zone: &str,
         store: SocketAddr,
         seeds: &[&RouteHost],
         metrics: u16,
     ) -> TestResult<Self> {
-        let ip = own_ip();
+        let ip = unique_loopback();
         let files = TempDir::new()?;
         let file = files.path().join("settings.toml");
         let seeds: Vec<String> = seeds.iter().map(|host| format!("\"{}:1\"", host.ip)).collect();
@@ -106,9 +106,9 @@
         );
         std::fs::write(&file, text)?;
         let log = Arc::new(Mutex::new(Vec::new()));
-        let held = Arc::new(AtomicBool::new(false));
-        let child = run(&file, &log, &held)?;
-        Ok(Self { ip, child, log, held, file, _files: files })
+        let reader_paused = Arc::new(AtomicBool::new(false));
+        let child = spawn_route(&file, &log, &reader_paused)?;
+        Ok(Self { ip, child, log, reader_paused, file, _files: files })
     }
 
     /// Kills the process and waits for it to exit.
@@ -121,7 +121,7 @@
     /// Kills the process and starts it again at the same addresses.
     pub fn restart(&mut self) -> TestResult {
         self.kill()?;
-        self.child = run(&self.file, &self.log, &self.held)?;
+        self.child = spawn_route(&self.file, &self.log, &self.reader_paused)?;
         Ok(())
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// Waits until it takes callers.
-    pub async fn ready(&self) -> TestResult {
+    pub async fn wait_until_ready(&self) -> TestResult {
         wait_for("the host to be ready", async || self.is_ready().await).await
     }
 
@@ -155,14 +155,14 @@
     }
 
     /// All lines logged so far.
-    pub fn lines(&self) -> Vec<String> {
+    pub fn log_lines(&self) -> Vec<String> {
         self.log.lock().expect("no holder of the lock panics").clone()
     }
 
     /// Lets its lines lie unread from now on, as a reader does that is stuck, or
     /// reads them again.
-    pub fn hold_lines(&self, hold: bool) {
-        self.held.store(hold, Ordering::Relaxed);
+    pub fn pause_log_reader(&self, pause: bool) {
+        self.reader_paused.store(pause, Ordering::Relaxed);
     }
 
     /// Where other hosts reach it.
@@ -189,7 +189,7 @@
     }
 
     /// A caller's request on a connection of its own.
-    pub async fn ask(
+    pub async fn send(
         &self,
         method: &str,
         path: &str,
@@ -200,7 +200,11 @@
     }
 }
 
-fn run(file: &Path, log: &Arc<Mutex<Vec<String>>>, held: &Arc<AtomicBool>) -> TestResult<Child> {
+fn spawn_route(
+    file: &Path,
+    log: &Arc<Mutex<Vec<String>>>,
+    reader_paused: &Arc<AtomicBool>,
+) -> TestResult<Child> {
     let mut child = Command::new(super::program())
         .args(["route", "--log", "debug", "--settings"])
         .arg(file)
@@ -209,11 +213,11 @@
         .stderr(Stdio::inherit())
         .spawn()?;
     let output = child.stdout.take().ok_or("standard output is piped")?;
-    let (lines, held) = (Arc::clone(log), Arc::clone(held));
+    let (lines, reader_paused) = (Arc::clone(log), Arc::clone(reader_paused));
     std::thread::spawn(move || {
         for line in BufReader::new(output).lines().map_while(Result::ok) {
             lines.lock().expect("no holder of the lock panics").push(line);
-            while held.load(Ordering::Relaxed) {
+            while reader_paused.load(Ordering::Relaxed) {
                 std::thread::sleep(Duration::from_millis(10));
             }
         }
@@ -242,7 +246,7 @@
 async fn exchange(at: SocketAddr, request: Vec<u8>) -> TestResult<RouteAnswer> {
     let mut stream = TcpStream::connect(at).await?;
     stream.write_all(&request).await?;
-    timeout(PATIENCE, read_answer(&mut stream)).await?
+    timeout(WAIT_TIMEOUT, read_answer(&mut stream)).await?
 }
 
 /// Reads one answer with a length.
@@ -277,11 +281,11 @@
 /// Waits until a condition holds.
 pub async fn wait_for(what: &str, holds: impl AsyncFn() -> bool) -> TestResult {
     let started = Instant::now();
-    while started.elapsed() < PATIENCE {
+    while started.elapsed() < WAIT_TIMEOUT {
         if holds().await {
             return Ok(());
         }
         sleep(Duration::from_millis(20)).await;
     }
-    Err(format!("waited {PATIENCE:?} for {what}").into())
+    Err(format!("waited {WAIT_TIMEOUT:?} for {what}").into())
 }
--- a/tests/support/wire.rs
+++ b/tests/support/wire.rs
@@ -15,7 +15,7 @@
 use super::TestResult;
 
 /// No call of a test hangs longer.
-const CALL_LIMIT: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// One request on a connection of its own.
 pub async fn call(
@@ -35,11 +35,11 @@
         let status = response.status();
         Ok((status, response.into_body().collect().await?.to_bytes()))
     };
-    tokio::time::timeout(CALL_LIMIT, exchange).await?
+    tokio::time::timeout(CALL_TIMEOUT, exchange).await?
 }
 
 /// The text of a page.
-pub async fn page(at: SocketAddr, path: &str) -> TestResult<(StatusCode, String)> {
+pub async fn get(at: SocketAddr, path: &str) -> TestResult<(StatusCode, String)> {
     let (status, body) = call(at, Method::GET, path, Vec::new()).await?;
     Ok((status, String::from_utf8_lossy(&body).into_owned()))
 }
--- a/tests/support/zones.rs
+++ b/tests/support/zones.rs
@@ -21,14 +21,14 @@
     async fn start(store: &RouteStore) -> TestResult<Self> {
         let mut targets = Vec::new();
         for zone in ZONES {
-            let mut there = Vec::new();
+            let mut in_zone = Vec::new();
             for shard in SHARDS {
                 let id = format!("t-{shard}-{zone}");
                 let target = RouteTarget::start(&id, shard).await?;
                 operator::register(store, &id, &target, zone);
-                there.push(target);
+                in_zone.push(target);
             }
-            targets.push(there);
+            targets.push(in_zone);
         }
         Ok(Self(targets))
     }
@@ -58,9 +58,9 @@
         let targets = ZoneTargets::start(&store).await?;
         operator::configure(&store, 3, routes, &SHARDS);
         let east = RouteHost::start("h-1", "east", store.address(), &[])?;
-        east.ready().await?;
+        east.wait_until_ready().await?;
         let west = RouteHost::start("h-2", "west", store.address(), &[&east])?;
-        west.ready().await?;
+        west.wait_until_ready().await?;
         Ok(Self { store, targets, hosts: vec![east, west] })
     }
 }
--- a/tests/tails.rs
+++ b/tests/tails.rs
@@ -5,7 +5,7 @@
 use support::FleetOptions;
 use support::TestFleet;
 use support::TestResult;
-use support::fleet::is_whole;
+use support::fleet::is_complete;
 
 /// How many queries go to each host.
 const QUERIES: usize = 10;
@@ -21,7 +21,7 @@
     for index in 0..fleet.daemons.len() {
         for _ in 0..QUERIES {
             let answer = fleet.send(index, fleet.query("agent-desk")).await?;
-            assert!(is_whole(&answer), "{answer:?}");
+            assert!(is_complete(&answer), "{answer:?}");
         }
     }
     let mut relayed = 0.0;
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -48,19 +48,19 @@
     for version in 2..=3 {
         for target in controls(&fleet) {
             target.publish_next(SERVICE, IndexVersion(version));
-            load.pass(STEP / 10).await?;
+            load.wait_for_sends(STEP / 10).await?;
         }
-        load.pass(STEP).await?;
+        load.wait_for_sends(STEP).await?;
         for target in controls(&fleet) {
             target.retire(SERVICE, IndexVersion(version - 1));
-            load.pass(STEP / 10).await?;
+            load.wait_for_sends(STEP / 10).await?;
         }
     }
     fleet.wait_until_ready().await?;
     tokio::time::sleep(KNOWN_WITHIN).await;
-    load.take();
-    load.pass(STEP).await?;
-    load.finish().await?.is_spotless()?;
+    load.take_report();
+    load.wait_for_sends(STEP).await?;
+    load.finish().await?.check_all_succeeded()?;
     for index in 0..fleet.daemons.len() {
         let answer = fleet.send(index, fleet.query(SERVICE)).await?;
         assert_eq!(answer.index_version, Some(IndexVersion(3)), "{answer:?}");
@@ -78,15 +78,17 @@
     let load = RunningLoad::start(&fleet, &[SERVICE]);
     let targets = controls(&fleet);
     let half = KeyRange::part(0, 2 * SHARDS);
-    load.pass(STEP).await?;
+    load.wait_for_sends(STEP).await?;
     for (from, to) in [(0, 1), (1, 0)] {
         targets[from].repartition(SERVICE, half, targets[to]);
-        load.pass(STEP).await?;
+        load.wait_for_sends(STEP).await?;
         fleet.wait_until_ready().await?;
         tokio::time::sleep(KNOWN_WITHIN).await;
-        load.take();
-        load.pass(STEP).await?;
-        load.take().is_spotless().map_err(|error| format!("{from} to {to}: {error}"))?;
+        load.take_report();
+        load.wait_for_sends(STEP).await?;
+        load.take_report()
+            .check_all_succeeded()
+            .map_err(|error| format!("{from} to {to}: {error}"))?;
     }
     load.finish().await?;
     fleet.check()
@@ -102,17 +104,17 @@
     let fleet = TestFleet::start(FleetOptions::small()).await?;
     let load = RunningLoad::start(&fleet, &[SERVICE]);
     let targets = controls(&fleet);
-    load.pass(STEP).await?;
+    load.wait_for_sends(STEP).await?;
     targets[0].set_faults(|faults| faults.slow_factor = SLOW);
     targets[1].set_leaving(true);
     tokio::time::sleep(LEAVING_GRACE).await;
-    load.pass(STEP).await?;
-    load.take();
-    load.pass(STEP).await?;
+    load.wait_for_sends(STEP).await?;
+    load.take_report();
+    load.wait_for_sends(STEP).await?;
     tokio::time::sleep(LEAVING_GRACE).await;
-    let report = load.take();
-    assert!(report.whole > 0 && report.cut == 0, "{report:?}");
-    report.is_spotless()?;
+    let report = load.take_report();
+    assert!(report.complete > 0 && report.disconnected == 0, "{report:?}");
+    report.check_all_succeeded()?;
     load.finish().await?;
     let options =
         check::Options { leaving_grace: LEAVING_GRACE, corpora: fleet.deployment.corpora.clone() };
