--- a/tests/support/daemon.rs
+++ b/tests/support/daemon.rs
@@ -18,10 +18,10 @@
 
 use super::TestResult;
 
-/// What the log line of the addresses begins with, after level and thread.
+/// Start of the log line that reports the listening addresses, after level and thread.
 const LISTENING: &str = "E106 listening: callers ";
 
-/// What a daemon is started with.
+/// Settings of a daemon to start.
 #[derive(Clone, Debug)]
 pub struct DaemonSpec {
     pub host: String,
@@ -29,12 +29,12 @@
     pub region: String,
     pub platform: SocketAddr,
     pub seeds: Vec<SocketAddr>,
-    /// Ports 0 but for a restart at the same place.
+    /// Port 0, except for a restart at the same addresses; likewise `peer_address`.
     pub caller_address: SocketAddr,
     pub peer_address: SocketAddr,
-    /// What other daemons are told instead of `peer_address`.
+    /// Address advertised to other daemons in place of `peer_address`.
     pub peer_advertised: Option<SocketAddr>,
-    /// Further lines of the settings.
+    /// Lines appended to the settings file.
     pub extra_settings: String,
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// A running process; killed when dropped.
+/// A running daemon process; killed when dropped.
 #[derive(Debug)]
 pub struct DaemonHost {
     pub spec: DaemonSpec,
@@ -84,18 +84,18 @@
         let log = Arc::new(Mutex::new(Vec::new()));
         let stdout = child.stdout.take().ok_or("standard output is piped")?;
         let stderr = child.stderr.take().ok_or("standard error is piped")?;
-        collect(stdout, Arc::clone(&log));
-        collect(stderr, Arc::clone(&log));
+        collect_log(stdout, Arc::clone(&log));
+        collect_log(stderr, Arc::clone(&log));
         let (caller, peer) = wait_for_addresses(&mut child, &log)?;
         Ok(Self { spec, caller, peer, child, log })
     }
 
-    /// Where other daemons reach it.
+    /// The address at which other daemons reach it.
     pub fn advertised_address(&self) -> SocketAddr {
         self.spec.peer_advertised.unwrap_or(self.peer)
     }
 
-    /// The spec of the same host at the same addresses.
+    /// Settings for a restart of this host at the same addresses.
     pub fn restart_spec(&self) -> DaemonSpec {
         DaemonSpec { caller_address: self.caller, peer_address: self.peer, ..self.spec.clone() }
     }
@@ -105,19 +105,19 @@
         self.child.id()
     }
 
-    /// Whether a line with this text was logged; copies nothing, so that it
-    /// can be asked every millisecond.
+    /// Whether a line with this text was logged. Does not copy the log, so that it can be polled
+    /// every millisecond.
     pub fn has_logged(&self, text: &str) -> bool {
         let log = self.log.lock();
         log.is_ok_and(|log| log.iter().rev().any(|line| line.contains(text)))
     }
 
-    /// Lines logged so far.
+    /// All lines logged so far.
     pub fn log(&self) -> Vec<String> {
         self.log.lock().map(|log| log.clone()).unwrap_or_default()
     }
 
-    /// How many lines of this event were logged.
+    /// The number of logged lines that contain `event`.
     pub fn logged(&self, event: &str) -> usize {
         self.log().iter().filter(|line| line.contains(event)).count()
     }
@@ -129,44 +129,44 @@
         Ok(rustix::process::kill_process(pid, signal)?)
     }
 
-    /// Stops it in its tracks; `thaw` lets it go on.
+    /// Suspends the process until [`DaemonHost::resume`].
     pub fn suspend(&self) -> TestResult {
         self.signal(Signal::STOP)
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a suspended process.
     pub fn resume(&self) -> TestResult {
         self.signal(Signal::CONT)
     }
 
-    /// Kills it without warning.
+    /// Kills the process and reaps it.
     pub fn kill(&mut self) -> TestResult {
         self.child.kill()?;
         self.child.wait()?;
         Ok(())
     }
 
-    /// Orders a planned stop and waits for the end.
-    pub fn stop(&mut self, limit: Duration) -> TestResult<ExitStatus> {
+    /// Requests a graceful stop and waits for the process to exit.
+    pub fn stop(&mut self, timeout: Duration) -> TestResult<ExitStatus> {
         self.signal(Signal::TERM)?;
-        self.wait(limit)
+        self.wait(timeout)
     }
 
-    /// Waits for the end of the process.
-    pub fn wait(&mut self, limit: Duration) -> TestResult<ExitStatus> {
-        let began = Instant::now();
+    /// Waits for the process to exit.
+    pub fn wait(&mut self, timeout: Duration) -> TestResult<ExitStatus> {
+        let started = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait()? {
                 return Ok(status);
             }
-            if began.elapsed() > limit {
-                return Err(format!("{} did not end:\n{}", self.spec.host, self.log_tail()).into());
+            if started.elapsed() > timeout {
+                return Err(format!("{} did not exit:\n{}", self.spec.host, self.log_tail()).into());
             }
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// The last lines of its log, for a failed test.
+    /// The last lines of its log, for failure messages.
     pub fn log_tail(&self) -> String {
         let log = self.log();
         log[log.len().saturating_sub(30)..].join("\n")
@@ -175,13 +175,13 @@
 
 impl Drop for DaemonHost {
     fn drop(&mut self) {
-        // It may have ended already; then there is nothing to kill.
-        let _ended = self.child.kill();
+        // Fails if the process has already exited.
+        let _killed = self.child.kill();
         let _reaped = self.child.wait();
     }
 }
 
-fn collect(stream: impl std::io::Read + Send + 'static, log: Arc<Mutex<Vec<String>>>) {
+fn collect_log(stream: impl std::io::Read + Send + 'static, log: Arc<Mutex<Vec<String>>>) {
     std::thread::spawn(move || {
         for line in BufReader::new(stream).lines().map_while(Result::ok) {
             if let Ok(mut log) = log.lock() {
@@ -195,21 +195,23 @@
     child: &mut Child,
     log: &Mutex<Vec<String>>,
 ) -> TestResult<(SocketAddr, SocketAddr)> {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         let lines = log.lock().map(|log| log.clone()).unwrap_or_default();
-        if let Some(found) = lines.iter().find_map(|line| addresses(line)) {
+        if let Some(found) = lines.iter().find_map(|line| parse_addresses(line)) {
             return Ok(found);
         }
-        let ended = child.try_wait()?;
-        if ended.is_some() || began.elapsed() > Duration::from_secs(10) {
-            return Err(format!("the daemon does not listen:\n{}", lines.join("\n")).into());
+        let status = child.try_wait()?;
+        if status.is_some() || started.elapsed() > Duration::from_secs(10) {
+            return Err(
+                format!("the daemon did not report its addresses:\n{}", lines.join("\n")).into()
+            );
         }
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-fn addresses(line: &str) -> Option<(SocketAddr, SocketAddr)> {
+fn parse_addresses(line: &str) -> Option<(SocketAddr, SocketAddr)> {
     let (_, rest) = line.split_once(LISTENING)?;
     let (caller, peer) = rest.split_once(", peers ")?;
     Some((caller.trim().parse().ok()?, peer.trim().parse().ok()?))
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! Daemons of all zones, their stand-ins, and the history of what callers saw.
+//! A fleet of daemons with its stand-ins, and the history of what callers saw.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU64;
@@ -35,29 +35,29 @@
 use super::network::ZoneNetwork;
 use super::wire;
 
-/// What is waited for on a machine that is busy with other tests. No verdict
-/// rests on how much of it was used.
+/// Limit for a state that a test waits for. Generous, because the machine may be busy with other
+/// tests; no assertion depends on how much of it was used.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How often a caller sends a request that is refused.
+/// Maximum sends of a request that keeps being rejected.
 const MAX_SENDS: usize = 10;
 
-/// How a fleet is laid out.
+/// Layout of a test fleet.
 #[derive(Clone, Debug)]
 pub struct FleetOptions {
     pub deployment: DeploymentOptions,
-    /// Daemons by zone, in the order of the deployment's zones.
+    /// Number of daemons in each zone, in the order of the deployment's zones.
     pub hosts: Vec<usize>,
-    /// The platform as daemons reach it, when not directly.
+    /// Address at which daemons reach the platform, if not directly.
     pub platform: Option<SocketAddr>,
-    /// Zones reach each other and the platform through links that can be cut.
+    /// Whether zones reach each other and the platform through links that can be cut.
     pub linked: bool,
-    /// Further lines of every daemon's settings.
+    /// Lines appended to every daemon's settings.
     pub extra_settings: String,
 }
 
 impl FleetOptions {
-    /// Dar Port scaled down: 8 daemons in 3 zones.
+    /// A scaled-down Dar Port deployment: 8 daemons in 3 zones.
     pub fn dar_port() -> Self {
         Self {
             deployment: DeploymentOptions::dar_port(),
@@ -68,23 +68,23 @@
         }
     }
 
-    /// One daemon a zone, for tests of one path.
+    /// One daemon in each zone.
     pub fn small() -> Self {
         Self { hosts: vec![1, 1, 1], ..Self::dar_port() }
     }
 
-    /// One daemon a zone, with zones that can be cut off.
+    /// One daemon in each zone, with zones that can be partitioned.
     pub fn linked() -> Self {
         Self { linked: true, ..Self::small() }
     }
 
-    /// Poland scaled down: 8 daemons in 3 zones.
+    /// A scaled-down Poland deployment: 8 daemons in 3 zones.
     pub fn poland() -> Self {
         Self { deployment: DeploymentOptions::poland(), ..Self::dar_port() }
     }
 }
 
-/// Everything of one test.
+/// Daemons, stand-ins and recorded history of one test.
 #[derive(Debug)]
 pub struct TestFleet {
     pub deployment: StandinDeployment,
@@ -97,15 +97,15 @@
 }
 
 impl TestFleet {
-    /// Starts the stand-ins, brings revision 1 into force, starts all daemons
-    /// and waits until each is ready and all shards are covered.
+    /// Starts the stand-ins, applies revision 1, starts all daemons and waits until each is ready
+    /// and all shards are covered.
     pub async fn start(options: FleetOptions) -> TestResult<Self> {
         let fleet = Self::start_unready(options).await?;
         fleet.wait_until_ready().await?;
         Ok(fleet)
     }
 
-    /// As [`TestFleet::start`], without the wait.
+    /// Like [`TestFleet::start`], without waiting for readiness.
     pub async fn start_unready(options: FleetOptions) -> TestResult<Self> {
         let history = options.deployment.history.clone();
         let deployment = StandinDeployment::start(options.deployment.clone()).await?;
@@ -123,11 +123,11 @@
             next_id: AtomicU64::new(0),
         };
         fleet.apply(0, "first", &fleet.deployment.rules_toml()).await?;
-        fleet.start_daemons().await?;
+        fleet.start_all_daemons().await?;
         Ok(fleet)
     }
 
-    async fn start_daemons(&mut self) -> TestResult {
+    async fn start_all_daemons(&mut self) -> TestResult {
         let zones = self.deployment.options().zones.clone();
         for (zone, count) in zones.iter().zip(self.options.hosts.clone()) {
             for number in 1..=count {
@@ -138,7 +138,7 @@
         Ok(())
     }
 
-    /// The spec of a new daemon, seeded with the first two.
+    /// Settings of a new daemon, seeded with the first two daemons.
     pub fn spec(&self, host: &str, zone: &str) -> DaemonSpec {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         DaemonSpec {
@@ -154,12 +154,12 @@
         }
     }
 
-    /// Starts a daemon behind a link, when zones are linked.
+    /// Starts a daemon, behind a link if zones are linked.
     async fn start_linked(&mut self, spec: DaemonSpec) -> TestResult {
         let Some(network) = &mut self.network else { return self.start_daemon(spec) };
         let (spec, link) = network.link(spec).await?;
         self.start_daemon(spec)?;
-        let daemon = self.daemons.last().ok_or("it was started")?;
+        let daemon = self.daemons.last().ok_or("the daemon was started")?;
         link.set_upstream(daemon.peer);
         Ok(())
     }
@@ -170,20 +170,20 @@
         Ok(&network.links)
     }
 
-    /// Starts one more daemon.
+    /// Starts another daemon.
     pub fn start_daemon(&mut self, spec: DaemonSpec) -> TestResult {
         self.daemons.push(DaemonHost::start(spec, self.directory.path())?);
         Ok(())
     }
 
-    /// Starts a daemon again at the addresses it had.
+    /// Starts a daemon again at its previous addresses.
     pub fn restart(&mut self, index: usize) -> TestResult {
         let spec = self.daemons[index].restart_spec();
         self.daemons[index] = DaemonHost::start(spec, self.directory.path())?;
         Ok(())
     }
 
-    /// Waits until every daemon is ready, sees the others, and no shard is bare.
+    /// Waits until every daemon is ready and sees the others, and every shard is covered.
     pub async fn wait_until_ready(&self) -> TestResult {
         let expected = self.daemons.len();
         for index in 0..expected {
@@ -199,37 +199,37 @@
         Ok(())
     }
 
-    /// Waits until a daemon's status page passes.
+    /// Waits until a daemon's status satisfies a condition.
     pub async fn wait_for(
         &self,
         index: usize,
         what: &str,
-        passes: impl Fn(&FleetReport) -> bool,
+        condition: impl Fn(&FleetReport) -> bool,
     ) -> TestResult<FleetReport> {
-        let began = Instant::now();
+        let started = Instant::now();
         loop {
             let report = self.status(index).await;
             if let Ok(report) = &report
-                && passes(report)
+                && condition(report)
             {
                 return Ok(report.clone());
             }
-            if began.elapsed() > WAIT_TIMEOUT {
+            if started.elapsed() > WAIT_TIMEOUT {
                 let log = self.daemons[index].log_tail();
-                return Err(format!("{what} did not come: {report:#?}\n{log}").into());
+                return Err(format!("timed out waiting for {what}: {report:#?}\n{log}").into());
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// A daemon's status page; its revision goes into the history.
+    /// A daemon's status; records its revision in the history.
     pub async fn status(&self, index: usize) -> TestResult<FleetReport> {
         let daemon = &self.daemons[index];
         let (_, text) = wire::get(daemon.caller, "/v1/status").await?;
         let report: FleetReport = serde_json::from_str(&text)?;
-        // A process that just started has none in force, and says so.
-        let has_none = report.configuration.revision == ConfigRevision(0);
-        if !(has_none && report.not_ready.is_some()) {
+        // A process that has just started reports revision 0 and is not ready.
+        let has_no_revision = report.configuration.revision == ConfigRevision(0);
+        if !(has_no_revision && report.not_ready.is_some()) {
             self.history.record(HistoryEvent::ConfigSeen {
                 daemon: daemon.spec.host.clone(),
                 revision: report.configuration.revision,
@@ -238,38 +238,38 @@
         Ok(report)
     }
 
-    /// Whether a daemon tells the balancer to send callers.
+    /// Whether a daemon reports to the load balancer that it is ready.
     pub async fn is_ready(&self, index: usize) -> TestResult<bool> {
         Ok(wire::get(self.daemons[index].caller, "/ready").await?.0 == StatusCode::OK)
     }
 
-    /// The value of a counter or gauge line of a daemon's metrics, 0 when absent.
+    /// The value of a counter or gauge in a daemon's metrics, 0 if absent.
     pub async fn metric(&self, index: usize, name: &str, label: &str) -> TestResult<f64> {
         let (_, text) = wire::get(self.daemons[index].caller, "/metrics").await?;
         let line = text.lines().find(|line| line.starts_with(name) && line.contains(label));
         Ok(line.and_then(|line| line.rsplit(' ').next()?.parse().ok()).unwrap_or(0.0))
     }
 
-    /// A store client of an operator.
+    /// A store client, as an operator uses it.
     pub fn store(&self) -> StoreClient {
         StoreClient::new(self.deployment.platform.address(), client::Options::default())
     }
 
-    /// Brings a configuration with these rules into force.
+    /// Applies a configuration with these rules.
     pub async fn apply(&self, base: u64, edit_id: &str, rules: &str) -> TestResult<edit::Outcome> {
-        let proposed = self.proposed(base, edit_id, rules);
+        let proposed = self.proposed_edit(base, edit_id, rules);
         Ok(edit::edit(&self.store(), &proposed, &edit::Options::default()).await?)
     }
 
-    /// The same; answers how many calls on the store the edit took.
+    /// Like [`TestFleet::apply`]; returns the number of store calls that the edit made.
     pub async fn apply_counted(&self, base: u64, edit_id: &str, rules: &str) -> TestResult<u64> {
         let store = self.store();
-        let proposed = self.proposed(base, edit_id, rules);
+        let proposed = self.proposed_edit(base, edit_id, rules);
         edit::edit(&store, &proposed, &edit::Options::default()).await?;
         Ok(store.counts().sent())
     }
 
-    fn proposed(&self, base: u64, edit_id: &str, rules: &str) -> ProposedEdit {
+    fn proposed_edit(&self, base: u64, edit_id: &str, rules: &str) -> ProposedEdit {
         ProposedEdit {
             base,
             edit_id: edit_id.into(),
@@ -280,7 +280,7 @@
         }
     }
 
-    /// Waits until every daemon has at least this revision in force.
+    /// Waits until every daemon has applied at least this revision.
     pub async fn wait_for_revision(&self, revision: u64) -> TestResult {
         for index in 0..self.daemons.len() {
             self.wait_for(index, "the revision", |report| {
@@ -291,7 +291,7 @@
         Ok(())
     }
 
-    /// A query for everything of a service.
+    /// A query for all documents of a service.
     pub fn query(&self, service: &str) -> SearchQuery {
         SearchQuery {
             caller: self.deployment.options().callers[0].clone(),
@@ -305,7 +305,11 @@
         }
     }
 
-    /// Sends a query; an error when the connection broke.
+    /// Sends a query and records it in the history.
+    ///
+    /// # Errors
+    ///
+    /// The connection broke or the answer is malformed.
     pub async fn send(&self, index: usize, query: SearchQuery) -> TestResult<CallerAnswer> {
         let daemon = &self.daemons[index];
         let send = self.history.next_send();
@@ -315,7 +319,7 @@
         self.record_answer(send, wire::call(daemon.caller, Method::POST, "/v1/query", body).await)
     }
 
-    /// A non-idempotent request with a fresh id, stamped now.
+    /// A non-idempotent request with a new id that holds the current time.
     pub fn once(&self, service: &str, key: u32) -> OnceRequest {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
         let number = self.next_id.fetch_add(1, Ordering::Relaxed);
@@ -329,7 +333,11 @@
         }
     }
 
-    /// Sends a non-idempotent request; an error when the connection broke.
+    /// Sends a non-idempotent request and records it in the history.
+    ///
+    /// # Errors
+    ///
+    /// The connection broke or the answer is malformed.
     pub async fn send_once(&self, index: usize, request: OnceRequest) -> TestResult<CallerAnswer> {
         let daemon = &self.daemons[index];
         let send = self.history.next_send();
@@ -339,8 +347,7 @@
         self.record_answer(send, wire::call(daemon.caller, Method::POST, "/v1/request", body).await)
     }
 
-    /// Sends a request until it is no longer refused, as a caller does that
-    /// keeps to the time it was told.
+    /// Sends a request until it is accepted, pausing between sends as `retry_after_ms` asks.
     pub async fn send_until_run(
         &self,
         index: usize,
@@ -348,10 +355,10 @@
     ) -> TestResult<CallerAnswer> {
         for _ in 0..MAX_SENDS {
             let answer = self.send_once(index, request.clone()).await?;
-            let Some(pause) = answer.retry_after_ms else { return Ok(answer) };
-            tokio::time::sleep(Duration::from_millis(pause)).await;
+            let Some(retry_after) = answer.retry_after_ms else { return Ok(answer) };
+            tokio::time::sleep(Duration::from_millis(retry_after)).await;
         }
-        Err("the request is refused for good".into())
+        Err("the request was rejected on every send".into())
     }
 
     fn record_answer(
@@ -374,22 +381,22 @@
         }
     }
 
-    /// Fails on every broken promise in the history.
+    /// Fails if the history violates an invariant.
     pub fn check(&self) -> TestResult {
         let options = check::Options {
             corpora: self.deployment.corpora.clone(),
             ..check::Options::default()
         };
-        let broken = check::check(&self.history.records(), &options);
-        if broken.is_empty() {
+        let violations = check::check(&self.history.records(), &options);
+        if violations.is_empty() {
             return Ok(());
         }
-        let lines: Vec<String> = broken.iter().map(ToString::to_string).collect();
-        Err(format!("broken promises:\n{}", lines.join("\n")).into())
+        let lines: Vec<String> = violations.iter().map(ToString::to_string).collect();
+        Err(format!("violated invariants:\n{}", lines.join("\n")).into())
     }
 }
 
-/// Whether the answer covers everything asked for.
+/// Whether the answer covers every range of the query.
 pub fn is_complete(answer: &CallerAnswer) -> bool {
     answer.coverage.as_ref().is_some_and(|coverage| coverage.missing.is_empty())
 }
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -1,4 +1,4 @@
-//! A bounded number of queries and requests, sent while a test does harm.
+//! A bounded load of queries and requests, sent in the background while a test injects faults.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -28,24 +28,24 @@
 use super::fleet::is_complete;
 use super::wire;
 
-/// Between two sends to one host.
+/// Pause between two sends to one host.
 const SEND_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Sends to one host at the most, should a test forget to stop.
+/// Maximum sends to one host, in case a test does not stop the load.
 const MAX_SENDS: usize = 3_000;
 
-/// Every so many sends is a non-idempotent request.
+/// One in this many sends is a non-idempotent request.
 const ONCE_EVERY: usize = 5;
 
-/// A step between keys that visits all shards.
+/// Step between request keys; successive keys visit all shards.
 const KEY_STEP: u32 = KEY_SPACE / 8 + 7;
 
-/// An answer that is not what callers hope for.
+/// An answer received by a sender.
 #[derive(Clone, Debug)]
 pub struct LoadAnswer {
     /// The host that gave it.
     pub front: String,
-    /// When, since the history began.
+    /// Time since the start of the history.
     pub at: Duration,
     pub answer: CallerAnswer,
 }
@@ -62,25 +62,25 @@
     }
 }
 
-/// What became of the sends.
+/// Outcomes of the sends.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReport {
-    /// Whole answers to queries.
+    /// Complete answers to queries.
     pub complete: usize,
-    /// Answers to queries that miss something.
+    /// Answers to queries that lack ranges.
     pub partial: Vec<LoadAnswer>,
     /// Requests that ran.
     pub ran: usize,
     /// Queries and requests rejected.
     pub rejected: Vec<LoadAnswer>,
-    /// Requests whose outcome is not known, or that failed.
+    /// Queries and requests whose outcome is unknown, or that failed.
     pub uncertain: Vec<LoadAnswer>,
     /// Sends whose connection broke.
     pub disconnected: usize,
 }
 
-/// Load in the background, one sender for each host. A sender skips its host
-/// while the host does not say that it is ready, as the balancer does.
+/// Background load with one sender for each host. Like a load balancer, a sender pauses while
+/// its host does not report that it is ready.
 #[derive(Debug)]
 pub struct RunningLoad {
     report: Arc<Mutex<LoadReport>>,
@@ -102,7 +102,7 @@
 }
 
 impl RunningLoad {
-    /// Starts queries of `services` and requests of the first to all hosts.
+    /// Starts sending queries to `services` and requests to the first of them, at all hosts.
     pub fn start(fleet: &TestFleet, services: &[&str]) -> Self {
         let mut load = Self {
             report: Arc::default(),
@@ -127,25 +127,25 @@
         load
     }
 
-    /// Waits until `more` further sends were answered or cut.
+    /// Waits until `more` further sends have been answered or disconnected.
     pub async fn wait_for_sends(&self, more: usize) -> TestResult {
-        let goal = self.completed.load(Ordering::Relaxed) + more;
-        let began = Instant::now();
-        while self.completed.load(Ordering::Relaxed) < goal {
-            if began.elapsed() > WAIT_TIMEOUT {
-                return Err("the load stands still".into());
+        let expected = self.completed.load(Ordering::Relaxed) + more;
+        let started = Instant::now();
+        while self.completed.load(Ordering::Relaxed) < expected {
+            if started.elapsed() > WAIT_TIMEOUT {
+                return Err("timed out waiting for sends to complete".into());
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         Ok(())
     }
 
-    /// What came back since the start or the last call.
+    /// Returns and resets the outcomes since the start or the last call.
     pub fn take_report(&self) -> LoadReport {
         self.report.lock().map(|mut report| std::mem::take(&mut *report)).unwrap_or_default()
     }
 
-    /// Ends the load once every answer is in; tells what came since the last
+    /// Stops the load, waits for sends in flight, and returns the outcomes since the last
     /// [`RunningLoad::take_report`].
     pub async fn finish(self) -> TestResult<LoadReport> {
         self.stop.store(true, Ordering::Relaxed);
@@ -227,12 +227,12 @@
         }
     }
 
-    /// Answers that are not what callers hope for.
+    /// Answers that are partial, rejected, uncertain or failed.
     fn degraded(&self) -> impl Iterator<Item = &LoadAnswer> {
         self.partial.iter().chain(&self.rejected).chain(&self.uncertain)
     }
 
-    /// Fails unless every query was whole and every request ran.
+    /// Fails unless every query was answered completely and every request ran.
     pub fn check_all_succeeded(&self) -> TestResult {
         let degraded: Vec<String> = self.degraded().map(ToString::to_string).collect();
         if self.disconnected == 0 && degraded.is_empty() {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! Real `serve` processes against stand-ins on loopback, and what callers see.
+//! Harness that runs real `serve` and `route` processes against stand-ins on loopback.
 //!
-//! One [`TestFleet`] a test. Everything it started ends when it is dropped:
-//! processes by their ids, stand-ins by their tokens.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Each test has its own fleet. Dropping it kills the processes that it started and cancels its
+//! stand-ins.
+#![allow(dead_code, reason = "each test file uses only part of the harness")]
 
 pub mod daemon;
 pub mod fleet;
@@ -15,15 +15,15 @@
 use std::error::Error;
 use std::path::PathBuf;
 
-#[allow(unused_imports, reason = "each test file uses a part of it")]
+#[allow(unused_imports, reason = "each test file uses only part of the harness")]
 pub use fleet::FleetOptions;
-#[allow(unused_imports, reason = "each test file uses a part of it")]
+#[allow(unused_imports, reason = "each test file uses only part of the harness")]
 pub use fleet::TestFleet;
 
-/// Of every test.
+/// Result of a test or of a helper.
 pub type TestResult<T = ()> = Result<T, Box<dyn Error>>;
 
-/// The binary that daemons run.
+/// Path of the binary under test.
 pub fn program() -> PathBuf {
     env!("CARGO_BIN_EXE_hawthornroute").into()
 }
--- a/tests/support/network.rs
+++ b/tests/support/network.rs
@@ -1,4 +1,4 @@
-//! Zones that reach each other and the platform through links.
+//! Zones that reach each other and the platform through links that can be cut.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -13,7 +13,7 @@
 use super::TestResult;
 use super::daemon::DaemonSpec;
 
-/// The links, and the loopback address that all hosts of a zone share.
+/// Links between zones, and the loopback address that the hosts of each zone share.
 #[derive(Debug)]
 pub struct ZoneNetwork {
     pub links: StandinNetwork,
@@ -23,13 +23,13 @@
 #[derive(Debug)]
 struct LinkedZone {
     name: String,
-    /// Hosts send from here, which tells a link the zone of the sender.
+    /// Source address of the zone's hosts, by which a link identifies the sender's zone.
     address: IpAddr,
     platform: SocketAddr,
 }
 
 impl ZoneNetwork {
-    /// A loopback address and a link to the platform for each zone.
+    /// Assigns each zone a loopback address and a link to the platform.
     pub async fn start(deployment: &StandinDeployment) -> TestResult<Self> {
         let mut links = StandinNetwork::new(NetworkOptions::dar_port());
         let mut zones = Vec::new();
@@ -43,7 +43,7 @@
         Ok(Self { links, zones })
     }
 
-    /// The spec of a daemon behind a link of its own.
+    /// Creates a link for a daemon and returns its settings, adapted to the link.
     pub async fn link(&mut self, spec: DaemonSpec) -> TestResult<(DaemonSpec, HostLink)> {
         let sources: Vec<(IpAddr, NetworkPlace)> =
             self.zones.iter().map(|zone| (zone.address, NetworkPlace::zone(&zone.name))).collect();
--- a/tests/support/route.rs
+++ b/tests/support/route.rs
@@ -1,4 +1,4 @@
-//! Real `route` processes against the stand-ins of the users' platform.
+//! Real `route` processes against stand-ins of the platform.
 
 use std::collections::HashMap;
 use std::io::BufRead;
@@ -33,18 +33,18 @@
 
 use super::TestResult;
 
-/// How long a test waits for something that should come at once.
+/// Limit for a state or answer that is expected at once.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 const CALLER_PORT: u16 = 8104;
-/// Where a host says whether it is ready.
+/// Port of a host's readiness endpoint.
 pub const READY_PORT: u16 = 8108;
 const PEER_PORT: u16 = 7380;
 const METRICS_PORT: u16 = 9464;
 
 static NEXT_HOST: AtomicU32 = AtomicU32::new(0);
 
-/// An address of loopback that no other host of this machine's tests has:
-/// hosts of one fleet listen for peers at one port.
+/// A loopback address that no other host of the tests on this machine uses. Hosts of one fleet
+/// all listen for peers at the same port, so each needs its own address.
 fn unique_loopback() -> IpAddr {
     let process = std::process::id();
     let host = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
@@ -52,11 +52,11 @@
     IpAddr::V4(Ipv4Addr::new(127, octet(process), octet(process / 250 + host / 250), octet(host)))
 }
 
-/// An answer of a host.
+/// An HTTP answer of a host.
 #[derive(Clone, Debug)]
 pub struct RouteAnswer {
     pub status: u16,
-    /// By names in lower case.
+    /// Keyed by lower-case name.
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
 }
@@ -72,7 +72,7 @@
 }
 
 impl RouteHost {
-    /// Starts a host of a zone; it is not ready yet.
+    /// Starts a host in a zone, without waiting for readiness.
     pub fn start(
         name: &str,
         zone: &str,
@@ -82,7 +82,7 @@
         Self::start_with_metrics_port(name, zone, store, seeds, METRICS_PORT)
     }
 
-    /// Starts a host whose metrics are to be at a port of its address.
+    /// Starts a host with its metrics endpoint at this port.
     pub fn start_with_metrics_port(
         name: &str,
         zone: &str,
@@ -125,47 +125,46 @@
         Ok(())
     }
 
-    /// Changes the file of settings; the process reads it when it is told to.
+    /// Replaces text in the settings file; the process reads it again on SIGHUP.
     pub fn change_settings(&self, from: &str, to: &str) -> TestResult {
         let text = std::fs::read_to_string(&self.file)?;
         Ok(std::fs::write(&self.file, text.replace(from, to))?)
     }
 
-    /// Where callers reach it.
+    /// The address at which callers reach it.
     pub fn caller(&self) -> SocketAddr {
         SocketAddr::new(self.ip, CALLER_PORT)
     }
 
-    /// Whether it says that it takes callers.
+    /// Whether it reports that it is ready.
     pub async fn is_ready(&self) -> bool {
         let at = SocketAddr::new(self.ip, READY_PORT);
         let head = "GET /-/ready HTTP/1.1\r\nHost: r\r\n\r\n".to_owned();
         matches!(exchange(at, head.into_bytes()).await, Ok(answer) if answer.status == 200)
     }
 
-    /// Waits until it takes callers.
+    /// Waits until it reports that it is ready.
     pub async fn wait_until_ready(&self) -> TestResult {
-        wait_for("the host to be ready", async || self.is_ready().await).await
+        wait_for("the host to become ready", async || self.is_ready().await).await
     }
 
-    /// Lines logged so far with this text.
+    /// The number of logged lines with this text.
     pub fn logged(&self, text: &str) -> usize {
-        let log = self.log.lock().expect("no holder of the lock panics");
+        let log = self.log.lock().expect("no thread panics while it holds the lock");
         log.iter().filter(|line| line.contains(text)).count()
     }
 
     /// All lines logged so far.
     pub fn log_lines(&self) -> Vec<String> {
-        self.log.lock().expect("no holder of the lock panics").clone()
+        self.log.lock().expect("no thread panics while it holds the lock").clone()
     }
 
-    /// Lets its lines lie unread from now on, as a reader does that is stuck, or
-    /// reads them again.
+    /// Stops reading the process's log lines, or resumes reading them.
     pub fn pause_log_reader(&self, pause: bool) {
         self.reader_paused.store(pause, Ordering::Relaxed);
     }
 
-    /// Where other hosts reach it.
+    /// The address at which other hosts reach it.
     pub fn peer(&self) -> SocketAddr {
         SocketAddr::new(self.ip, PEER_PORT)
     }
@@ -176,19 +175,19 @@
         Ok(rustix::process::kill_process(pid, signal)?)
     }
 
-    /// Whether the process has ended.
+    /// Whether the process has exited.
     pub fn has_ended(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Its counters and histograms, as text.
+    /// The text of its metrics endpoint.
     pub async fn metrics(&self) -> TestResult<String> {
         let at = SocketAddr::new(self.ip, METRICS_PORT);
         let head = "GET /metrics HTTP/1.1\r\nHost: m\r\n\r\n".to_owned();
         Ok(String::from_utf8(exchange(at, head.into_bytes()).await?.body)?)
     }
 
-    /// A caller's request on a connection of its own.
+    /// Sends a caller's request on a new connection.
     pub async fn send(
         &self,
         method: &str,
@@ -216,7 +215,7 @@
     let (lines, reader_paused) = (Arc::clone(log), Arc::clone(reader_paused));
     std::thread::spawn(move || {
         for line in BufReader::new(output).lines().map_while(Result::ok) {
-            lines.lock().expect("no holder of the lock panics").push(line);
+            lines.lock().expect("no thread panics while it holds the lock").push(line);
             while reader_paused.load(Ordering::Relaxed) {
                 std::thread::sleep(Duration::from_millis(10));
             }
@@ -227,13 +226,13 @@
 
 impl Drop for RouteHost {
     fn drop(&mut self) {
-        // It may have ended by itself.
-        let _ended = self.child.kill();
+        // Fails if the process has already exited.
+        let _killed = self.child.kill();
         let _waited = self.child.wait();
     }
 }
 
-/// A caller's request as bytes.
+/// The bytes of a caller's request.
 pub fn request(method: &str, path: &str, id: &str, body: &str) -> Vec<u8> {
     format!(
         "{method} {path} HTTP/1.1\r\nHost: {HOST}\r\n{ATTEMPT_ID}: {id}\r\n\
@@ -249,7 +248,7 @@
     timeout(WAIT_TIMEOUT, read_answer(&mut stream)).await?
 }
 
-/// Reads one answer with a length.
+/// Reads one answer, whose body length is given by `Content-Length`.
 pub async fn read_answer(stream: &mut TcpStream) -> TestResult<RouteAnswer> {
     let mut bytes = Vec::new();
     let end = loop {
@@ -279,10 +278,10 @@
 }
 
 /// Waits until a condition holds.
-pub async fn wait_for(what: &str, holds: impl AsyncFn() -> bool) -> TestResult {
+pub async fn wait_for(what: &str, condition: impl AsyncFn() -> bool) -> TestResult {
     let started = Instant::now();
     while started.elapsed() < WAIT_TIMEOUT {
-        if holds().await {
+        if condition().await {
             return Ok(());
         }
         sleep(Duration::from_millis(20)).await;
--- a/tests/support/wire.rs
+++ b/tests/support/wire.rs
@@ -1,4 +1,4 @@
-//! A caller's side of the wire.
+//! HTTP client of the tests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 
 use super::TestResult;
 
-/// No call of a test hangs longer.
+/// Maximum time of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// One request on a connection of its own.
+/// Sends one request on a new connection.
 pub async fn call(
     at: SocketAddr,
     method: Method,
@@ -38,7 +38,7 @@
     tokio::time::timeout(CALL_TIMEOUT, exchange).await?
 }
 
-/// The text of a page.
+/// Gets a page; returns its status and text.
 pub async fn get(at: SocketAddr, path: &str) -> TestResult<(StatusCode, String)> {
     let (status, body) = call(at, Method::GET, path, Vec::new()).await?;
     Ok((status, String::from_utf8_lossy(&body).into_owned()))
--- a/tests/support/zones.rs
+++ b/tests/support/zones.rs
@@ -1,4 +1,4 @@
-//! A fleet of two zones, each with a host and a target of each shard.
+//! A fleet of two zones, each with one host and one target per shard.
 
 use hawthorn_standin::route::RouteStore;
 use hawthorn_standin::route::RouteTarget;
@@ -8,9 +8,9 @@
 use super::TestResult;
 use super::route::RouteHost;
 
-/// The shards, each also a service of its own.
+/// The shards, each of which is also a service.
 pub const SHARDS: [&str; 4] = ["a", "b", "c", "d"];
-/// The zones, each a region of its own; see [`RouteHost::start`].
+/// The zones, each in a region of its own; see [`RouteHost::start`].
 pub const ZONES: [&str; 2] = ["east", "west"];
 
 /// Targets by zone, then by shard.
@@ -33,7 +33,7 @@
         Ok(Self(targets))
     }
 
-    /// Requests that the targets of a zone have run.
+    /// The number of requests that the targets of a zone have run.
     pub fn runs(&self, zone: usize) -> usize {
         self.0[zone].iter().map(RouteTarget::all_runs).sum()
     }
