--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -32,8 +32,8 @@
     fleet.check()
 }
 
-/// Failure: a caller sends the same non-idempotent request to several hosts. The first send runs it;
-/// the others must neither run it again nor report that it was not run.
+/// Failure: a caller sends the same non-idempotent request to several hosts. The first send runs
+/// it; the others must neither run it again nor report that it was not run.
 #[tokio::test]
 async fn a_request_retried_at_other_hosts_does_not_run_again() -> TestResult {
     let fleet = TestFleet::start(FleetOptions::small()).await?;
--- a/tests/partition.rs
+++ b/tests/partition.rs
@@ -111,8 +111,8 @@
     fleet.check()
 }
 
-/// Failure: operators edit the rules while a zone is partitioned. Its answers carry the old revision
-/// and its age. Once the partition heals it applies the new revision, and never reverts.
+/// Failure: operators edit the rules while a zone is partitioned. Its answers carry the old
+/// revision and its age. Once the partition heals it applies the new revision, and never reverts.
 #[tokio::test]
 async fn an_edit_reaches_a_zone_after_its_partition_heals() -> TestResult {
     let fleet = TestFleet::start(FleetOptions::linked()).await?;
--- a/tests/route.rs
+++ b/tests/route.rs
@@ -360,8 +360,8 @@
     Ok(())
 }
 
-/// Failure: a host starts while the store is unavailable. Without a peer it knows no routes, and must
-/// answer 503 rather than 404. With a live peer it loads the configuration from it and serves.
+/// Failure: a host starts while the store is unavailable. Without a peer it knows no routes, and
+/// must answer 503 rather than 404. With a live peer it loads the configuration from it and serves.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_host_that_starts_without_the_store_loads_from_a_peer() -> TestResult {
     let pair = start_pair().await?;
@@ -416,9 +416,9 @@
     Ok(())
 }
 
-/// Scatter-gather over shards in two zones, with hosts in both. The answer holds the greatest records
-/// of all parts, with one receipt for each part, whether a peer gathers some of them, has just been
-/// killed, or a shard has no target.
+/// Scatter-gather over shards in two zones, with hosts in both. The answer holds the greatest
+/// records of all parts, with one receipt for each part, whether a peer gathers some of them, has
+/// just been killed, or a shard has no target.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_query_over_shards_in_two_zones_is_complete() -> TestResult {
     let store = RouteStore::start().await?;
@@ -537,8 +537,8 @@
     Ok(())
 }
 
-/// Failure: hosts that gather for a zone are suspended one after the other, as by a debugger or on a
-/// starved machine. A query delegated to one is completed by another, and a resumed host sends
+/// Failure: hosts that gather for a zone are suspended one after the other, as by a debugger or on
+/// a starved machine. A query delegated to one is completed by another, and a resumed host sends
 /// nothing for a query that its front no longer waits for.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_suspended_peer_is_replaced_and_sends_nothing_on_resume() -> TestResult {
@@ -564,8 +564,8 @@
     route::wait_for("a silent peer to be logged", silent).await
 }
 
-/// Failure: requests are malformed, too large, or contain a second request. None may reach a target;
-/// each is answered or its connection is closed, and the host continues to serve.
+/// Failure: requests are malformed, too large, or contain a second request. None may reach a
+/// target; each is answered or its connection is closed, and the host continues to serve.
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_requests_reach_no_target() -> TestResult {
     struct Case {
@@ -694,9 +694,10 @@
     Ok(())
 }
 
-/// Failure: callers flood a host whose shards are slow. Admission control admits a window of queries
-/// and rejects the rest at once with `retry-after`. If a rejection released a slot that it never
-/// held, as many further queries would be admitted and admission control would have no effect.
+/// Failure: callers flood a host whose shards are slow. Admission control admits a window of
+/// queries and rejects the rest at once with `retry-after`. If a rejection released a slot that it
+/// never held, as many further queries would be admitted and admission control would have no
+/// effect.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_flood_is_rejected_beyond_the_admission_window() -> TestResult {
     /// Initial admission window, in queries.
--- a/tests/route_callers.rs
+++ b/tests/route_callers.rs
@@ -102,8 +102,8 @@
     Ok(())
 }
 
-/// Failure: a caller occupies a connection by sending its request's head slowly. It is rejected with
-/// 408 at the operators' timeout and nothing runs; a slow head within the timeout is served.
+/// Failure: a caller occupies a connection by sending its request's head slowly. It is rejected
+/// with 408 at the operators' timeout and nothing runs; a slow head within the timeout is served.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slow_request_head_is_rejected() -> TestResult {
     struct Case {
--- a/tests/route_evacuation.rs
+++ b/tests/route_evacuation.rs
@@ -164,7 +164,7 @@
     let slow = TargetFault::Slow(Duration::from_millis(700));
     fleet.targets.iter().for_each(|target| target.fail_always(Some(slow)));
     let host = &fleet.hosts[0];
-    let sent = (0..60).map(|number| {
+    let requests = (0..60).map(|number| {
         let id = format!("waiting-{number}");
         async move { host.send("GET", "/once/x", &id, "").await }
     });
@@ -175,7 +175,7 @@
         sleep(Duration::from_millis(50)).await;
         TestResult::Ok(fleet.targets.runs(0))
     };
-    let (answers, evacuated) = futures::join!(futures::future::join_all(sent), evacuation);
+    let (answers, evacuated) = futures::join!(futures::future::join_all(requests), evacuation);
     let before = evacuated?;
     assert!(answers.into_iter().all(|answer| answer.is_ok()));
     // Runs are counted when they start, so that the count includes all requests sent before the
--- a/tests/suspended_hosts.rs
+++ b/tests/suspended_hosts.rs
@@ -81,7 +81,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_suspended_claim_holder_does_not_run_a_request_past_its_deadline() -> TestResult {
     const STORE_DELAY: Duration = Duration::from_millis(600);
-    const CLAIM_STARTED: Duration = Duration::from_millis(200);
+    const SUSPEND_AFTER: Duration = Duration::from_millis(200);
     let fleet = TestFleet::start(FleetOptions::small()).await?;
     // The shard's replicas are in the zones of the first two hosts.
     let mut request = fleet.once("agent-desk", KeyRange::part(0, SHARDS).start);
@@ -90,7 +90,7 @@
     let platform = fleet.deployment.platform.control();
     platform.set_faults(|faults| faults.extra_delay = STORE_DELAY);
     let scenario = async {
-        tokio::time::sleep(CLAIM_STARTED).await;
+        tokio::time::sleep(SUSPEND_AFTER).await;
         owners.iter().try_for_each(|owner| owner.suspend())?;
         platform.set_faults(|faults| faults.extra_delay = Duration::ZERO);
         tokio::time::sleep(SUSPENSION).await;
