--- a/crates/hawthorn-standin/src/bin/hawthorn-load.rs
+++ b/crates/hawthorn-standin/src/bin/hawthorn-load.rs
@@ -23,15 +23,15 @@
 use hawthorn_standin::corpus::CorpusFlavour;
 use hawthorn_standin::corpus::CorpusOptions;
 use hawthorn_standin::load;
-use hawthorn_standin::load::DeploymentStage;
+use hawthorn_standin::load::DeploymentEnvironment;
 use hawthorn_standin::load::HttpTier;
+use hawthorn_standin::load::LoadEnvironment;
 use hawthorn_standin::load::LoadScenario;
-use hawthorn_standin::load::LoadStage;
 use hawthorn_standin::load::NaiveTier;
 use hawthorn_standin::load::QueryTier;
-use hawthorn_standin::load::RemoteStage;
+use hawthorn_standin::load::RemoteEnvironment;
 use hawthorn_standin::load::inventory::TargetInventory;
-use hawthorn_standin::load::report::table_head;
+use hawthorn_standin::load::report::table_header;
 use hawthorn_standin::load::schedule::ScheduleOptions;
 use hawthorn_standin::load::tier::EntryHost;
 use hawthorn_types::IndexVersion;
@@ -159,7 +159,7 @@
         CorpusFlavour::Claims => DeploymentOptions::poland(),
     };
     let deployment = StandinDeployment::start(described).await?;
-    let stage = DeploymentStage::new(&deployment);
+    let stage = DeploymentEnvironment::new(&deployment);
     let mut output = Output::new(arguments.json);
     for scenario in scenarios(arguments) {
         let mut options = options(arguments, scenario);
@@ -175,7 +175,7 @@
 /// Loads a running tier.
 async fn run_tier(arguments: &Arguments, inventory: &PathBuf) -> Result<String, Box<dyn Error>> {
     let inventory = TargetInventory::parse(&std::fs::read_to_string(inventory)?)?;
-    let stage = RemoteStage::new(&inventory);
+    let stage = RemoteEnvironment::new(&inventory);
     let hosts = arguments
         .front
         .iter()
@@ -185,7 +185,7 @@
     let mut output = Output::new(arguments.json);
     for scenario in scenarios(arguments) {
         let options = options(arguments, scenario);
-        let first: &dyn LoadStage = &stage;
+        let first: &dyn LoadEnvironment = &stage;
         if arguments.compare.is_none() {
             let report = load::run("tier", Arc::clone(&tier), first, None, &options).await?;
             output.push(&report, report.to_string())?;
@@ -202,7 +202,7 @@
 
 fn scenarios(arguments: &Arguments) -> Vec<LoadScenario> {
     match arguments.scenario.is_empty() {
-        true => vec![LoadScenario::Calm],
+        true => vec![LoadScenario::Steady],
         false => arguments.scenario.clone(),
     }
 }
@@ -257,7 +257,7 @@
     fn finish(self) -> String {
         match self.json {
             true => format!("[{}]\n", self.lines.join(",\n")),
-            false => format!("{}{}", table_head(), self.lines.concat()),
+            false => format!("{}{}", table_header(), self.lines.concat()),
         }
     }
 }
--- a/crates/hawthorn-standin/src/check/daemons.rs
+++ b/crates/hawthorn-standin/src/check/daemons.rs
@@ -37,12 +37,12 @@
             HistoryEvent::Answered { send, answer } => {
                 view.answered(record, *send, answer.configuration.revision);
             }
-            HistoryEvent::Cut { send } => view.cut(record, *send),
+            HistoryEvent::ConnectionLost { send } => view.cut(record, *send),
             HistoryEvent::ConfigSeen { daemon, revision } => {
                 let had = view.newest.get(daemon.as_str()).copied().unwrap_or_default();
                 view.compare(record, daemon, had, *revision);
             }
-            HistoryEvent::StopBegan { daemon } => {
+            HistoryEvent::StopStarted { daemon } => {
                 view.stopping.insert(daemon);
             }
             HistoryEvent::Started { daemon } | HistoryEvent::Killed { daemon } => {
--- a/crates/hawthorn-standin/src/check/mod.rs
+++ b/crates/hawthorn-standin/src/check/mod.rs
@@ -26,12 +26,12 @@
     /// without them.
     pub corpora: Vec<Arc<Corpus>>,
     /// How long work may still reach a target that is leaving.
-    pub leaving_grace: Duration,
+    pub drain_grace: Duration,
 }
 
 impl Default for Options {
     fn default() -> Self {
-        Self { corpora: Vec::new(), leaving_grace: Duration::from_secs(5) }
+        Self { corpora: Vec::new(), drain_grace: Duration::from_secs(5) }
     }
 }
 
@@ -122,7 +122,7 @@
     let mut found = answers::check(records, &options.corpora);
     found.extend(runs::check(records));
     found.extend(daemons::check(records));
-    found.extend(targets::check(records, options.leaving_grace));
+    found.extend(targets::check(records, options.drain_grace));
     found.sort_by_key(|violation| violation.at);
     found
 }
--- a/crates/hawthorn-standin/src/history.rs
+++ b/crates/hawthorn-standin/src/history.rs
@@ -56,7 +56,7 @@
         answer: CallerAnswer,
     },
     /// The connection broke after the request was sent and before its answer.
-    Cut {
+    ConnectionLost {
         /// The send.
         send: u64,
     },
@@ -78,7 +78,7 @@
         target: String,
     },
     /// A planned stop of a daemon began.
-    StopBegan {
+    StopStarted {
         /// The daemon, by the name used in [`SentQuery::front`].
         daemon: String,
     },
--- a/crates/hawthorn-standin/src/load/compare.rs
+++ b/crates/hawthorn-standin/src/load/compare.rs
@@ -7,12 +7,12 @@
 
 use serde::Serialize;
 
+use super::environment::DaemonControl;
+use super::environment::LoadEnvironment;
 use super::report::LoadReport;
-use super::report::table_head;
+use super::report::table_header;
 use super::run;
 use super::run::Options;
-use super::stage::DaemonControl;
-use super::stage::LoadStage;
 use super::tier::QueryTier;
 
 /// Pause between the two runs.
@@ -34,7 +34,7 @@
 
 impl fmt::Display for Comparison {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}{}{}", table_head(), self.tier, self.baseline)?;
+        write!(f, "{}{}{}", table_header(), self.tier, self.baseline)?;
         writeln!(
             f,
             "p99 of complete answers x{:.2}, complete x{:.2}",
@@ -47,7 +47,7 @@
 pub async fn compare(
     tier: Arc<dyn QueryTier>,
     baseline: Arc<dyn QueryTier>,
-    stage: &dyn LoadStage,
+    stage: &dyn LoadEnvironment,
     daemons: Option<&dyn DaemonControl>,
     options: &Options,
 ) -> Result<Comparison, run::Error> {
--- a/crates/hawthorn-standin/src/load/stage.rs
+++ b/crates/hawthorn-standin/src/load/environment.rs
@@ -17,7 +17,7 @@
 const SLOW_FACTOR: f64 = 10.0;
 
 /// The targets of a run.
-pub trait LoadStage: Send + Sync {
+pub trait LoadEnvironment: Send + Sync {
     /// Brings about what `scenario` needs of targets.
     fn begin(&self, scenario: LoadScenario) -> BoxFuture<'_, ()>;
 
@@ -78,18 +78,18 @@
 
 /// The targets of a deployment of stand-ins in this process.
 #[derive(Debug)]
-pub struct DeploymentStage<'a> {
+pub struct DeploymentEnvironment<'a> {
     deployment: &'a StandinDeployment,
 }
 
-impl<'a> DeploymentStage<'a> {
+impl<'a> DeploymentEnvironment<'a> {
     /// The targets of `deployment`.
     pub fn new(deployment: &'a StandinDeployment) -> Self {
         Self { deployment }
     }
 }
 
-impl LoadStage for DeploymentStage<'_> {
+impl LoadEnvironment for DeploymentEnvironment<'_> {
     fn begin(&self, scenario: LoadScenario) -> BoxFuture<'_, ()> {
         for (number, target) in self.deployment.targets.iter().enumerate() {
             target.standin.control().set_slowness(TargetSlowness::of(scenario, number));
--- a/crates/hawthorn-standin/src/load/mod.rs
+++ b/crates/hawthorn-standin/src/load/mod.rs
@@ -4,7 +4,7 @@
 //! - [`schedule`]: when which caller asks what, decided before the run.
 //! - [`tier`]: whom to ask: the tier's entry hosts, or
 //! - [`naive`]: a client that asks targets directly with no policy, to compare.
-//! - [`stage`]: faults of targets and stops of daemons that a scenario needs.
+//! - [`environment`]: faults of targets and stops of daemons that a scenario needs.
 //! - [`inventory`] and [`remote`]: targets of another process, from its inventory.
 //! - [`run`]: one run.
 //! - [`compare`]: the same schedule against the tier and the naive client.
@@ -19,17 +19,17 @@
 pub mod run;
 pub mod scenario;
 pub mod schedule;
-pub mod stage;
+pub mod environment;
 pub mod tier;
 
 pub use compare::compare;
+pub use environment::DaemonControl;
+pub use environment::DeploymentEnvironment;
+pub use environment::LoadEnvironment;
 pub use naive::NaiveTier;
-pub use remote::RemoteStage;
+pub use remote::RemoteEnvironment;
 pub use report::LoadReport;
 pub use run::run;
 pub use scenario::LoadScenario;
-pub use stage::DaemonControl;
-pub use stage::DeploymentStage;
-pub use stage::LoadStage;
 pub use tier::HttpTier;
 pub use tier::QueryTier;
--- a/crates/hawthorn-standin/src/load/naive.rs
+++ b/crates/hawthorn-standin/src/load/naive.rs
@@ -41,8 +41,8 @@
 
 use super::pool::ConnectionPool;
 use super::pool::Error;
-use super::tier::HeardAnswer;
 use super::tier::QueryTier;
+use super::tier::TierResponse;
 use crate::deployment::StandinDeployment;
 use crate::deployment::shard_name;
 
@@ -178,7 +178,7 @@
         (range, outcome)
     }
 
-    async fn send_once(&self, request: &OnceRequest) -> HeardAnswer {
+    async fn send_once(&self, request: &OnceRequest) -> TierResponse {
         let start = Instant::now();
         let id = Some(request.request_id.clone());
         let Some(shards) = self.services.get(&request.service) else {
@@ -203,17 +203,17 @@
         vec!["naive".to_owned()]
     }
 
-    fn query<'a>(&'a self, _front: usize, query: &'a SearchQuery) -> BoxFuture<'a, HeardAnswer> {
+    fn query<'a>(&'a self, _front: usize, query: &'a SearchQuery) -> BoxFuture<'a, TierResponse> {
         Box::pin(async { heard(self.search(query).await) })
     }
 
-    fn once<'a>(&'a self, _front: usize, request: &'a OnceRequest) -> BoxFuture<'a, HeardAnswer> {
+    fn once<'a>(&'a self, _front: usize, request: &'a OnceRequest) -> BoxFuture<'a, TierResponse> {
         Box::pin(self.send_once(request))
     }
 }
 
-fn heard(answer: CallerAnswer) -> HeardAnswer {
-    HeardAnswer::Answered(Box::new(answer))
+fn heard(answer: CallerAnswer) -> TierResponse {
+    TierResponse::Answered(Box::new(answer))
 }
 
 fn replica_pools(known: &KnownService) -> Vec<Vec<ConnectionPool>> {
--- a/crates/hawthorn-standin/src/load/remote.rs
+++ b/crates/hawthorn-standin/src/load/remote.rs
@@ -9,16 +9,16 @@
 use futures::future::join_all;
 use hyper::Method;
 
+use super::environment::LoadEnvironment;
+use super::environment::TargetSlowness;
 use super::inventory::TargetInventory;
 use super::pool::ConnectionPool;
 use super::scenario::LoadScenario;
-use super::stage::LoadStage;
-use super::stage::TargetSlowness;
 use crate::target::TargetCounters;
 
 /// The stand-in targets of an inventory.
 #[derive(Debug)]
-pub struct RemoteStage {
+pub struct RemoteEnvironment {
     targets: Vec<RemoteTarget>,
     shards: HashMap<String, u32>,
 }
@@ -29,7 +29,7 @@
     pool: ConnectionPool,
 }
 
-impl RemoteStage {
+impl RemoteEnvironment {
     /// The targets of `inventory`.
     pub fn new(inventory: &TargetInventory) -> Self {
         let targets = inventory
@@ -62,7 +62,7 @@
     }
 }
 
-impl LoadStage for RemoteStage {
+impl LoadEnvironment for RemoteEnvironment {
     fn begin(&self, scenario: LoadScenario) -> BoxFuture<'_, ()> {
         self.slow(move |number| TargetSlowness::of(scenario, number)).boxed()
     }
--- a/crates/hawthorn-standin/src/load/report.rs
+++ b/crates/hawthorn-standin/src/load/report.rs
@@ -218,7 +218,7 @@
 }
 
 /// The head of the table that [`LoadReport`] displays one line of.
-pub fn table_head() -> String {
+pub fn table_header() -> String {
     format!(
         "{:<16} {:<8} {:>8} {:>8} {:>8} {:>8} {:>8} {:>8} {:>8} {:>6} {:>8} {:>6} {:>8} {:>6}\n",
         "scenario",
--- a/crates/hawthorn-standin/src/load/run.rs
+++ b/crates/hawthorn-standin/src/load/run.rs
@@ -13,6 +13,8 @@
 use tokio::time::Instant;
 use tokio::time::timeout;
 
+use super::environment::DaemonControl;
+use super::environment::LoadEnvironment;
 use super::report::LoadReport;
 use super::report::Sample;
 use super::report::SampleEnd;
@@ -21,10 +23,8 @@
 use super::schedule::PlannedKind;
 use super::schedule::PlannedRequest;
 use super::schedule::ScheduleOptions;
-use super::stage::DaemonControl;
-use super::stage::LoadStage;
-use super::tier::HeardAnswer;
 use super::tier::QueryTier;
+use super::tier::TierResponse;
 use crate::check;
 use crate::corpus::Corpus;
 use crate::history::History;
@@ -96,7 +96,7 @@
 pub async fn run(
     policy: &str,
     tier: Arc<dyn QueryTier>,
-    stage: &dyn LoadStage,
+    stage: &dyn LoadEnvironment,
     daemons: Option<&dyn DaemonControl>,
     options: &Options,
 ) -> Result<LoadReport, Error> {
@@ -131,7 +131,7 @@
     match options.schedule.scenario {
         LoadScenario::RollingRestart => {
             for daemon in daemons.daemons() {
-                options.history.record(HistoryEvent::StopBegan { daemon: daemon.clone() });
+                options.history.record(HistoryEvent::StopStarted { daemon: daemon.clone() });
                 daemons.restart(&daemon).await;
                 options.history.record(HistoryEvent::Started { daemon });
                 tokio::time::sleep(RESTART_PAUSE).await;
@@ -202,7 +202,7 @@
             let sent = SentQuery { send, front: self.fronts[front].clone(), query };
             self.options.history.record(HistoryEvent::QuerySent(sent.clone()));
             let heard = timeout(self.patience(), self.tier.query(front, &sent.query)).await;
-            let end = self.hear(send, heard.unwrap_or(HeardAnswer::Cut));
+            let end = self.hear(send, heard.unwrap_or(TierResponse::ConnectionLost));
             if end != SampleEnd::NotSent {
                 return end;
             }
@@ -227,7 +227,7 @@
             let sent = SentOnce { send, front: name, request: once.clone() };
             self.options.history.record(HistoryEvent::OnceSent(sent));
             let heard = timeout(self.patience(), self.tier.once(front, once)).await;
-            let end = self.hear(send, heard.unwrap_or(HeardAnswer::Cut));
+            let end = self.hear(send, heard.unwrap_or(TierResponse::ConnectionLost));
             if end != SampleEnd::NotSent {
                 return end;
             }
@@ -245,9 +245,9 @@
         Duration::from_millis(self.options.deadline_ms) + CALLER_PATIENCE
     }
 
-    fn hear(&self, send: u64, heard: HeardAnswer) -> SampleEnd {
+    fn hear(&self, send: u64, heard: TierResponse) -> SampleEnd {
         match heard {
-            HeardAnswer::Answered(answer) => {
+            TierResponse::Answered(answer) => {
                 let coverage = answer.coverage.as_ref().map_or(1.0, |coverage| coverage.fraction);
                 let end = match answer.outcome {
                     CallerOutcome::Answer => SampleEnd::Answered { coverage },
@@ -258,11 +258,11 @@
                 self.options.history.record(HistoryEvent::Answered { send, answer: *answer });
                 end
             }
-            HeardAnswer::Cut => {
-                self.options.history.record(HistoryEvent::Cut { send });
+            TierResponse::ConnectionLost => {
+                self.options.history.record(HistoryEvent::ConnectionLost { send });
                 SampleEnd::Cut
             }
-            HeardAnswer::NotSent => SampleEnd::NotSent,
+            TierResponse::NotSent => SampleEnd::NotSent,
         }
     }
 
--- a/crates/hawthorn-standin/src/load/scenario.rs
+++ b/crates/hawthorn-standin/src/load/scenario.rs
@@ -11,7 +11,8 @@
 #[strum(serialize_all = "kebab-case")]
 pub enum LoadScenario {
     /// An even load well below capacity.
-    Calm,
+    #[strum(serialize = "calm")]
+    Steady,
     /// The same, with stragglers at every target.
     Stragglers,
     /// The same, with one target many times slower than its peers.
--- a/crates/hawthorn-standin/src/load/schedule.rs
+++ b/crates/hawthorn-standin/src/load/schedule.rs
@@ -37,7 +37,7 @@
     fn default() -> Self {
         let callers = ["bunker-desk", "ship-agents", "suppliers"];
         Self {
-            scenario: LoadScenario::Calm,
+            scenario: LoadScenario::Steady,
             seed: 1,
             duration: Duration::from_secs(5),
             capacity: 100.0,
--- a/crates/hawthorn-standin/src/load/tier.rs
+++ b/crates/hawthorn-standin/src/load/tier.rs
@@ -13,11 +13,11 @@
 
 /// What a caller hears.
 #[derive(Clone, Debug, PartialEq)]
-pub enum HeardAnswer {
+pub enum TierResponse {
     /// An answer.
     Answered(Box<CallerAnswer>),
     /// The connection broke, or what came was no answer.
-    Cut,
+    ConnectionLost,
     /// No connection could be made: nothing was sent.
     NotSent,
 }
@@ -28,10 +28,10 @@
     fn fronts(&self) -> Vec<String>;
 
     /// Sends a search to entry point number `front`.
-    fn query<'a>(&'a self, front: usize, query: &'a SearchQuery) -> BoxFuture<'a, HeardAnswer>;
+    fn query<'a>(&'a self, front: usize, query: &'a SearchQuery) -> BoxFuture<'a, TierResponse>;
 
     /// Sends a non-idempotent request to entry point number `front`.
-    fn once<'a>(&'a self, front: usize, request: &'a OnceRequest) -> BoxFuture<'a, HeardAnswer>;
+    fn once<'a>(&'a self, front: usize, request: &'a OnceRequest) -> BoxFuture<'a, TierResponse>;
 }
 
 /// One entry host of the tier.
@@ -58,16 +58,16 @@
         Self { hosts, pools }
     }
 
-    async fn post<T: Serialize>(&self, front: usize, path: &str, body: &T) -> HeardAnswer {
-        let Some(pool) = self.pools.get(front) else { return HeardAnswer::NotSent };
+    async fn post<T: Serialize>(&self, front: usize, path: &str, body: &T) -> TierResponse {
+        let Some(pool) = self.pools.get(front) else { return TierResponse::NotSent };
         match pool.post(path, body).await {
             // The status repeats the outcome; the body is what counts.
             Ok((_, bytes)) => match serde_json::from_slice(&bytes) {
-                Ok(answer) => HeardAnswer::Answered(Box::new(answer)),
-                Err(_) => HeardAnswer::Cut,
+                Ok(answer) => TierResponse::Answered(Box::new(answer)),
+                Err(_) => TierResponse::ConnectionLost,
             },
-            Err(Error::Cut) => HeardAnswer::Cut,
-            Err(Error::Connect(_) | Error::Closed) => HeardAnswer::NotSent,
+            Err(Error::Cut) => TierResponse::ConnectionLost,
+            Err(Error::Connect(_) | Error::Closed) => TierResponse::NotSent,
         }
     }
 }
@@ -77,11 +77,11 @@
         self.hosts.iter().map(|host| host.name.clone()).collect()
     }
 
-    fn query<'a>(&'a self, front: usize, query: &'a SearchQuery) -> BoxFuture<'a, HeardAnswer> {
+    fn query<'a>(&'a self, front: usize, query: &'a SearchQuery) -> BoxFuture<'a, TierResponse> {
         Box::pin(self.post(front, "/v1/query", query))
     }
 
-    fn once<'a>(&'a self, front: usize, request: &'a OnceRequest) -> BoxFuture<'a, HeardAnswer> {
+    fn once<'a>(&'a self, front: usize, request: &'a OnceRequest) -> BoxFuture<'a, TierResponse> {
         Box::pin(self.post(front, "/v1/request", request))
     }
 }
--- a/crates/hawthorn-standin/src/proxy/network.rs
+++ b/crates/hawthorn-standin/src/proxy/network.rs
@@ -17,7 +17,7 @@
 
 /// Where one end of a link stands.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum NetworkPlace {
+pub enum NetworkLocation {
     /// An availability zone, with its hosts and targets.
     Zone(String),
     /// Callers.
@@ -26,7 +26,7 @@
     Platform,
 }
 
-impl NetworkPlace {
+impl NetworkLocation {
     /// The availability zone of that name.
     pub fn zone(name: &str) -> Self {
         Self::Zone(name.to_owned())
@@ -81,8 +81,8 @@
 
 #[derive(Debug)]
 struct NetworkLink {
-    from: NetworkPlace,
-    to: NetworkPlace,
+    from: NetworkLocation,
+    to: NetworkLocation,
     control: LinkControl,
     _proxy: LinkProxy,
 }
@@ -103,8 +103,8 @@
     /// A TCP address at which `from` reaches `upstream`, which stands at `to`.
     pub async fn link_tcp(
         &mut self,
-        from: NetworkPlace,
-        to: NetworkPlace,
+        from: NetworkLocation,
+        to: NetworkLocation,
         upstream: SocketAddr,
     ) -> Result<SocketAddr, Error> {
         let faults = self.usual(&from, &to);
@@ -118,8 +118,8 @@
     /// A UDP address at which `from` reaches `upstream`, which stands at `to`.
     pub async fn link_udp(
         &mut self,
-        from: NetworkPlace,
-        to: NetworkPlace,
+        from: NetworkLocation,
+        to: NetworkLocation,
         upstream: SocketAddr,
     ) -> Result<SocketAddr, Error> {
         let faults = self.usual(&from, &to);
@@ -134,8 +134,8 @@
     /// peer stands in the place of `sources` whose address it comes from.
     pub async fn link_host(
         &mut self,
-        to: NetworkPlace,
-        sources: &[(IpAddr, NetworkPlace)],
+        to: NetworkLocation,
+        sources: &[(IpAddr, NetworkLocation)],
     ) -> Result<HostLink, Error> {
         let mut by_source = HashMap::new();
         for (number, (source, from)) in sources.iter().enumerate() {
@@ -157,7 +157,7 @@
     }
 
     /// The handles of the links that lead from `from` to `to`.
-    pub fn controls(&self, from: &NetworkPlace, to: &NetworkPlace) -> Vec<LinkControl> {
+    pub fn controls(&self, from: &NetworkLocation, to: &NetworkLocation) -> Vec<LinkControl> {
         self.links
             .iter()
             .filter(|link| link.from == *from && link.to == *to)
@@ -166,13 +166,13 @@
     }
 
     /// Cuts `a` and `b` off from each other, both ways.
-    pub fn cut(&self, a: &NetworkPlace, b: &NetworkPlace) {
+    pub fn cut(&self, a: &NetworkLocation, b: &NetworkLocation) {
         self.cut_one_way(a, b);
         self.cut_one_way(b, a);
     }
 
     /// Lets nothing pass from `a` to `b`; the other way stays open.
-    pub fn cut_one_way(&self, a: &NetworkPlace, b: &NetworkPlace) {
+    pub fn cut_one_way(&self, a: &NetworkLocation, b: &NetworkLocation) {
         for link in &self.links {
             if link.from == *a && link.to == *b {
                 link.control.set_faults(|faults| faults.cut_forward = true);
@@ -185,8 +185,9 @@
 
     /// Cuts every two places that stand in different groups. A place in no
     /// group keeps all its links.
-    pub fn partition(&self, groups: &[&[NetworkPlace]]) {
-        let group_of = |place: &NetworkPlace| groups.iter().position(|group| group.contains(place));
+    pub fn partition(&self, groups: &[&[NetworkLocation]]) {
+        let group_of =
+            |place: &NetworkLocation| groups.iter().position(|group| group.contains(place));
         for link in &self.links {
             let apart = match (group_of(&link.from), group_of(&link.to)) {
                 (Some(from), Some(to)) => from != to,
@@ -204,7 +205,7 @@
     /// Cuts every place off from the platform.
     pub fn cut_platform(&self) {
         for link in &self.links {
-            if link.to == NetworkPlace::Platform || link.from == NetworkPlace::Platform {
+            if link.to == NetworkLocation::Platform || link.from == NetworkLocation::Platform {
                 link.control.set_faults(|faults| {
                     faults.cut_forward = true;
                     faults.cut_backward = true;
@@ -225,10 +226,14 @@
         self.options.seed.wrapping_add(self.links.len() as u64)
     }
 
-    fn usual(&self, from: &NetworkPlace, to: &NetworkPlace) -> LinkFaults {
+    fn usual(&self, from: &NetworkLocation, to: &NetworkLocation) -> LinkFaults {
         let latency = match (from, to) {
-            (NetworkPlace::Platform, _) | (_, NetworkPlace::Platform) => self.options.to_platform,
-            (NetworkPlace::Clients, _) | (_, NetworkPlace::Clients) => self.options.to_clients,
+            (NetworkLocation::Platform, _) | (_, NetworkLocation::Platform) => {
+                self.options.to_platform
+            }
+            (NetworkLocation::Clients, _) | (_, NetworkLocation::Clients) => {
+                self.options.to_clients
+            }
             (a, b) if a == b => Duration::ZERO,
             _ => self.options.between_zones,
         };
--- a/crates/hawthorn-standin/src/route/mod.rs
+++ b/crates/hawthorn-standin/src/route/mod.rs
@@ -5,7 +5,7 @@
 pub mod store;
 pub mod target;
 mod wire;
-pub mod words;
+pub mod headers;
 
 pub use store::RouteStore;
 pub use target::RouteTarget;
--- a/crates/hawthorn-standin/src/route/operator.rs
+++ b/crates/hawthorn-standin/src/route/operator.rs
@@ -22,14 +22,14 @@
 }
 
 /// A route over shards.
-pub fn gathered(prefix: &str, shards: &[&str], least: f64) -> Value {
+pub fn scatter_gather(prefix: &str, shards: &[&str], least: f64) -> Value {
     json!({ "name": format!("r{prefix}"), "host": HOST, "prefix": prefix,
             "routeType": "safe", "timeoutMs": 1500, "targetLatencyMs": 400, "priority": 1,
             "fanoutServices": shards, "maxAttempts": 2, "topK": 4, "minShardFraction": least })
 }
 
 /// The same route, with requests allowed in some regions only.
-pub fn at_home(mut route: Value, regions: &[&str]) -> Value {
+pub fn with_allowed_regions(mut route: Value, regions: &[&str]) -> Value {
     route["allowedRegions"] = json!(regions);
     route
 }
@@ -40,7 +40,7 @@
 }
 
 /// Writes a version of the configuration in which heads may take so many milliseconds.
-pub fn configure_heads(
+pub fn configure_header_timeout(
     store: &RouteStore,
     version: u64,
     routes: &[Value],
@@ -72,7 +72,7 @@
 
 /// Requests that nothing more be sent to the targets of a zone.
 pub fn evacuate(store: &RouteStore, zone: &str) {
-    scribble_evacuation(store, zone, b"{}");
+    put_raw_evacuation(store, zone, b"{}");
 }
 
 /// Takes the evacuation of a zone back.
@@ -81,7 +81,7 @@
 }
 
 /// Writes any bytes as the evacuation of a zone.
-pub fn scribble_evacuation(store: &RouteStore, zone: &str, value: &[u8]) {
+pub fn put_raw_evacuation(store: &RouteStore, zone: &str, value: &[u8]) {
     store.put(&evacuation_key(zone), value);
 }
 
@@ -104,7 +104,7 @@
 
 /// Writes a version of the configuration whose services' cold targets tolerate so many
 /// requests a second.
-pub fn configure_cold(
+pub fn configure_cold_rate(
     store: &RouteStore,
     version: u64,
     routes: &[Value],
@@ -133,12 +133,12 @@
 }
 
 /// Writes an entry that is no target's.
-pub fn scribble(store: &RouteStore, id: &str, value: &[u8]) {
+pub fn put_raw_entry(store: &RouteStore, id: &str, value: &[u8]) {
     store.put(&entry_key(id), value);
 }
 
 /// Writes a configuration that is none.
-pub fn scribble_document(store: &RouteStore, value: &[u8]) {
+pub fn put_raw_configuration(store: &RouteStore, value: &[u8]) {
     store.put(DOCUMENT_KEY, value);
 }
 
--- a/crates/hawthorn-standin/src/route/store.rs
+++ b/crates/hawthorn-standin/src/route/store.rs
@@ -35,9 +35,9 @@
     #[default]
     None,
     /// It answers 503 to every call.
-    Busy,
+    Unavailable,
     /// It takes calls and answers none.
-    Silent,
+    Hang,
 }
 
 #[derive(Debug, Default)]
@@ -133,12 +133,12 @@
     }
 
     /// Answers nothing more to hosts whose watches wait now; others are served.
-    pub fn silence_callers(&self) {
+    pub fn hang_watchers(&self) {
         self.change(|state| state.silenced = state.watchers.iter().copied().collect());
     }
 
     /// Watches that wait.
-    pub fn watching(&self) -> usize {
+    pub fn waiting_watches(&self) -> usize {
         self.shared.state.lock().expect("no holder of the lock panics").watchers.len()
     }
 
@@ -167,12 +167,12 @@
                 watching = true;
             }
             let silenced = caller.is_some_and(|caller| state.silenced.contains(&caller));
-            if silenced { RouteOutage::Silent } else { state.outage }
+            if silenced { RouteOutage::Hang } else { state.outage }
         };
         let answer = match outage {
             RouteOutage::None => respond(&request, &shared).await,
-            RouteOutage::Busy => wire::answer(503, &[], b""),
-            RouteOutage::Silent => std::future::pending().await,
+            RouteOutage::Unavailable => wire::answer(503, &[], b""),
+            RouteOutage::Hang => std::future::pending().await,
         };
         let silenced = {
             let mut state = shared.state.lock().expect("no holder of the lock panics");
--- a/crates/hawthorn-standin/src/route/target.rs
+++ b/crates/hawthorn-standin/src/route/target.rs
@@ -15,10 +15,10 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::sync::DropGuard;
 
+use super::headers;
 use super::operator;
 use super::wire;
 use super::wire::WireRequest;
-use super::words;
 
 /// Delay between attempts to rebind the listener.
 const REBIND_DELAY: Duration = Duration::from_millis(5);
@@ -27,28 +27,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetFault {
     /// It says that it is full and did not run it.
-    Full,
+    Rejected,
     /// It runs it and breaks the connection off.
-    Break,
+    Disconnect,
     /// It runs it and answers nothing.
-    Mute,
+    NoAnswer,
     /// It runs it and answers half of what it announced.
-    Half,
+    Truncated,
     /// It runs it and answers with another request's id.
-    Crossed,
+    WrongAttemptId,
     /// It runs it, answers, and sends the answer a second time.
-    Twice,
+    DuplicateAnswer,
     /// It runs it and answers without a length, ending with the connection.
-    Unframed,
+    NoContentLength,
     /// It runs it and answers with a failure of its own.
-    Fail,
+    ServerError,
     /// It runs it, and is so long about it.
     Slow(Duration),
     /// It runs it and answers with so many bytes, the second half of them later
     /// by the time.
-    Long(usize, Duration),
+    SlowBody(usize, Duration),
     /// It runs it, announces so many bytes, and breaks off after half of them.
-    LongHalf(usize),
+    TruncatedBody(usize),
 }
 
 #[derive(Debug)]
@@ -232,16 +232,16 @@
             let always = state.always;
             (state.faults.pop_front().or(always), state.id.clone())
         };
-        let expected = request.header(words::EXPECTED_TARGET);
+        let expected = request.header(headers::EXPECTED_TARGET);
         if expected.is_some_and(|expected| expected != id) {
-            let names = [(words::TARGET_ID, id)];
+            let names = [(headers::TARGET_ID, id)];
             if stream.write_all(&wire::answer(421, &names, b"")).await.is_err() {
                 return;
             }
             continue;
         }
-        if fault == Some(TargetFault::Full) {
-            let says = [(words::NOT_RUN, "1".to_owned())];
+        if fault == Some(TargetFault::Rejected) {
+            let says = [(headers::NOT_RUN, "1".to_owned())];
             if stream.write_all(&wire::answer(503, &says, b"")).await.is_err() {
                 return;
             }
@@ -269,8 +269,8 @@
 
 fn note_run(state: &Mutex<TargetState>, request: &WireRequest) {
     let mut state = state.lock().expect("no holder of the lock panics");
-    let attempt = request.header(words::ATTEMPT_ID).unwrap_or("-").to_owned();
-    if let Some(left) = request.header(words::TIME_LEFT) {
+    let attempt = request.header(headers::ATTEMPT_ID).unwrap_or("-").to_owned();
+    if let Some(left) = request.header(headers::TIME_LEFT) {
         state.times_left.insert(attempt.clone(), left.to_owned());
     }
     *state.runs.entry(attempt).or_default() += 1;
@@ -298,31 +298,31 @@
             }
         }
     }
-    let attempt = request.header(words::ATTEMPT_ID).unwrap_or("-");
-    let echoed = if fault == Some(TargetFault::Crossed) { "another" } else { attempt };
+    let attempt = request.header(headers::ATTEMPT_ID).unwrap_or("-");
+    let echoed = if fault == Some(TargetFault::WrongAttemptId) { "another" } else { attempt };
     let headers = [
-        (words::RECEIPT, format!("{id}.{attempt}")),
-        (words::ATTEMPT_ID, echoed.to_owned()),
-        (words::LOAD, "1,0,2".to_owned()),
+        (headers::RECEIPT, format!("{id}.{attempt}")),
+        (headers::ATTEMPT_ID, echoed.to_owned()),
+        (headers::LOAD, "1,0,2".to_owned()),
     ];
     let body = records(&service);
-    let status = if fault == Some(TargetFault::Fail) { 500 } else { 200 };
+    let status = if fault == Some(TargetFault::ServerError) { 500 } else { 200 };
     let answer = wire::answer(status, &headers, &body);
     let sent = match fault {
-        Some(TargetFault::Break) => return false,
-        Some(TargetFault::Mute) => std::future::pending().await,
-        Some(TargetFault::Half) => {
+        Some(TargetFault::Disconnect) => return false,
+        Some(TargetFault::NoAnswer) => std::future::pending().await,
+        Some(TargetFault::Truncated) => {
             // The connection ends with this function's caller.
             let _sent = stream.write_all(&answer[..answer.len() - body.len() / 2]).await;
             return false;
         }
-        Some(TargetFault::Unframed) => {
+        Some(TargetFault::NoContentLength) => {
             let text = String::from_utf8_lossy(&answer).into_owned();
             let unframed = text.replacen("Content-Length", "X-Length", 1);
             let _sent = stream.write_all(unframed.as_bytes()).await;
             return false;
         }
-        Some(TargetFault::Long(bytes, pause)) => {
+        Some(TargetFault::SlowBody(bytes, pause)) => {
             let answer = wire::answer(200, &headers, &vec![b'x'; bytes]);
             let (first, second) = answer.split_at(answer.len() / 2);
             if stream.write_all(first).await.is_err() {
@@ -331,12 +331,14 @@
             sleep(pause).await;
             stream.write_all(second).await
         }
-        Some(TargetFault::LongHalf(bytes)) => {
+        Some(TargetFault::TruncatedBody(bytes)) => {
             let answer = wire::answer(200, &headers, &vec![b'x'; bytes]);
             let _sent = stream.write_all(&answer[..answer.len() / 2]).await;
             return false;
         }
-        Some(TargetFault::Twice) => stream.write_all(&[&answer[..], &answer].concat()).await,
+        Some(TargetFault::DuplicateAnswer) => {
+            stream.write_all(&[&answer[..], &answer].concat()).await
+        }
         _ => stream.write_all(&answer).await,
     };
     sent.is_ok()
--- a/crates/hawthorn-standin/src/target/control.rs
+++ b/crates/hawthorn-standin/src/target/control.rs
@@ -24,7 +24,7 @@
 use super::state::TargetCounters;
 use crate::corpus::Corpus;
 use crate::history::HistoryEvent;
-use crate::load::stage::TargetSlowness;
+use crate::load::environment::TargetSlowness;
 use crate::timer;
 
 /// Changes and reads a running target. Clones share the target.
@@ -143,7 +143,7 @@
 
     /// Holds back every attempt that has a slot until told otherwise, so that a
     /// test can act while attempts run, however slow the machine is.
-    pub fn hold_back(&self, held_back: bool) {
+    pub fn set_paused(&self, held_back: bool) {
         self.shared.held_back.send_replace(held_back);
     }
 
@@ -190,7 +190,7 @@
 
     /// Lets it drain by itself, whatever intent says, as before a planned stop
     /// by the platform; or lets it go on.
-    pub fn set_leaving(&self, leaving: bool) {
+    pub fn set_draining(&self, leaving: bool) {
         self.change_leaving(|state, _now| state.leaving = leaving);
     }
 
--- a/crates/hawthorn-standin/src/target/faults.rs
+++ b/crates/hawthorn-standin/src/target/faults.rs
@@ -12,7 +12,7 @@
     /// `/state` says this instead of the truth.
     pub state_lie: Option<StateLie>,
     /// The next so many searches get another request's answer.
-    pub crossed_answers: u32,
+    pub mismatched_answers: u32,
     /// The next so many searches get an answer padded by
     /// [`oversized_bytes`](Self::oversized_bytes).
     pub oversized_answers: u32,
@@ -23,7 +23,7 @@
     /// The next so many runs run and answer 500.
     pub failed_runs: u32,
     /// The next so many searches get bytes that are not the contract's JSON.
-    pub garbled_answers: u32,
+    pub malformed_answers: u32,
     /// `/cancel` is accepted and has no effect.
     pub ignore_cancel: bool,
     /// `/intent` is accepted and has no effect.
@@ -36,12 +36,12 @@
             shedding: false,
             slow_factor: 1.0,
             state_lie: None,
-            crossed_answers: 0,
+            mismatched_answers: 0,
             oversized_answers: 0,
             oversized_bytes: 16 << 20,
             lost_answers: 0,
             failed_runs: 0,
-            garbled_answers: 0,
+            malformed_answers: 0,
             ignore_cancel: false,
             ignore_intent: false,
         }
--- a/crates/hawthorn-standin/src/target/serving.rs
+++ b/crates/hawthorn-standin/src/target/serving.rs
@@ -208,11 +208,11 @@
     if use_up(&mut state.faults.lost_answers) {
         return Err(Unanswered::Lost);
     }
-    if use_up(&mut state.faults.crossed_answers) {
+    if use_up(&mut state.faults.mismatched_answers) {
         let crossed = earlier.unwrap_or_else(|| of_another_request(answer));
         return Ok(wire::json(StatusCode::OK, &crossed));
     }
-    if use_up(&mut state.faults.garbled_answers) {
+    if use_up(&mut state.faults.malformed_answers) {
         let garbled = Bytes::from_static(b"{\"request\":");
         return Ok(Response::new(Full::new(garbled)));
     }
--- a/crates/hawthorn-standin/tests/bytes.rs
+++ b/crates/hawthorn-standin/tests/bytes.rs
@@ -15,7 +15,7 @@
 use hawthorn_standin::load::QueryTier;
 use hawthorn_standin::load::inventory::TargetInventory;
 use hawthorn_standin::load::tier::EntryHost;
-use hawthorn_standin::load::tier::HeardAnswer;
+use hawthorn_standin::load::tier::TierResponse;
 use hawthorn_types::SearchQuery;
 use hyper::Method;
 use proptest::prelude::any;
@@ -135,11 +135,11 @@
         let address = canned(format!("{head}{}", case.answer).into_bytes()).await?;
         let tier = HttpTier::new(vec![EntryHost { name: "entry-1".to_owned(), address }], 4);
         let heard = tier.query(0, &query).await;
-        assert_eq!(matches!(heard, HeardAnswer::Answered(_)), case.answered, "{}", case.name);
+        assert_eq!(matches!(heard, TierResponse::Answered(_)), case.answered, "{}", case.name);
     }
     // Nothing listens on this port of the loopback interface.
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let tier = HttpTier::new(vec![EntryHost { name: "entry-1".to_owned(), address }], 4);
-    assert_eq!(tier.query(0, &query).await, HeardAnswer::NotSent);
+    assert_eq!(tier.query(0, &query).await, TierResponse::NotSent);
     Ok(())
 }
--- a/crates/hawthorn-standin/tests/check.rs
+++ b/crates/hawthorn-standin/tests/check.rs
@@ -150,7 +150,7 @@
 }
 
 fn stop_began() -> HistoryEvent {
-    HistoryEvent::StopBegan { daemon: "entry-1".to_owned() }
+    HistoryEvent::StopStarted { daemon: "entry-1".to_owned() }
 }
 
 const NOT_RUN: CallerOutcome = CallerOutcome::NotRun(RefusalReason::QueueFull);
@@ -210,7 +210,7 @@
             events: vec![
                 once_sent(1, "1-a"),
                 run_phase(1, "1-a", WorkPhase::Started),
-                HistoryEvent::Cut { send: 1 },
+                HistoryEvent::ConnectionLost { send: 1 },
                 once_sent(2, "1-a"),
                 once_answered(2, "1-a", LOST),
             ],
@@ -229,7 +229,7 @@
                 HistoryEvent::Started { daemon: "entry-1".to_owned() },
                 query_sent(1),
                 HistoryEvent::Killed { daemon: "entry-1".to_owned() },
-                HistoryEvent::Cut { send: 1 },
+                HistoryEvent::ConnectionLost { send: 1 },
             ],
             broken: vec![],
         },
@@ -340,7 +340,7 @@
             events: vec![
                 once_sent(1, "1-a"),
                 run_phase(1, "1-a", WorkPhase::Started),
-                HistoryEvent::Cut { send: 1 },
+                HistoryEvent::ConnectionLost { send: 1 },
                 once_sent(2, "1-a"),
                 run_phase(2, "1-a", WorkPhase::Started),
             ],
@@ -369,7 +369,7 @@
             events: vec![
                 once_sent(1, "1-a"),
                 run_phase(1, "1-a", WorkPhase::Started),
-                HistoryEvent::Cut { send: 1 },
+                HistoryEvent::ConnectionLost { send: 1 },
                 once_sent(2, "1-a"),
                 once_answered(2, "1-a", NOT_RUN),
             ],
@@ -421,7 +421,7 @@
         },
         HistoryCase {
             name: "a planned stop cuts a request off",
-            events: vec![query_sent(1), stop_began(), HistoryEvent::Cut { send: 1 }],
+            events: vec![query_sent(1), stop_began(), HistoryEvent::ConnectionLost { send: 1 }],
             broken: vec![BrokenPromise::RequestCutOff],
         },
     ]
--- a/crates/hawthorn-standin/tests/check_targets.rs
+++ b/crates/hawthorn-standin/tests/check_targets.rs
@@ -54,11 +54,11 @@
         let reply = support::post(target.address(), "/run", &support::run(attempt)).await?;
         assert_eq!(reply.status, 503);
     }
-    let options = check::Options { leaving_grace: Duration::ZERO, ..check::Options::default() };
+    let options = check::Options { drain_grace: Duration::ZERO, ..check::Options::default() };
     let found = check::check(&history.records(), &options);
     let found: Vec<BrokenPromise> = found.iter().map(|violation| violation.promise).collect();
     assert_eq!(found, [BrokenPromise::WorkToLeaving; 2]);
-    let patient = check::Options { leaving_grace: Duration::MAX, ..options };
+    let patient = check::Options { drain_grace: Duration::MAX, ..options };
     assert_eq!(check::check(&history.records(), &patient), []);
     Ok(())
 }
--- a/crates/hawthorn-standin/tests/load.rs
+++ b/crates/hawthorn-standin/tests/load.rs
@@ -17,16 +17,16 @@
 use hawthorn_standin::history::HistoryEvent;
 use hawthorn_standin::load;
 use hawthorn_standin::load::DaemonControl;
-use hawthorn_standin::load::DeploymentStage;
+use hawthorn_standin::load::DeploymentEnvironment;
+use hawthorn_standin::load::LoadEnvironment;
 use hawthorn_standin::load::LoadReport;
 use hawthorn_standin::load::LoadScenario;
-use hawthorn_standin::load::LoadStage;
 use hawthorn_standin::load::NaiveTier;
 use hawthorn_standin::load::QueryTier;
-use hawthorn_standin::load::RemoteStage;
+use hawthorn_standin::load::RemoteEnvironment;
 use hawthorn_standin::load::inventory::TargetInventory;
 use hawthorn_standin::load::schedule::ScheduleOptions;
-use hawthorn_standin::load::tier::HeardAnswer;
+use hawthorn_standin::load::tier::TierResponse;
 use hawthorn_types::AnswerCoverage;
 use hawthorn_types::CallerAnswer;
 use hawthorn_types::CallerOutcome;
@@ -82,7 +82,7 @@
         Arc::new(Self { conduct, once_ids: Mutex::default() })
     }
 
-    fn answer(&self, request_id: Option<String>) -> HeardAnswer {
+    fn answer(&self, request_id: Option<String>) -> TierResponse {
         let mut answer = CallerAnswer {
             request: format!("{:032x}", 1),
             request_id,
@@ -106,10 +106,10 @@
                     Some(AnswerCoverage { fraction: 1.0, covered, missing: Vec::new() });
             }
             FakeConduct::CrossAnswers => answer.request_id = Some("another".to_owned()),
-            FakeConduct::Cut => return HeardAnswer::Cut,
-            FakeConduct::NotSent => return HeardAnswer::NotSent,
+            FakeConduct::Cut => return TierResponse::ConnectionLost,
+            FakeConduct::NotSent => return TierResponse::NotSent,
         }
-        HeardAnswer::Answered(Box::new(answer))
+        TierResponse::Answered(Box::new(answer))
     }
 }
 
@@ -118,11 +118,11 @@
         vec!["entry-1".to_owned(), "entry-2".to_owned()]
     }
 
-    fn query<'a>(&'a self, _front: usize, query: &'a SearchQuery) -> BoxFuture<'a, HeardAnswer> {
+    fn query<'a>(&'a self, _front: usize, query: &'a SearchQuery) -> BoxFuture<'a, TierResponse> {
         ready(self.answer(query.request_id.clone())).boxed()
     }
 
-    fn once<'a>(&'a self, _front: usize, request: &'a OnceRequest) -> BoxFuture<'a, HeardAnswer> {
+    fn once<'a>(&'a self, _front: usize, request: &'a OnceRequest) -> BoxFuture<'a, TierResponse> {
         if let Ok(mut once_ids) = self.once_ids.lock() {
             once_ids.push(request.request_id.clone());
         }
@@ -169,8 +169,8 @@
     ];
     for case in cases {
         let deployment = StandinDeployment::start(small()).await?;
-        let stage = DeploymentStage::new(&deployment);
-        let options = options(LoadScenario::Calm, &deployment);
+        let stage = DeploymentEnvironment::new(&deployment);
+        let options = options(LoadScenario::Steady, &deployment);
         let tier = FakeTier::new(case.conduct);
         let report = load::run("fake", tier, &stage, None, &options).await?;
         assert!(report.offered > 0 && (case.holds)(&report), "{:?}: {report:?}", case.conduct);
@@ -187,8 +187,8 @@
 #[tokio::test]
 async fn a_lost_request_is_sent_again_unchanged() -> TestResult {
     let deployment = StandinDeployment::start(small()).await?;
-    let stage = DeploymentStage::new(&deployment);
-    let mut options = options(LoadScenario::Calm, &deployment);
+    let stage = DeploymentEnvironment::new(&deployment);
+    let mut options = options(LoadScenario::Steady, &deployment);
     options.schedule.once_share = 1.0;
     let tier = FakeTier::new(FakeConduct::Cut);
     let report = load::run("fake", Arc::clone(&tier) as Arc<dyn QueryTier>, &stage, None, &options);
@@ -208,8 +208,8 @@
 #[tokio::test]
 async fn the_naive_client_is_honest_and_within_limits() -> TestResult {
     let deployment = StandinDeployment::start(small()).await?;
-    let stage = DeploymentStage::new(&deployment);
-    let mut options = options(LoadScenario::Calm, &deployment);
+    let stage = DeploymentEnvironment::new(&deployment);
+    let mut options = options(LoadScenario::Steady, &deployment);
     options.schedule.once_share = 0.2;
     let naive = Arc::new(NaiveTier::of_deployment(&deployment, 1));
     let report = load::run("naive", naive, &stage, None, &options).await?;
@@ -230,8 +230,8 @@
     for target in deployment.targets.iter().filter(|target| holds(&target.shards)) {
         target.standin.control().set_wanted(DesiredState::Drain);
     }
-    let stage = DeploymentStage::new(&deployment);
-    let options = options(LoadScenario::Calm, &deployment);
+    let stage = DeploymentEnvironment::new(&deployment);
+    let options = options(LoadScenario::Steady, &deployment);
     let naive = Arc::new(NaiveTier::of_deployment(&deployment, 1));
     let report = load::run("naive", naive, &stage, None, &options).await?;
     assert_eq!((report.complete, report.coverage_mean), (0, 0.75));
@@ -242,7 +242,7 @@
 #[tokio::test]
 async fn both_arms_of_a_comparison_get_the_same_schedule() -> TestResult {
     let deployment = StandinDeployment::start(small()).await?;
-    let stage = DeploymentStage::new(&deployment);
+    let stage = DeploymentEnvironment::new(&deployment);
     let options = options(LoadScenario::Stragglers, &deployment);
     let tier = FakeTier::new(FakeConduct::Refuse);
     let naive = Arc::new(NaiveTier::of_deployment(&deployment, 1));
@@ -297,11 +297,11 @@
             stops: 2,
         },
         DaemonCase { scenario: LoadScenario::ZoneCut, calls: &["cut true", "cut false"], stops: 0 },
-        DaemonCase { scenario: LoadScenario::Calm, calls: &[], stops: 0 },
+        DaemonCase { scenario: LoadScenario::Steady, calls: &[], stops: 0 },
     ];
     for case in cases {
         let deployment = StandinDeployment::start(small()).await?;
-        let stage = DeploymentStage::new(&deployment);
+        let stage = DeploymentEnvironment::new(&deployment);
         let options = options(case.scenario, &deployment);
         let daemons = FakeDaemons::default();
         let tier = FakeTier::new(FakeConduct::Refuse);
@@ -309,7 +309,7 @@
         let calls = daemons.calls.lock().map_err(|_| "a call panicked")?;
         assert_eq!(*calls, case.calls, "{}", case.scenario);
         let records = options.history.records();
-        let stop = |event: &HistoryEvent| matches!(event, HistoryEvent::StopBegan { .. });
+        let stop = |event: &HistoryEvent| matches!(event, HistoryEvent::StopStarted { .. });
         let stops = records.iter().filter(|record| stop(&record.event)).count();
         assert_eq!(stops, case.stops, "{}", case.scenario);
     }
@@ -319,7 +319,7 @@
 #[tokio::test]
 async fn a_scenario_that_stops_daemons_needs_control_of_them() -> TestResult {
     let deployment = StandinDeployment::start(small()).await?;
-    let stage = DeploymentStage::new(&deployment);
+    let stage = DeploymentEnvironment::new(&deployment);
     let options = options(LoadScenario::ZoneCut, &deployment);
     let tier = FakeTier::new(FakeConduct::Refuse);
     let ran = load::run("fake", tier, &stage, None, &options).await;
@@ -331,14 +331,14 @@
 async fn targets_of_another_process_are_reached_by_the_inventory() -> TestResult {
     let deployment = StandinDeployment::start(small()).await?;
     let inventory = TargetInventory::parse(&deployment.inventory_toml())?;
-    let stage = RemoteStage::new(&inventory);
+    let stage = RemoteEnvironment::new(&inventory);
     stage.begin(LoadScenario::OneSlowTarget).await;
     assert_eq!(slow_factors(&deployment), [10.0, 1.0]);
     stage.end().await;
     assert_eq!(slow_factors(&deployment), [1.0, 1.0]);
     let naive = NaiveTier::new(inventory.known_services()?, IndexVersion(1), 1);
     let heard = naive.query(0, &everything()).await;
-    let HeardAnswer::Answered(answer) = heard else { return Err("no answer".into()) };
+    let TierResponse::Answered(answer) = heard else { return Err("no answer".into()) };
     assert_eq!(answer.coverage.map(|coverage| coverage.fraction), Some(1.0));
     assert_eq!(stage.attempts(support::SERVICE).await, 4);
     assert_eq!(stage.shards(support::SERVICE), 4);
--- a/crates/hawthorn-standin/tests/load_report.rs
+++ b/crates/hawthorn-standin/tests/load_report.rs
@@ -35,7 +35,7 @@
 #[test]
 fn scenarios_offer_their_part_of_the_capacity() {
     let cases = [
-        RateCase { scenario: LoadScenario::Calm, drawn: 3_700..4_300, first: 1_200..1_470 },
+        RateCase { scenario: LoadScenario::Steady, drawn: 3_700..4_300, first: 1_200..1_470 },
         RateCase { scenario: LoadScenario::Burst, drawn: 6_200..7_000, first: 2_000..2_400 },
         RateCase { scenario: LoadScenario::Flood, drawn: 22_000..23_400, first: 19_400..20_600 },
         RateCase { scenario: LoadScenario::Saturation, drawn: 14_500..15_500, first: 4_700..5_300 },
--- a/crates/hawthorn-standin/tests/proxy.rs
+++ b/crates/hawthorn-standin/tests/proxy.rs
@@ -11,8 +11,8 @@
 
 use hawthorn_standin::proxy::DripRate;
 use hawthorn_standin::proxy::LinkFaults;
+use hawthorn_standin::proxy::NetworkLocation;
 use hawthorn_standin::proxy::NetworkOptions;
-use hawthorn_standin::proxy::NetworkPlace;
 use hawthorn_standin::proxy::StandinNetwork;
 use hawthorn_standin::proxy::TcpProxy;
 use hawthorn_standin::proxy::UdpProxy;
@@ -266,11 +266,11 @@
 /// is out of reach for all.
 #[tokio::test]
 async fn partitions_cut_by_place_and_heal() -> TestResult {
-    let kurasini = NetworkPlace::zone("kurasini");
-    let kigamboni = NetworkPlace::zone("kigamboni");
-    let mbagala = NetworkPlace::zone("mbagala");
+    let kurasini = NetworkLocation::zone("kurasini");
+    let kigamboni = NetworkLocation::zone("kigamboni");
+    let mbagala = NetworkLocation::zone("mbagala");
     let mut network = StandinNetwork::new(NetworkOptions::dar_port());
-    let places = [&kigamboni, &mbagala, &NetworkPlace::Platform];
+    let places = [&kigamboni, &mbagala, &NetworkLocation::Platform];
     let mut streams = Vec::new();
     for place in places {
         let address = network.link_tcp(kurasini.clone(), place.clone(), echo().await?).await?;
@@ -297,9 +297,9 @@
 /// lies between two zones, and the host has one address for all.
 #[tokio::test]
 async fn a_host_is_cut_off_by_where_its_peer_stands() -> TestResult {
-    let near = (IpAddr::from([127, 0, 0, 1]), NetworkPlace::zone("kurasini"));
-    let far = (IpAddr::from([127, 0, 0, 2]), NetworkPlace::zone("kigamboni"));
-    let host = NetworkPlace::zone("mbagala");
+    let near = (IpAddr::from([127, 0, 0, 1]), NetworkLocation::zone("kurasini"));
+    let far = (IpAddr::from([127, 0, 0, 2]), NetworkLocation::zone("kigamboni"));
+    let host = NetworkLocation::zone("mbagala");
     let mut network = StandinNetwork::new(NetworkOptions::dar_port());
     let link = network.link_host(host.clone(), &[near.clone(), far.clone()]).await?;
     link.set_upstream(echo().await?);
--- a/crates/hawthorn-standin/tests/target.rs
+++ b/crates/hawthorn-standin/tests/target.rs
@@ -52,7 +52,7 @@
         RefusalCase {
             name: "leaving by itself although intent says serve",
             prepare: |target| {
-                target.control().set_leaving(true);
+                target.control().set_draining(true);
                 target.control().set_wanted(DesiredState::Serve);
             },
             status: 503,
@@ -170,7 +170,7 @@
 #[tokio::test]
 async fn a_run_that_began_is_never_cancelled() -> TestResult {
     let target = TargetStandin::start(support::options()).await?;
-    target.control().hold_back(true);
+    target.control().set_paused(true);
     let address = target.address();
     let sent = tokio::spawn(async move {
         let mut request = support::run(1);
@@ -180,7 +180,7 @@
     });
     support::until(|| target.control().counters().busy == 1).await?;
     support::post(address, "/cancel", &support::cancel(1)).await?;
-    target.control().hold_back(false);
+    target.control().set_paused(false);
     assert_eq!(sent.await?, 200);
     assert_eq!(target.control().counters().runs, 1);
     Ok(())
--- a/crates/hawthorn-standin/tests/target_answers.rs
+++ b/crates/hawthorn-standin/tests/target_answers.rs
@@ -48,7 +48,7 @@
     let cases = [
         AnswerCase {
             name: "crossed",
-            fault: |faults| faults.crossed_answers = 1,
+            fault: |faults| faults.mismatched_answers = 1,
             wrong: |reply| {
                 let answer = reply.and_then(|reply| reply.json::<ShardAnswer>());
                 answer.is_ok_and(|answer| answer.attempt != 1)
@@ -56,7 +56,7 @@
         },
         AnswerCase {
             name: "garbled",
-            fault: |faults| faults.garbled_answers = 1,
+            fault: |faults| faults.malformed_answers = 1,
             wrong: |reply| reply.is_ok_and(|reply| reply.json::<ShardAnswer>().is_err()),
         },
         AnswerCase {
@@ -107,7 +107,7 @@
 #[tokio::test]
 async fn repartition_during_a_search_shows_in_the_answer() -> TestResult {
     let old = TargetStandin::start(support::options()).await?;
-    old.control().hold_back(true);
+    old.control().set_paused(true);
     let new =
         TargetStandin::start(TargetOptions { held: Vec::new(), ..support::options() }).await?;
     let address = old.address();
@@ -118,7 +118,7 @@
     support::until(|| old.control().counters().busy == 1).await?;
     let upper = KeyRange::new(KEY_SPACE / 2, KEY_SPACE);
     old.control().repartition(SERVICE, upper, new.control());
-    old.control().hold_back(false);
+    old.control().set_paused(false);
     let answer = sent.await?.ok_or("the search was not answered")?;
     assert_eq!(answer.searched, RangeSet::from(KeyRange::new(0, KEY_SPACE / 2)));
 
@@ -138,14 +138,14 @@
 #[tokio::test]
 async fn a_lost_target_closes_connections_and_comes_back() -> TestResult {
     let target = TargetStandin::start(support::options()).await?;
-    target.control().hold_back(true);
+    target.control().set_paused(true);
     let running = tokio::spawn(support::open_search(target.address(), 1));
     support::until(|| target.control().counters().busy == 1).await?;
     target.control().set_down(true);
     assert_eq!(running.await?, 0);
     assert_eq!(support::open_search(target.address(), 2).await, 0);
     target.control().set_down(false);
-    target.control().hold_back(false);
+    target.control().set_paused(false);
     assert_eq!(support::open_search(target.address(), 3).await, 200);
     Ok(())
 }
--- a/examples/tier-cost/latency.rs
+++ b/examples/tier-cost/latency.rs
@@ -6,7 +6,7 @@
 
 use hawthorn_standin::load::NaiveTier;
 use hawthorn_standin::load::QueryTier;
-use hawthorn_standin::load::tier::HeardAnswer;
+use hawthorn_standin::load::tier::TierResponse;
 use hawthorn_types::SearchQuery;
 
 use crate::report::CostReport;
@@ -111,7 +111,7 @@
     let response = tier.query(0, query).await;
     let elapsed = started.elapsed();
     match response {
-        HeardAnswer::Answered(answer) if is_complete(&answer) => Ok(stats::ms(elapsed)),
+        TierResponse::Answered(answer) if is_complete(&answer) => Ok(stats::ms(elapsed)),
         other => Err(format!("not a complete answer: {other:?}").into()),
     }
 }
--- a/examples/tier-cost/takeover.rs
+++ b/examples/tier-cost/takeover.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use hawthorn_standin::load::QueryTier;
-use hawthorn_standin::load::tier::HeardAnswer;
+use hawthorn_standin::load::tier::TierResponse;
 use hawthorn_types::SearchQuery;
 use tokio::sync::watch;
 
@@ -135,7 +135,7 @@
     let mut answers = Vec::new();
     while !*stopped.borrow() {
         let response = tier.query(ENTRY_HOST, &query).await;
-        let complete = matches!(response, HeardAnswer::Answered(answer) if is_complete(&answer));
+        let complete = matches!(response, TierResponse::Answered(answer) if is_complete(&answer));
         answers.push((Instant::now(), complete));
         tokio::time::sleep(POLL_INTERVAL).await;
     }
--- a/examples/tier-cost/throughput.rs
+++ b/examples/tier-cost/throughput.rs
@@ -12,7 +12,7 @@
 use hawthorn_standin::deployment::ServiceDescription;
 use hawthorn_standin::load::HttpTier;
 use hawthorn_standin::load::QueryTier;
-use hawthorn_standin::load::tier::HeardAnswer;
+use hawthorn_standin::load::tier::TierResponse;
 use hawthorn_store::edit;
 use hawthorn_store::edit::ProposedEdit;
 use hawthorn_types::SearchQuery;
@@ -231,7 +231,7 @@
 ) {
     while Instant::now() < end {
         let response = tier.query(entry_host, &query).await;
-        let complete = matches!(response, HeardAnswer::Answered(answer) if is_complete(&answer));
+        let complete = matches!(response, TierResponse::Answered(answer) if is_complete(&answer));
         counts[usize::from(!complete)].fetch_add(1, Ordering::Relaxed);
     }
 }
--- a/examples/tier-load/main.rs
+++ b/examples/tier-load/main.rs
@@ -29,11 +29,11 @@
 use hawthorn_standin::history::HistoryEvent;
 use hawthorn_standin::load;
 use hawthorn_standin::load::DaemonControl;
-use hawthorn_standin::load::DeploymentStage;
+use hawthorn_standin::load::DeploymentEnvironment;
 use hawthorn_standin::load::HttpTier;
 use hawthorn_standin::load::LoadScenario;
 use hawthorn_standin::load::NaiveTier;
-use hawthorn_standin::load::report::table_head;
+use hawthorn_standin::load::report::table_header;
 use hawthorn_standin::load::schedule::ScheduleOptions;
 use hawthorn_standin::load::tier::EntryHost;
 use hawthorn_standin::target::ServiceTime;
@@ -238,11 +238,11 @@
     deployment: &StandinDeployment,
     daemons: &LocalDaemons,
 ) -> Outcome<String> {
-    let stage = DeploymentStage::new(deployment);
+    let stage = DeploymentEnvironment::new(deployment);
     let tier = Arc::new(HttpTier::new(daemons.hosts(), ENTRY_CONNECTIONS));
-    let mut output = if arguments.json { String::new() } else { table_head() };
+    let mut output = if arguments.json { String::new() } else { table_header() };
     let scenarios = match arguments.scenario.is_empty() {
-        true => vec![LoadScenario::Calm],
+        true => vec![LoadScenario::Steady],
         false => arguments.scenario.clone(),
     };
     for scenario in scenarios {
--- a/tests/bad_answers.rs
+++ b/tests/bad_answers.rs
@@ -35,7 +35,7 @@
     let cases = [
         BadAnswerCase {
             name: "crossed",
-            fault: |faults| faults.crossed_answers = BAD_ANSWERS,
+            fault: |faults| faults.mismatched_answers = BAD_ANSWERS,
             labels: labels("crossed-answers", ""),
         },
         BadAnswerCase {
@@ -48,7 +48,7 @@
         },
         BadAnswerCase {
             name: "garbled",
-            fault: |faults| faults.garbled_answers = BAD_ANSWERS,
+            fault: |faults| faults.malformed_answers = BAD_ANSWERS,
             labels: labels("missing", "bad-answer"),
         },
         BadAnswerCase {
--- a/tests/host_crashes.rs
+++ b/tests/host_crashes.rs
@@ -113,7 +113,7 @@
 
 fn set_held_back(fleet: &TestFleet, held_back: bool) {
     for target in &fleet.deployment.targets {
-        target.standin.control().hold_back(held_back);
+        target.standin.control().set_paused(held_back);
     }
 }
 
--- a/tests/intent.rs
+++ b/tests/intent.rs
@@ -151,7 +151,7 @@
 fn check_invariants(fleet: &TestFleet) -> TestResult {
     fleet.check()?;
     let options =
-        check::Options { leaving_grace: LEAVING_GRACE, corpora: fleet.deployment.corpora.clone() };
+        check::Options { drain_grace: LEAVING_GRACE, corpora: fleet.deployment.corpora.clone() };
     let violations = check::check(&fleet.history.records(), &options);
     assert!(violations.is_empty(), "{violations:?}");
     Ok(())
--- a/tests/partition.rs
+++ b/tests/partition.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use hawthorn_standin::proxy::NetworkPlace;
+use hawthorn_standin::proxy::NetworkLocation;
 use hawthorn_types::CallerAnswer;
 use hawthorn_types::CallerOutcome;
 use hawthorn_types::KeyRange;
@@ -28,14 +28,14 @@
 /// Sends between two steps of a scenario.
 const STEP: usize = 30;
 
-fn zone(fleet: &TestFleet, index: usize) -> NetworkPlace {
-    NetworkPlace::zone(&fleet.deployment.options().zones[index])
+fn zone(fleet: &TestFleet, index: usize) -> NetworkLocation {
+    NetworkLocation::zone(&fleet.deployment.options().zones[index])
 }
 
 /// Partitions the isolated zone from the other zones and from the platform.
 fn isolate(fleet: &TestFleet) -> TestResult {
     let network = fleet.network()?;
-    let others = [zone(fleet, 0), zone(fleet, 1), NetworkPlace::Platform];
+    let others = [zone(fleet, 0), zone(fleet, 1), NetworkLocation::Platform];
     network.partition(&[&[zone(fleet, ISOLATED)], &others]);
     Ok(())
 }
--- a/tests/route.rs
+++ b/tests/route.rs
@@ -7,11 +7,11 @@
 
 use hawthorn_standin::route::RouteStore;
 use hawthorn_standin::route::RouteTarget;
+use hawthorn_standin::route::headers;
 use hawthorn_standin::route::operator;
 use hawthorn_standin::route::store::RouteOutage;
 use hawthorn_standin::route::target;
 use hawthorn_standin::route::target::TargetFault;
-use hawthorn_standin::route::words;
 use rustix::process::Signal;
 use support::TestResult;
 use support::route;
@@ -59,7 +59,7 @@
     let answer = pair.host.send("POST", "/safe/a%20b?x=1&y=%2F", "id-1", "the body").await?;
     assert_eq!(answer.status, 200);
     assert_eq!(answer.body, target::records("s"));
-    assert!(answer.headers[words::RECEIPT].ends_with(".id-1"));
+    assert!(answer.headers[headers::RECEIPT].ends_with(".id-1"));
     let mut seen = pair.first.requests();
     seen.extend(pair.second.requests());
     let expected = ("POST".to_owned(), "/safe/a%20b?x=1&y=%2F".to_owned(), b"the body".to_vec());
@@ -86,49 +86,49 @@
     let cases = [
         Case {
             name: "full",
-            fault: TargetFault::Full,
+            fault: TargetFault::Rejected,
             idempotent: (200, 503),
             non_idempotent: 503,
             non_idempotent_runs: 0,
         },
         Case {
             name: "connection broken",
-            fault: TargetFault::Break,
+            fault: TargetFault::Disconnect,
             idempotent: (200, 502),
             non_idempotent: 502,
             non_idempotent_runs: 1,
         },
         Case {
             name: "truncated answer",
-            fault: TargetFault::Half,
+            fault: TargetFault::Truncated,
             idempotent: (200, 502),
             non_idempotent: 502,
             non_idempotent_runs: 1,
         },
         Case {
             name: "answer to another request",
-            fault: TargetFault::Crossed,
+            fault: TargetFault::WrongAttemptId,
             idempotent: (200, 502),
             non_idempotent: 502,
             non_idempotent_runs: 1,
         },
         Case {
             name: "server error",
-            fault: TargetFault::Fail,
+            fault: TargetFault::ServerError,
             idempotent: (200, 500),
             non_idempotent: 500,
             non_idempotent_runs: 1,
         },
         Case {
             name: "no length",
-            fault: TargetFault::Unframed,
+            fault: TargetFault::NoContentLength,
             idempotent: (200, 200),
             non_idempotent: 200,
             non_idempotent_runs: 1,
         },
         Case {
             name: "answered twice",
-            fault: TargetFault::Twice,
+            fault: TargetFault::DuplicateAnswer,
             idempotent: (200, 200),
             non_idempotent: 200,
             non_idempotent_runs: 1,
@@ -142,7 +142,7 @@
         },
         Case {
             name: "mute",
-            fault: TargetFault::Mute,
+            fault: TargetFault::NoAnswer,
             idempotent: (200, 504),
             non_idempotent: 504,
             non_idempotent_runs: 1,
@@ -216,7 +216,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn sighup_applies_a_new_budget() -> TestResult {
     let pair = start_pair().await?;
-    pair.fail_always(Some(TargetFault::Fail));
+    pair.fail_always(Some(TargetFault::ServerError));
     pair.host.send("GET", "/safe/", "id-1", "").await?;
     assert_eq!(pair.runs("id-1"), 2);
     pair.host.change_settings("share = 0.2", "share = 0.0")?;
@@ -325,7 +325,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_compacted_store_is_read_again() -> TestResult {
     let pair = start_pair().await?;
-    pair.store.set_outage(RouteOutage::Busy);
+    pair.store.set_outage(RouteOutage::Unavailable);
     operator::remove(&pair.store, "t-1");
     let routes = [operator::single("/new/", "s", "safe")];
     operator::configure(&pair.store, 9, &routes, &["s"]);
@@ -352,7 +352,7 @@
 async fn an_older_version_is_never_applied() -> TestResult {
     let pair = start_pair().await?;
     operator::configure(&pair.store, 2, &[operator::single("/old/", "s", "safe")], &["s"]);
-    operator::scribble(&pair.store, "other", b"{}");
+    operator::put_raw_entry(&pair.store, "other", b"{}");
     let logged = async || pair.host.logged("entry-broken: id=other") == 1;
     route::wait_for("the host to log the later entry", logged).await?;
     assert_eq!(pair.host.send("GET", "/old/", "id-1", "").await?.status, 404);
@@ -365,7 +365,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_host_that_starts_without_the_store_loads_from_a_peer() -> TestResult {
     let pair = start_pair().await?;
-    pair.store.set_outage(RouteOutage::Silent);
+    pair.store.set_outage(RouteOutage::Hang);
     let alone = RouteHost::start("h-2", "east", pair.store.address(), &[])?;
     let answered = async || alone.send("GET", "/safe/", "id-1", "").await.is_ok();
     route::wait_for("the host to listen", answered).await?;
@@ -400,9 +400,9 @@
     }
     // Two hosts of a zone watch; the third host's watch, from before it knew the others, ends by
     // itself.
-    let settled = async || store.watching() == 2;
+    let settled = async || store.waiting_watches() == 2;
     route::wait_for("two hosts to watch", settled).await?;
-    store.silence_callers();
+    store.hang_watchers();
     operator::configure(&store, 5, &[operator::single("/b/", "s", "safe")], &["s"]);
     let written = std::time::Instant::now();
     for host in &hosts {
@@ -430,7 +430,7 @@
         operator::register(&store, &format!("t-{name}"), &target, zone);
         targets.push(target);
     }
-    let routes = [operator::gathered("/all/", &names, 0.8)];
+    let routes = [operator::scatter_gather("/all/", &names, 0.8)];
     operator::configure(&store, 3, &routes, &names);
     let east = RouteHost::start("h-1", "east", store.address(), &[])?;
     let west = RouteHost::start("h-2", "west", store.address(), &[&east])?;
@@ -451,9 +451,9 @@
         let id = format!("id-{round}");
         let answer = east.send("GET", "/all/", &id, "").await?;
         assert_eq!(answer.status, 200);
-        assert_eq!(answer.headers[words::MISSING_PARTS], "0");
+        assert_eq!(answer.headers[headers::MISSING_PARTS], "0");
         assert_eq!(answer.body, records[..4].concat());
-        let mut receipts: Vec<&str> = answer.headers[words::PART_RECEIPTS].split(", ").collect();
+        let mut receipts: Vec<&str> = answer.headers[headers::PART_RECEIPTS].split(", ").collect();
         receipts.sort_unstable();
         let expected: Vec<String> = names.iter().map(|name| format!("t-{name}.{id}")).collect();
         assert_eq!(receipts, expected);
@@ -464,8 +464,9 @@
     targets.pop();
     let answered = async || {
         let answer = east.send("GET", "/all/", "id-9", "").await;
-        answer
-            .is_ok_and(|answer| answer.status == 200 && answer.headers[words::MISSING_PARTS] == "1")
+        answer.is_ok_and(|answer| {
+            answer.status == 200 && answer.headers[headers::MISSING_PARTS] == "1"
+        })
     };
     route::wait_for("queries to be answered without the peer and the shard", answered).await
 }
@@ -490,7 +491,7 @@
             operator::register(&store, &format!("t-{name}"), &target, "west");
             targets.push(target);
         }
-        operator::configure(&store, 3, &[operator::gathered("/all/", &names, 1.0)], &names);
+        operator::configure(&store, 3, &[operator::scatter_gather("/all/", &names, 1.0)], &names);
         let east = RouteHost::start("h-1", "east", store.address(), &[])?;
         let west = peers
             .iter()
@@ -550,7 +551,7 @@
             let id = format!("id-{round}-{step}");
             let answer = east.send("GET", "/all/", &id, "").await?;
             assert_eq!(answer.status, 200, "{id}");
-            assert_eq!(answer.headers[words::MISSING_PARTS], "0", "{id}");
+            assert_eq!(answer.headers[headers::MISSING_PARTS], "0", "{id}");
         }
         suspended.signal(Signal::CONT)?;
         sleep(Duration::from_millis(700)).await;
@@ -646,7 +647,7 @@
 async fn a_length_with_chunked_encoding_smuggles_no_request() -> TestResult {
     let pair = start_pair().await?;
     let mut stream = TcpStream::connect(pair.host.caller()).await?;
-    let named = words::ATTEMPT_ID;
+    let named = headers::ATTEMPT_ID;
     let bytes = format!(
         "POST /safe/outer HTTP/1.1\r\nHost: shop.example\r\n{named}: id-1\r\n\
                  Content-Length: 60\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n\
@@ -679,13 +680,13 @@
     }
     let answer = east.send("GET", "/all/", "id-1", "").await?;
     assert_eq!(answer.status, 200);
-    assert_eq!(answer.headers[words::MISSING_PARTS], "0");
+    assert_eq!(answer.headers[headers::MISSING_PARTS], "0");
     for target in targets {
         assert_eq!(target.runs("id-1"), 1);
     }
     // No part arrives at all: the query ends at the route's timeout.
     for target in targets {
-        target.fail_always(Some(TargetFault::Mute));
+        target.fail_always(Some(TargetFault::NoAnswer));
     }
     let started = std::time::Instant::now();
     let answer = east.send("GET", "/all/", "id-2", "").await?;
--- a/tests/route_callers.rs
+++ b/tests/route_callers.rs
@@ -35,7 +35,7 @@
     let target = RouteTarget::start("t-1", "s").await?;
     let routes =
         [operator::single("/safe/", "s", "safe"), operator::single("/once/", "s", "unsafe")];
-    operator::configure_heads(&store, 3, &routes, &["s"], HEAD_MS);
+    operator::configure_header_timeout(&store, 3, &routes, &["s"], HEAD_MS);
     operator::register(&store, "t-1", &target, "east");
     let host = RouteHost::start("h-1", "east", store.address(), &[])?;
     host.wait_until_ready().await?;
@@ -49,7 +49,7 @@
 async fn a_long_answer_is_streamed() -> TestResult {
     let single = start_single().await?;
     let pause = Duration::from_millis(600);
-    single.target.fail_always(Some(TargetFault::Long(LONG, pause)));
+    single.target.fail_always(Some(TargetFault::SlowBody(LONG, pause)));
     let mut stream = TcpStream::connect(single.host.caller()).await?;
     stream.write_all(&route::request("POST", "/once/", "id-1", "x")).await?;
     let started = Instant::now();
@@ -77,7 +77,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_truncated_long_answer_is_not_taken_for_complete() -> TestResult {
     let single = start_single().await?;
-    single.target.fail_always(Some(TargetFault::LongHalf(LONG)));
+    single.target.fail_always(Some(TargetFault::TruncatedBody(LONG)));
     let error =
         single.host.send("GET", "/safe/", "id-1", "").await.expect_err("the answer is truncated");
     assert_eq!(error.to_string(), "the connection ended within an answer");
@@ -92,7 +92,7 @@
 async fn a_stalled_long_answer_ends_at_the_timeout() -> TestResult {
     let single = start_single().await?;
     let silence = Duration::from_secs(20);
-    single.target.fail_always(Some(TargetFault::Long(LONG, silence)));
+    single.target.fail_always(Some(TargetFault::SlowBody(LONG, silence)));
     let started = Instant::now();
     let error =
         single.host.send("GET", "/safe/", "id-1", "").await.expect_err("the answer is truncated");
--- a/tests/route_cold.rs
+++ b/tests/route_cold.rs
@@ -27,8 +27,8 @@
 async fn start_fleet() -> TestResult<ColdFleet> {
     let store = RouteStore::start().await?;
     let routes =
-        [operator::single("/safe/", "s", "safe"), operator::gathered("/all/", &["s"], 1.0)];
-    operator::configure_cold(&store, 3, &routes, &["s"], COLD_RATE as f64);
+        [operator::single("/safe/", "s", "safe"), operator::scatter_gather("/all/", &["s"], 1.0)];
+    operator::configure_cold_rate(&store, 3, &routes, &["s"], COLD_RATE as f64);
     let mut targets = Vec::new();
     for id in ["t-1", "t-2"] {
         let target = RouteTarget::start(id, "s").await?;
--- a/tests/route_crashes.rs
+++ b/tests/route_crashes.rs
@@ -40,7 +40,7 @@
         }
     }
     let routes = [
-        operator::gathered("/all/", &SHARDS, 0.5),
+        operator::scatter_gather("/all/", &SHARDS, 0.5),
         operator::single("/safe/", "a", "safe"),
         operator::single("/once/", "a", "unsafe"),
     ];
--- a/tests/route_evacuation.rs
+++ b/tests/route_evacuation.rs
@@ -20,7 +20,7 @@
 
 async fn start_fleet() -> TestResult<ZoneFleet> {
     let routes = [
-        operator::gathered("/all/", &SHARDS, 0.7),
+        operator::scatter_gather("/all/", &SHARDS, 0.7),
         operator::single("/safe/", "a", "safe"),
         operator::single("/once/", "a", "unsafe"),
     ];
@@ -97,7 +97,7 @@
     let cases = [
         Case {
             name: "not an object",
-            write: |store| operator::scribble_evacuation(store, "east", b"[1]"),
+            write: |store| operator::put_raw_evacuation(store, "east", b"[1]"),
             evacuated: false,
         },
         Case {
@@ -123,7 +123,7 @@
         },
         Case {
             name: "overwritten with other bytes",
-            write: |store| operator::scribble_evacuation(store, "east", b"\x01"),
+            write: |store| operator::put_raw_evacuation(store, "east", b"\x01"),
             evacuated: true,
         },
     ];
@@ -144,7 +144,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_host_applies_an_evacuation_that_it_missed() -> TestResult {
     let fleet = start_fleet().await?;
-    fleet.store.set_outage(RouteOutage::Silent);
+    fleet.store.set_outage(RouteOutage::Hang);
     sleep(APPLY_TIME).await;
     operator::evacuate(&fleet.store, "east");
     fleet.store.compact();
--- a/tests/route_events.rs
+++ b/tests/route_events.rs
@@ -37,7 +37,7 @@
     let first = RouteTarget::start("t-1", "s").await?;
     let second = RouteTarget::start("t-2", "s").await?;
     let routes = [operator::single("/safe/", "s", "safe")];
-    operator::configure_heads(&store, 3, &routes, &["s"], HEAD_MS);
+    operator::configure_header_timeout(&store, 3, &routes, &["s"], HEAD_MS);
     operator::register(&store, "t-1", &first, "east");
     operator::register(&store, "t-2", &second, "east");
     // The metrics port is already taken by the host's own readiness endpoint.
@@ -48,12 +48,12 @@
     second.fail_next(&[TargetFault::Slow(Duration::from_secs(1))]);
     host.send("GET", "/safe/", "id-late", "").await?;
     wait_for_line(&host, "attempt-late").await?;
-    first.fail_next(&[TargetFault::Break]);
-    second.fail_next(&[TargetFault::Break]);
+    first.fail_next(&[TargetFault::Disconnect]);
+    second.fail_next(&[TargetFault::Disconnect]);
     host.send("GET", "/safe/", "id-broken", "").await?;
     wait_for_line(&host, "attempt-broken").await?;
     for target in [&first, &second] {
-        target.fail_always(Some(TargetFault::LongHalf(1 << 20)));
+        target.fail_always(Some(TargetFault::TruncatedBody(1 << 20)));
     }
     assert!(host.send("GET", "/safe/", "id-cut", "").await.is_err());
     wait_for_line(&host, "answer-cut").await?;
@@ -62,11 +62,11 @@
     wait_for_line(&host, "head-refused").await?;
     UdpSocket::bind("127.0.0.1:0").await?.send_to(b"nonsense", host.peer()).await?;
     wait_for_line(&host, "peer-message-broken").await?;
-    operator::scribble(&store, "other", b"{}");
+    operator::put_raw_entry(&store, "other", b"{}");
     wait_for_line(&host, "entry-broken").await?;
-    operator::scribble_document(&store, b"{}");
+    operator::put_raw_configuration(&store, b"{}");
     wait_for_line(&host, "routes-broken").await?;
-    store.set_outage(RouteOutage::Busy);
+    store.set_outage(RouteOutage::Unavailable);
     wait_for_line(&host, "store-lost").await?;
     store.set_outage(RouteOutage::None);
     wait_for_line(&host, "store-back").await?;
@@ -113,7 +113,7 @@
         operator::register(&store, &format!("t-{name}"), &target, "west");
         targets.push(target);
     }
-    let routes = [operator::gathered("/all/", &names, 0.5)];
+    let routes = [operator::scatter_gather("/all/", &names, 0.5)];
     operator::configure(&store, 3, &routes, &names);
     let mut hosts = vec![RouteHost::start("h-1", "east", store.address(), &[])?];
     hosts[0].wait_until_ready().await?;
@@ -122,8 +122,8 @@
         joined.wait_until_ready().await?;
         hosts.push(joined);
     }
-    route::wait_for("two hosts to watch", async || store.watching() == 2).await?;
-    store.silence_callers();
+    route::wait_for("two hosts to watch", async || store.waiting_watches() == 2).await?;
+    store.hang_watchers();
     let logged =
         |hosts: &[RouteHost], text: &str| hosts.iter().map(|host| host.logged(text)).sum::<usize>();
     let stale = async || logged(&hosts, "peer-stale") > 0;
@@ -139,7 +139,7 @@
     };
     route::wait_for("a peer to gather", delegated).await?;
     // One of three shards does not answer; the peer reports which.
-    targets[0].fail_always(Some(TargetFault::Mute));
+    targets[0].fail_always(Some(TargetFault::NoAnswer));
     let partial = async || {
         let _answer = hosts[0].send("GET", "/all/", "id-2", "").await;
         hosts[3].logged("parts-missing: request=id-2 shards=a:late") > 0
@@ -185,12 +185,12 @@
     let store = RouteStore::start().await?;
     let target = RouteTarget::start("t-1", "s").await?;
     let routes = [operator::single("/safe/", "s", "safe")];
-    operator::configure_cold(&store, 3, &routes, &["s"], 8.0);
+    operator::configure_cold_rate(&store, 3, &routes, &["s"], 8.0);
     operator::register_cold(&store, "t-1", &target, "east", 60_000.0);
     let host = RouteHost::start("h-1", "east", store.address(), &[])?;
     host.wait_until_ready().await?;
     operator::evacuate(&store, "east");
-    operator::scribble_evacuation(&store, "west", b"[]");
+    operator::put_raw_evacuation(&store, "west", b"[]");
     route::wait_for("the evacuation to be logged", async || host.logged("E624") > 0).await?;
     operator::end_evacuation(&store, "east");
     let served = async || {
@@ -198,7 +198,7 @@
         answer.is_ok_and(|answer| answer.status == 200)
     };
     route::wait_for("the cold target to be used", served).await?;
-    operator::configure_cold(&store, 4, &routes, &["s"], 0.0);
+    operator::configure_cold_rate(&store, 4, &routes, &["s"], 0.0);
     route::wait_for("the invalid rate to be logged", async || host.logged("E627") > 0).await?;
     Ok(host.log_lines())
 }
--- a/tests/route_homes.rs
+++ b/tests/route_homes.rs
@@ -13,13 +13,13 @@
 use tokio::time::sleep;
 
 async fn start_fleet() -> TestResult<ZoneFleet> {
-    let west = |route| operator::at_home(route, &["r-west"]);
+    let west = |route| operator::with_allowed_regions(route, &["r-west"]);
     let routes = [
-        west(operator::gathered("/all/", &SHARDS, 0.7)),
+        west(operator::scatter_gather("/all/", &SHARDS, 0.7)),
         west(operator::single("/safe/", "a", "safe")),
         west(operator::single("/once/", "a", "unsafe")),
-        operator::at_home(operator::single("/nowhere/", "a", "safe"), &["r-north"]),
-        operator::at_home(operator::single("/anywhere/", "a", "safe"), &[]),
+        operator::with_allowed_regions(operator::single("/nowhere/", "a", "safe"), &["r-north"]),
+        operator::with_allowed_regions(operator::single("/anywhere/", "a", "safe"), &[]),
     ];
     let fleet = ZoneFleet::start(&routes).await?;
     sleep(Duration::from_millis(500)).await;
--- a/tests/route_parts.rs
+++ b/tests/route_parts.rs
@@ -6,9 +6,9 @@
 
 use hawthorn_standin::route::RouteStore;
 use hawthorn_standin::route::RouteTarget;
+use hawthorn_standin::route::headers;
 use hawthorn_standin::route::operator;
 use hawthorn_standin::route::target::TargetFault;
-use hawthorn_standin::route::words;
 use support::TestResult;
 use support::route;
 use support::route::RouteHost;
@@ -26,7 +26,7 @@
         operator::register(&store, &format!("t-{name}"), &target, zone);
         targets.push(target);
     }
-    operator::configure(&store, 3, &[operator::gathered("/all/", &names, 0.75)], &names);
+    operator::configure(&store, 3, &[operator::scatter_gather("/all/", &names, 0.75)], &names);
     let east = RouteHost::start("h-1", "east", store.address(), &[])?;
     let west = RouteHost::start("h-2", "west", store.address(), &[&east])?;
     let south = RouteHost::start("h-3", "south", store.address(), &[&east])?;
@@ -45,9 +45,9 @@
     }
     let answer = east.send("GET", "/all/", "id-1", "").await?;
     assert_eq!(answer.status, 200);
-    let missing: usize = answer.headers[words::MISSING_PARTS].parse()?;
+    let missing: usize = answer.headers[headers::MISSING_PARTS].parse()?;
     assert!(missing <= 2, "{missing} parts are missing");
-    let receipts = answer.headers[words::PART_RECEIPTS].split(", ").count();
+    let receipts = answer.headers[headers::PART_RECEIPTS].split(", ").count();
     assert_eq!(receipts + missing, names.len());
     for target in &targets {
         assert_eq!(target.runs("id-1"), 1);
--- a/tests/stops.rs
+++ b/tests/stops.rs
@@ -24,7 +24,7 @@
 
 fn record_stop(fleet: &TestFleet, index: usize) {
     let daemon = fleet.daemons[index].spec.host.clone();
-    fleet.history.record(HistoryEvent::StopBegan { daemon });
+    fleet.history.record(HistoryEvent::StopStarted { daemon });
 }
 
 async fn restart(fleet: &mut TestFleet, index: usize) -> TestResult {
@@ -77,7 +77,7 @@
 
 fn set_held_back(fleet: &TestFleet, held_back: bool) {
     for target in &fleet.deployment.targets {
-        target.standin.control().hold_back(held_back);
+        target.standin.control().set_paused(held_back);
     }
 }
 
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -375,7 +375,7 @@
                 Ok(answer)
             }
             Err(error) => {
-                self.history.record(HistoryEvent::Cut { send });
+                self.history.record(HistoryEvent::ConnectionLost { send });
                 Err(error)
             }
         }
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -202,7 +202,7 @@
                 let answer: CallerAnswer = CallerAnswer::clone(answer);
                 HistoryEvent::Answered { send, answer }
             }
-            None => HistoryEvent::Cut { send },
+            None => HistoryEvent::ConnectionLost { send },
         };
         self.history.record(event);
         if let Ok(mut report) = self.report.lock() {
--- a/tests/support/network.rs
+++ b/tests/support/network.rs
@@ -6,8 +6,8 @@
 
 use hawthorn_standin::deployment::StandinDeployment;
 use hawthorn_standin::proxy::HostLink;
+use hawthorn_standin::proxy::NetworkLocation;
 use hawthorn_standin::proxy::NetworkOptions;
-use hawthorn_standin::proxy::NetworkPlace;
 use hawthorn_standin::proxy::StandinNetwork;
 
 use super::TestResult;
@@ -35,8 +35,8 @@
         let mut zones = Vec::new();
         for (number, name) in (1..).zip(&deployment.options().zones) {
             let upstream = deployment.platform.address();
-            let place = NetworkPlace::zone(name);
-            let platform = links.link_tcp(place, NetworkPlace::Platform, upstream).await?;
+            let place = NetworkLocation::zone(name);
+            let platform = links.link_tcp(place, NetworkLocation::Platform, upstream).await?;
             let address = Ipv4Addr::new(127, 0, number, 1).into();
             zones.push(LinkedZone { name: name.clone(), address, platform });
         }
@@ -45,9 +45,12 @@
 
     /// Creates a link for a daemon and returns its settings, adapted to the link.
     pub async fn link(&mut self, spec: DaemonSpec) -> TestResult<(DaemonSpec, HostLink)> {
-        let sources: Vec<(IpAddr, NetworkPlace)> =
-            self.zones.iter().map(|zone| (zone.address, NetworkPlace::zone(&zone.name))).collect();
-        let place = NetworkPlace::zone(&spec.zone);
+        let sources: Vec<(IpAddr, NetworkLocation)> = self
+            .zones
+            .iter()
+            .map(|zone| (zone.address, NetworkLocation::zone(&zone.name)))
+            .collect();
+        let place = NetworkLocation::zone(&spec.zone);
         let link = self.links.link_host(place, &sources).await?;
         let zone = self.zones.iter().find(|zone| zone.name == spec.zone).ok_or("no such zone")?;
         let spec = DaemonSpec {
--- a/tests/support/route.rs
+++ b/tests/support/route.rs
@@ -19,9 +19,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use hawthorn_standin::route::headers::ATTEMPT_ID;
+use hawthorn_standin::route::headers::TIME_LEFT;
 use hawthorn_standin::route::operator::HOST;
-use hawthorn_standin::route::words::ATTEMPT_ID;
-use hawthorn_standin::route::words::TIME_LEFT;
 use rustix::process::Pid;
 use rustix::process::Signal;
 use tempfile::TempDir;
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -103,7 +103,7 @@
     let targets = controls(&fleet);
     load.wait_for_sends(STEP).await?;
     targets[0].set_faults(|faults| faults.slow_factor = SLOWDOWN);
-    targets[1].set_leaving(true);
+    targets[1].set_draining(true);
     tokio::time::sleep(LEAVING_GRACE).await;
     load.wait_for_sends(STEP).await?;
     load.take_report();
@@ -114,7 +114,7 @@
     report.check_all_succeeded()?;
     load.finish().await?;
     let options =
-        check::Options { leaving_grace: LEAVING_GRACE, corpora: fleet.deployment.corpora.clone() };
+        check::Options { drain_grace: LEAVING_GRACE, corpora: fleet.deployment.corpora.clone() };
     let violations = check::check(&fleet.history.records(), &options);
     assert!(violations.is_empty(), "{violations:?}");
     Ok(())
