--- a/crates/hawthorn-standin/src/target/control.rs
+++ b/crates/hawthorn-standin/src/target/control.rs
@@ -122,7 +122,7 @@
     }
 
     /// The state it was last told to be in.
-    pub fn wanted(&self) -> DesiredState {
+    pub fn desired_state(&self) -> DesiredState {
         self.shared.lock().wanted
     }
 
--- a/tests/intent.rs
+++ b/tests/intent.rs
@@ -175,7 +175,7 @@
     with_queries(&fleet, async {
         let inventory = inventory_with_spare(&fleet, SECOND);
         edit(&fleet, 1, inventory, fleet.deployment.rules_toml()).await?;
-        wait_for("off", || spare.wanted() == DesiredState::Off).await?;
+        wait_for("off", || spare.desired_state() == DesiredState::Off).await?;
         wait_until_settled(&fleet).await?;
         spare.set_down(true);
         // Longer than the interval at which a target that is off is probed.
@@ -204,7 +204,7 @@
     let (first, second) = (control(&fleet, FIRST)?, control(&fleet, SECOND)?);
     let inventory = inventory_with_spare(&fleet, SECOND);
     edit(&fleet, 1, inventory.clone(), fleet.deployment.rules_toml()).await?;
-    wait_for("off", || second.wanted() == DesiredState::Off).await?;
+    wait_for("off", || second.desired_state() == DesiredState::Off).await?;
     wait_until_settled(&fleet).await?;
     let rules = rules_with(
         &fleet,
@@ -220,10 +220,11 @@
             drift.is_some_and(|drift| drift.held_for.as_deref() == Some("agent-desk/00"))
         });
         held.await?;
-        wait_for("the replacement to start", || second.wanted() == DesiredState::Serve).await?;
+        wait_for("the replacement to start", || second.desired_state() == DesiredState::Serve)
+            .await?;
         wait_for("the target to drain", || {
             let is_warm = second.phase() == TargetPhase::Ready;
-            let leaves = first.wanted() != DesiredState::Serve;
+            let leaves = first.desired_state() != DesiredState::Serve;
             assert!(is_warm || !leaves, "{FIRST} left before {SECOND} was warm");
             leaves
         })
