--- a/crates/hawthorn-standin/src/route/headers.rs
+++ b/crates/hawthorn-standin/src/route/headers.rs
@@ -1,20 +1,21 @@
-//! Names of the users' platform that callers and targets see in headers, in lower case.
+//! Names of the headers that the users' platform exchanges with callers and targets, in
+//! lower case.
 
-/// Names one try of a caller.
+/// Identifies one attempt of a caller.
 pub const ATTEMPT_ID: &str = "hawthornroute-attempt-id";
-/// Milliseconds that the caller, or whoever passes its request on, still waits.
+/// Remaining milliseconds that the sender of the request waits for its answer.
 pub const TIME_LEFT: &str = "hawthornroute-deadline-ms";
-/// The signature of a target under its answer.
+/// The target's signature of its answer.
 pub const RECEIPT: &str = "hawthornroute-response-stamp";
-/// The signatures of the parts in a merged answer.
+/// The targets' signatures of the parts of a merged answer.
 pub const PART_RECEIPTS: &str = "hawthornroute-part-stamps";
-/// How many parts a merged answer lacks.
+/// Number of parts that a merged answer lacks.
 pub const MISSING_PARTS: &str = "hawthornroute-missing-parts";
-/// The target that is meant.
+/// The id of the target that the request is meant for.
 pub const EXPECTED_TARGET: &str = "hawthornroute-expected-instance";
-/// The target that has the address.
+/// The id of the target that received the request.
 pub const TARGET_ID: &str = "hawthornroute-instance-id";
-/// The target did not run the request.
+/// Set when the target did not run the request.
 pub const NOT_RUN: &str = "hawthornroute-not-executed";
-/// Running, waiting and slots.
+/// Running requests, waiting requests and slots of the target.
 pub const LOAD: &str = "hawthornroute-server-load";
--- a/crates/hawthorn-standin/src/route/mod.rs
+++ b/crates/hawthorn-standin/src/route/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the users' platform as hosts that route requests meet it: the
-//! store that targets register in, and targets that run callers' requests.
+//! Stand-ins for the users' platform as seen by hosts that route requests: the store
+//! in which targets register, and targets that run callers' requests.
 
 pub mod operator;
 pub mod store;
--- a/crates/hawthorn-standin/src/route/operator.rs
+++ b/crates/hawthorn-standin/src/route/operator.rs
@@ -1,4 +1,4 @@
-//! What operators and targets write into the platform's store.
+//! Entries that operators and targets write to the platform's store.
 
 use std::net::SocketAddr;
 
@@ -8,27 +8,27 @@
 use super::RouteStore;
 use super::RouteTarget;
 
-/// Where operators write the configuration.
-const DOCUMENT_KEY: &str = "op/config";
+/// Key of the configuration.
+const CONFIGURATION_KEY: &str = "op/config";
 
-/// The host that all routes are of.
+/// The host name that all routes match.
 pub const HOST: &str = "shop.example";
 
-/// A route to one target; `kind` says whether it may run more than once.
+/// A route to one service. `kind` determines whether requests may run more than once.
 pub fn single(prefix: &str, service: &str, kind: &str) -> Value {
     json!({ "name": format!("r{prefix}"), "host": HOST, "prefix": prefix,
             "routeType": kind, "timeoutMs": 1500, "targetLatencyMs": 400, "priority": 1,
             "service": service, "maxAttempts": 2 })
 }
 
-/// A route over shards.
-pub fn scatter_gather(prefix: &str, shards: &[&str], least: f64) -> Value {
+/// A route that scatters requests to shards and gathers their answers.
+pub fn scatter_gather(prefix: &str, shards: &[&str], min_fraction: f64) -> Value {
     json!({ "name": format!("r{prefix}"), "host": HOST, "prefix": prefix,
             "routeType": "safe", "timeoutMs": 1500, "targetLatencyMs": 400, "priority": 1,
-            "fanoutServices": shards, "maxAttempts": 2, "topK": 4, "minShardFraction": least })
+            "fanoutServices": shards, "maxAttempts": 2, "topK": 4, "minShardFraction": min_fraction })
 }
 
-/// The same route, with requests allowed in some regions only.
+/// Restricts a route to requests from some regions.
 pub fn with_allowed_regions(mut route: Value, regions: &[&str]) -> Value {
     route["allowedRegions"] = json!(regions);
     route
@@ -39,16 +39,16 @@
     write(store, version, routes, services, None);
 }
 
-/// Writes a version of the configuration in which heads may take so many milliseconds.
+/// Writes a version of the configuration with a time limit for reading headers.
 pub fn configure_header_timeout(
     store: &RouteStore,
     version: u64,
     routes: &[Value],
     services: &[&str],
-    head_ms: u64,
+    header_timeout_ms: u64,
 ) {
     let limits = json!({ "maxHeaderBytes": 16384, "maxBodyBytes": 262_144,
-                         "headerTimeoutMs": head_ms, "idleTimeoutMs": 15_000 });
+                         "headerTimeoutMs": header_timeout_ms, "idleTimeoutMs": 15_000 });
     write(store, version, routes, services, Some(limits));
 }
 
@@ -67,20 +67,20 @@
     if let Some(limits) = limits {
         document["limits"] = limits;
     }
-    store.put(DOCUMENT_KEY, document.to_string().as_bytes());
+    store.put(CONFIGURATION_KEY, document.to_string().as_bytes());
 }
 
-/// Requests that nothing more be sent to the targets of a zone.
+/// Evacuates a zone: its targets receive no more requests.
 pub fn evacuate(store: &RouteStore, zone: &str) {
     put_raw_evacuation(store, zone, b"{}");
 }
 
-/// Takes the evacuation of a zone back.
+/// Ends the evacuation of a zone.
 pub fn end_evacuation(store: &RouteStore, zone: &str) {
     store.delete(&evacuation_key(zone));
 }
 
-/// Writes any bytes as the evacuation of a zone.
+/// Writes raw bytes as the evacuation entry of a zone.
 pub fn put_raw_evacuation(store: &RouteStore, zone: &str, value: &[u8]) {
     store.put(&evacuation_key(zone), value);
 }
@@ -94,7 +94,7 @@
     store.put(&entry_key(id), &target.entry(zone, "ready"));
 }
 
-/// Registers a target that stays cold for so many milliseconds.
+/// Registers a target that is cold for another `cold_ms` milliseconds.
 pub fn register_cold(store: &RouteStore, id: &str, target: &RouteTarget, zone: &str, cold_ms: f64) {
     let mut entry: Value =
         serde_json::from_slice(&target.entry(zone, "ready")).expect("an entry is JSON");
@@ -102,8 +102,8 @@
     store.put(&entry_key(id), entry.to_string().as_bytes());
 }
 
-/// Writes a version of the configuration whose services' cold targets tolerate so many
-/// requests a second.
+/// Writes a version of the configuration that limits cold targets to `per_second`
+/// requests per second.
 pub fn configure_cold_rate(
     store: &RouteStore,
     version: u64,
@@ -119,30 +119,30 @@
         })
         .collect();
     let document = json!({ "configVersion": version, "routes": routes, "services": services });
-    store.put(DOCUMENT_KEY, document.to_string().as_bytes());
+    store.put(CONFIGURATION_KEY, document.to_string().as_bytes());
 }
 
-/// Has a target say that it leaves.
+/// Marks a target as draining.
 pub fn drain(store: &RouteStore, id: &str, target: &RouteTarget, zone: &str) {
     store.put(&entry_key(id), &target.entry(zone, "draining"));
 }
 
-/// Takes a target's entry away.
+/// Deletes the entry of a target.
 pub fn remove(store: &RouteStore, id: &str) {
     store.delete(&entry_key(id));
 }
 
-/// Writes an entry that is no target's.
+/// Writes raw bytes as the entry of a target.
 pub fn put_raw_entry(store: &RouteStore, id: &str, value: &[u8]) {
     store.put(&entry_key(id), value);
 }
 
-/// Writes a configuration that is none.
+/// Writes raw bytes as the configuration.
 pub fn put_raw_configuration(store: &RouteStore, value: &[u8]) {
-    store.put(DOCUMENT_KEY, value);
+    store.put(CONFIGURATION_KEY, value);
 }
 
-/// What a target of two slots writes of itself; `state` is `ready` or `draining`.
+/// The entry of a target with two slots; `state` is `ready` or `draining`.
 pub fn entry(service: &str, address: SocketAddr, zone: &str, state: &str) -> String {
     let entry = json!({
         "service": service, "address": address, "zone": zone,
@@ -152,7 +152,7 @@
     entry.to_string()
 }
 
-/// The key of a target's entry.
+/// The key of the entry of a target.
 pub fn entry_key(id: &str) -> String {
     format!("servers/{id}")
 }
--- a/crates/hawthorn-standin/src/route/store.rs
+++ b/crates/hawthorn-standin/src/route/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: pages, watches, a history that can be dropped, outages.
+//! The platform's store: paging, watches, history compaction and outages.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -21,22 +21,23 @@
 use super::wire;
 use super::wire::WireRequest;
 
-/// Items of one page: few, so that a small test has several pages.
+/// Items per page; few, so that small tests cover paging.
 const PAGE_ITEMS: usize = 3;
 
-/// The id of every lease; leases never expire.
+/// The id of all leases, which never expire.
 const LEASE_ID: u64 = 7;
-const DIGITS: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
+const BASE64_ALPHABET: &[u8; 64] =
+    b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
-/// How the store is out of order.
+/// Kinds of outage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RouteOutage {
-    /// It answers.
+    /// No outage.
     #[default]
     None,
-    /// It answers 503 to every call.
+    /// Every call is answered with status 503.
     Unavailable,
-    /// It takes calls and answers none.
+    /// Calls are accepted and never answered.
     Hang,
 }
 
@@ -44,16 +45,16 @@
 struct StoreState {
     revision: u64,
     items: BTreeMap<String, (u64, Vec<u8>)>,
-    /// Changes, the oldest first; nothing lies there where it was deleted.
+    /// Changes, oldest first; the value is `None` for deletions.
     history: Vec<(u64, String, Option<Vec<u8>>)>,
-    /// Changes up to this revision are dropped.
-    dropped: u64,
+    /// Changes up to this revision have been compacted.
+    compacted: u64,
     outage: RouteOutage,
     calls: usize,
-    /// Whose watches wait, by IP number.
+    /// IP addresses of the waiting watches.
     watchers: Vec<IpAddr>,
-    /// Who is answered nothing.
-    silenced: HashSet<IpAddr>,
+    /// IP addresses whose calls are never answered.
+    hung: HashSet<IpAddr>,
 }
 
 #[derive(Debug, Default)]
@@ -62,7 +63,7 @@
     changed: Notify,
 }
 
-/// The store of one test; stops when it is dropped.
+/// A running store. Dropping it stops the store.
 #[derive(Debug)]
 pub struct RouteStore {
     address: SocketAddr,
@@ -71,33 +72,33 @@
 }
 
 impl RouteStore {
-    /// Starts on a free port of loopback.
+    /// Starts the store on a free loopback port.
     ///
     /// # Errors
-    /// When no port can be listened on.
+    /// When no port can be bound.
     pub async fn start() -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared::default());
         let stop = CancellationToken::new();
-        let serving = serve(listener, Arc::clone(&shared));
-        tokio::spawn(stop.clone().run_until_cancelled_owned(serving));
+        let server = serve(listener, Arc::clone(&shared));
+        tokio::spawn(stop.clone().run_until_cancelled_owned(server));
         Ok(Self { address, shared, _stop: stop.drop_guard() })
     }
 
-    /// Where it listens.
+    /// The listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    fn change(&self, with: impl FnOnce(&mut StoreState)) {
-        with(&mut self.shared.state.lock().expect("no holder of the lock panics"));
+    fn update(&self, apply: impl FnOnce(&mut StoreState)) {
+        apply(&mut self.shared.state.lock().expect("no holder of the lock panics"));
         self.shared.changed.notify_waiters();
     }
 
     /// Writes an item.
     pub fn put(&self, key: &str, value: &[u8]) {
-        self.change(|state| {
+        self.update(|state| {
             state.revision += 1;
             state.items.insert(key.to_owned(), (state.revision, value.to_vec()));
             state.history.push((state.revision, key.to_owned(), Some(value.to_vec())));
@@ -106,7 +107,7 @@
 
     /// Deletes an item.
     pub fn delete(&self, key: &str) {
-        self.change(|state| {
+        self.update(|state| {
             state.revision += 1;
             state.items.remove(key);
             state.history.push((state.revision, key.to_owned(), None));
@@ -119,30 +120,30 @@
         state.items.keys().filter(|key| key.starts_with(prefix)).cloned().collect()
     }
 
-    /// Drops the history; watches from before answer 410.
+    /// Discards the history; watches from an earlier revision are answered with 410.
     pub fn compact(&self) {
-        self.change(|state| {
-            state.dropped = state.revision;
+        self.update(|state| {
+            state.compacted = state.revision;
             state.history.clear();
         });
     }
 
-    /// Puts it out of order, or in order again.
+    /// Starts or ends an outage.
     pub fn set_outage(&self, outage: RouteOutage) {
-        self.change(|state| state.outage = outage);
+        self.update(|state| state.outage = outage);
     }
 
-    /// Answers nothing more to hosts whose watches wait now; others are served.
+    /// Stops answering the IP addresses that have a waiting watch; others are served.
     pub fn hang_watchers(&self) {
-        self.change(|state| state.silenced = state.watchers.iter().copied().collect());
+        self.update(|state| state.hung = state.watchers.iter().copied().collect());
     }
 
-    /// Watches that wait.
+    /// Number of waiting watches.
     pub fn waiting_watches(&self) -> usize {
         self.shared.state.lock().expect("no holder of the lock panics").watchers.len()
     }
 
-    /// Calls so far.
+    /// Number of calls since the start.
     pub fn calls(&self) -> usize {
         self.shared.state.lock().expect("no holder of the lock panics").calls
     }
@@ -150,11 +151,11 @@
 
 async fn serve(listener: TcpListener, shared: Arc<Shared>) {
     while let Ok((stream, _)) = listener.accept().await {
-        tokio::spawn(hold(stream, Arc::clone(&shared)));
+        tokio::spawn(serve_connection(stream, Arc::clone(&shared)));
     }
 }
 
-async fn hold(mut stream: TcpStream, shared: Arc<Shared>) {
+async fn serve_connection(mut stream: TcpStream, shared: Arc<Shared>) {
     let mut buffer = Vec::new();
     let caller = stream.peer_addr().ok().map(|address| address.ip());
     while let Ok(Some(request)) = wire::read(&mut stream, &mut buffer).await {
@@ -166,23 +167,23 @@
                 state.watchers.extend(caller);
                 watching = true;
             }
-            let silenced = caller.is_some_and(|caller| state.silenced.contains(&caller));
-            if silenced { RouteOutage::Hang } else { state.outage }
+            let hung = caller.is_some_and(|caller| state.hung.contains(&caller));
+            if hung { RouteOutage::Hang } else { state.outage }
         };
         let answer = match outage {
             RouteOutage::None => respond(&request, &shared).await,
             RouteOutage::Unavailable => wire::answer(503, &[], b""),
             RouteOutage::Hang => std::future::pending().await,
         };
-        let silenced = {
+        let hung = {
             let mut state = shared.state.lock().expect("no holder of the lock panics");
-            let place = state.watchers.iter().position(|watcher| Some(*watcher) == caller);
-            if let Some(place) = place.filter(|_| watching) {
-                state.watchers.swap_remove(place);
+            let position = state.watchers.iter().position(|watcher| Some(*watcher) == caller);
+            if let Some(position) = position.filter(|_| watching) {
+                state.watchers.swap_remove(position);
             }
-            caller.is_some_and(|caller| state.silenced.contains(&caller))
+            caller.is_some_and(|caller| state.hung.contains(&caller))
         };
-        if silenced {
+        if hung {
             std::future::pending::<()>().await;
         }
         if stream.write_all(&answer).await.is_err() {
@@ -200,13 +201,13 @@
         "/-/kv-txn" => write(request, shared),
         _ => (404, json!({})),
     };
-    let kind = [("Content-Type", "application/json".to_owned())];
-    wire::answer(status, &kind, body.to_string().as_bytes())
+    let headers = [("Content-Type", "application/json".to_owned())];
+    wire::answer(status, &headers, body.to_string().as_bytes())
 }
 
-fn encoded(key: &str, revision: u64, value: &[u8]) -> Value {
+fn encode_item(key: &str, revision: u64, value: &[u8]) -> Value {
     json!({ "key": key, "revision": revision, "created": revision, "lease": 0,
-            "value": base64(value) })
+            "value": encode_base64(value) })
 }
 
 fn page(request: &WireRequest, shared: &Shared) -> Value {
@@ -216,14 +217,14 @@
         .items
         .iter()
         .filter(|(key, _)| key.as_str() > after.as_str())
-        .map(|(key, (revision, value))| encoded(key, *revision, value))
+        .map(|(key, (revision, value))| encode_item(key, *revision, value))
         .collect();
     let more = rest.len() > PAGE_ITEMS;
     let items: Vec<Value> = rest.into_iter().take(PAGE_ITEMS).collect();
     json!({ "items": items, "hasMore": more, "asOf": state.revision })
 }
 
-/// Applies the writes of a transaction if its preconditions hold.
+/// Applies the writes of a transaction if all its preconditions hold.
 fn write(request: &WireRequest, shared: &Shared) -> (u16, Value) {
     let Ok(body) = serde_json::from_slice::<Value>(&request.body) else { return (400, json!({})) };
     let mut state = shared.state.lock().expect("no holder of the lock panics");
@@ -253,7 +254,7 @@
     let state = shared.state.lock().expect("no holder of the lock panics");
     let key = request.query("key").unwrap_or_default().replace("%2F", "/");
     let mut found = match state.items.get(&key) {
-        Some((revision, value)) => encoded(&key, *revision, value),
+        Some((revision, value)) => encode_item(&key, *revision, value),
         None => json!({}),
     };
     found["asOf"] = json!(state.revision);
@@ -272,10 +273,10 @@
             changed.await;
         }
     };
-    // Whether there is news or the wait is over, the answer is what there is.
-    let _over = timeout(Duration::from_millis(number("waitMs")), wait).await;
+    // After a change and after a timeout alike, the answer contains the current events.
+    let _elapsed = timeout(Duration::from_millis(number("waitMs")), wait).await;
     let state = shared.state.lock().expect("no holder of the lock panics");
-    if after < state.dropped {
+    if after < state.compacted {
         return (410, json!({}));
     }
     let events: Vec<Value> = state
@@ -283,7 +284,7 @@
         .iter()
         .filter(|(revision, _, _)| *revision > after)
         .map(|(revision, key, value)| match value {
-            Some(value) => encoded(key, *revision, value),
+            Some(value) => encode_item(key, *revision, value),
             None => json!({ "key": key, "revision": revision, "deleted": true }),
         })
         .collect();
@@ -291,7 +292,7 @@
 }
 
 fn decode_base64(text: &str) -> Vec<u8> {
-    let digit = |byte: u8| DIGITS.iter().position(|digit| *digit == byte);
+    let digit = |byte: u8| BASE64_ALPHABET.iter().position(|digit| *digit == byte);
     let digits: Vec<usize> = text.bytes().filter_map(digit).collect();
     let mut bytes = Vec::new();
     for chunk in digits.chunks(4) {
@@ -302,15 +303,15 @@
     bytes
 }
 
-/// Standard base64 with padding.
-fn base64(bytes: &[u8]) -> String {
+/// Encodes as standard base64 with padding.
+fn encode_base64(bytes: &[u8]) -> String {
     let mut text = String::new();
     for chunk in bytes.chunks(3) {
         let byte = |at: usize| u32::from(chunk.get(at).copied().unwrap_or(0));
         let bits = byte(0) << 16 | byte(1) << 8 | byte(2);
         for place in 0..4 {
             let digit = (bits >> (18 - 6 * place) & 63) as usize;
-            text.push(if place <= chunk.len() { char::from(DIGITS[digit]) } else { '=' });
+            text.push(if place <= chunk.len() { char::from(BASE64_ALPHABET[digit]) } else { '=' });
         }
     }
     text
--- a/crates/hawthorn-standin/src/route/target.rs
+++ b/crates/hawthorn-standin/src/route/target.rs
@@ -1,4 +1,4 @@
-//! A target that runs callers' requests, and the ways in which it may not.
+//! A target that runs callers' requests, with injectable faults.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -23,31 +23,33 @@
 /// Delay between attempts to rebind the listener.
 const REBIND_DELAY: Duration = Duration::from_millis(5);
 
-/// What a target does to one request.
+/// Faults of a single request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetFault {
-    /// It says that it is full and did not run it.
+    /// The request is rejected as not run.
     Rejected,
-    /// It runs it and breaks the connection off.
+    /// The request runs, and the connection is closed without an answer.
     Disconnect,
-    /// It runs it and answers nothing.
+    /// The request runs and is never answered.
     NoAnswer,
-    /// It runs it and answers half of what it announced.
+    /// The request runs, and the connection is closed after half of the body.
     Truncated,
-    /// It runs it and answers with another request's id.
+    /// The request runs, and the answer has the id of another attempt.
     WrongAttemptId,
-    /// It runs it, answers, and sends the answer a second time.
+    /// The request runs, and the answer is sent twice.
     DuplicateAnswer,
-    /// It runs it and answers without a length, ending with the connection.
+    /// The request runs, and the answer has no length; the connection is closed after
+    /// its body.
     NoContentLength,
-    /// It runs it and answers with a failure of its own.
+    /// The request runs and is answered with status 500.
     ServerError,
-    /// It runs it, and is so long about it.
+    /// The request runs for the given time.
     Slow(Duration),
-    /// It runs it and answers with so many bytes, the second half of them later
-    /// by the time.
+    /// The request runs, and the answer has a body of the given number of bytes, with a
+    /// pause of the given time before its second half.
     SlowBody(usize, Duration),
-    /// It runs it, announces so many bytes, and breaks off after half of them.
+    /// The request runs, and the connection is closed after half of a body of the given
+    /// number of bytes.
     TruncatedBody(usize),
 }
 
@@ -55,20 +57,20 @@
 struct TargetState {
     id: String,
     service: String,
-    faults: VecDeque<TargetFault>,
-    always: Option<TargetFault>,
-    /// How often each of the callers' tries was run.
+    next_faults: VecDeque<TargetFault>,
+    permanent_fault: Option<TargetFault>,
+    /// Number of runs by attempt id.
     runs: HashMap<String, usize>,
-    /// The time that each was handed last, in milliseconds, as it was written.
+    /// The last remaining time in milliseconds by attempt id, as in the header.
     times_left: HashMap<String, String>,
     requests: Vec<(String, String, Vec<u8>)>,
     cancelled: usize,
-    /// The path prefix on which the target crashes, and its downtime.
+    /// The path prefix that crashes the target, and the downtime after a crash.
     crashes_on: Option<(String, Duration)>,
     crashes: usize,
 }
 
-/// One target; stops when it is dropped.
+/// A running target. Dropping it stops the target.
 #[derive(Debug)]
 pub struct RouteTarget {
     address: SocketAddr,
@@ -77,26 +79,26 @@
 }
 
 impl RouteTarget {
-    /// Starts on a free port of loopback.
+    /// Starts the target on a free loopback port.
     ///
     /// # Errors
-    /// When no port can be listened on.
+    /// When no port can be bound.
     pub async fn start(id: &str, service: &str) -> std::io::Result<Self> {
         Self::start_at(id, service, SocketAddr::from(([127, 0, 0, 1], 0))).await
     }
 
-    /// Starts at an address, which another may have had before.
+    /// Starts the target at an address, which an earlier target may have used.
     ///
     /// # Errors
-    /// When it cannot be listened on.
+    /// When the address cannot be bound.
     pub async fn start_at(id: &str, service: &str, at: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(at).await?;
         let address = listener.local_addr()?;
         let state = Arc::new(Mutex::new(TargetState {
             id: id.to_owned(),
             service: service.to_owned(),
-            faults: VecDeque::new(),
-            always: None,
+            next_faults: VecDeque::new(),
+            permanent_fault: None,
             runs: HashMap::new(),
             times_left: HashMap::new(),
             requests: Vec::new(),
@@ -105,57 +107,57 @@
             crashes: 0,
         }));
         let stop = CancellationToken::new();
-        let serving = serve(listener, Arc::clone(&state), stop.clone());
-        tokio::spawn(stop.clone().run_until_cancelled_owned(serving));
+        let server = serve(listener, Arc::clone(&state), stop.clone());
+        tokio::spawn(stop.clone().run_until_cancelled_owned(server));
         Ok(Self { address, state, stop: stop.drop_guard() })
     }
 
-    /// Where it listens.
+    /// The listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it registers as.
+    /// The entry that it registers in the store.
     pub fn entry(&self, zone: &str, state: &str) -> Vec<u8> {
-        let held = self.state.lock().expect("no holder of the lock panics");
-        operator::entry(&held.service, self.address, zone, state).into_bytes()
+        let target = self.state.lock().expect("no holder of the lock panics");
+        operator::entry(&target.service, self.address, zone, state).into_bytes()
     }
 
-    /// Has the next requests meet these faults, one each.
+    /// Injects one of these faults into each of the next requests, in order.
     pub fn fail_next(&self, faults: &[TargetFault]) {
         let mut state = self.state.lock().expect("no holder of the lock panics");
-        state.faults.extend(faults);
+        state.next_faults.extend(faults);
     }
 
-    /// Has every request meet a fault, or none.
+    /// Injects a fault into every request, or none.
     pub fn fail_always(&self, fault: Option<TargetFault>) {
-        self.state.lock().expect("no holder of the lock panics").always = fault;
+        self.state.lock().expect("no holder of the lock panics").permanent_fault = fault;
     }
 
-    /// How often a caller's try was run.
+    /// Number of runs of an attempt.
     pub fn runs(&self, attempt: &str) -> usize {
         let state = self.state.lock().expect("no holder of the lock panics");
         state.runs.get(attempt).copied().unwrap_or(0)
     }
 
-    /// The time that a caller's try was handed last, in milliseconds.
+    /// The last remaining time of an attempt, in milliseconds.
     pub fn time_left(&self, attempt: &str) -> Option<u64> {
         let state = self.state.lock().expect("no holder of the lock panics");
         state.times_left.get(attempt)?.parse().ok()
     }
 
-    /// Runs of all tries.
+    /// Number of runs of all attempts.
     pub fn all_runs(&self) -> usize {
         self.state.lock().expect("no holder of the lock panics").runs.values().sum()
     }
 
-    /// Runs that ended because the connection was closed.
+    /// Number of runs that ended because the connection was closed.
     pub fn cancelled(&self) -> usize {
         self.state.lock().expect("no holder of the lock panics").cancelled
     }
 
-    /// Makes the target crash on requests whose path starts with `path`: it closes all
-    /// connections and accepts none for the duration `down`.
+    /// Makes requests whose path starts with `path` crash the target: it closes all
+    /// connections and accepts none for `down`.
     pub fn crash_on(&self, path: &str, down: Duration) {
         let mut state = self.state.lock().expect("no holder of the lock panics");
         state.crashes_on = Some((path.to_owned(), down));
@@ -166,12 +168,12 @@
         self.state.lock().expect("no holder of the lock panics").crashes
     }
 
-    /// Method, path and body of every request that it ran.
+    /// Method, path and body of all requests that ran.
     pub fn requests(&self) -> Vec<(String, String, Vec<u8>)> {
         self.state.lock().expect("no holder of the lock panics").requests.clone()
     }
 
-    /// Ends it: its connections are closed and its address is free.
+    /// Stops the target: closes its connections and releases its address.
     pub fn end(self) {
         drop(self.stop);
     }
@@ -215,12 +217,12 @@
                 Err(_) => return,
             },
         };
-        let holding = hold(stream, Arc::clone(state), crash_token.clone());
-        tokio::spawn(crash_token.clone().run_until_cancelled_owned(holding));
+        let connection = serve_connection(stream, Arc::clone(state), crash_token.clone());
+        tokio::spawn(crash_token.clone().run_until_cancelled_owned(connection));
     }
 }
 
-async fn hold(
+async fn serve_connection(
     mut stream: TcpStream,
     state: Arc<Mutex<TargetState>>,
     crash_token: CancellationToken,
@@ -229,25 +231,25 @@
     while let Ok(Some(request)) = wire::read(&mut stream, &mut buffer).await {
         let (fault, id) = {
             let mut state = state.lock().expect("no holder of the lock panics");
-            let always = state.always;
-            (state.faults.pop_front().or(always), state.id.clone())
+            let permanent_fault = state.permanent_fault;
+            (state.next_faults.pop_front().or(permanent_fault), state.id.clone())
         };
         let expected = request.header(headers::EXPECTED_TARGET);
         if expected.is_some_and(|expected| expected != id) {
-            let names = [(headers::TARGET_ID, id)];
-            if stream.write_all(&wire::answer(421, &names, b"")).await.is_err() {
+            let response_headers = [(headers::TARGET_ID, id)];
+            if stream.write_all(&wire::answer(421, &response_headers, b"")).await.is_err() {
                 return;
             }
             continue;
         }
         if fault == Some(TargetFault::Rejected) {
-            let says = [(headers::NOT_RUN, "1".to_owned())];
-            if stream.write_all(&wire::answer(503, &says, b"")).await.is_err() {
+            let response_headers = [(headers::NOT_RUN, "1".to_owned())];
+            if stream.write_all(&wire::answer(503, &response_headers, b"")).await.is_err() {
                 return;
             }
             continue;
         }
-        note_run(&state, &request);
+        record_run(&state, &request);
         if crashes(&state, &request) {
             crash_token.cancel();
             return;
@@ -267,17 +269,17 @@
     crashes
 }
 
-fn note_run(state: &Mutex<TargetState>, request: &WireRequest) {
+fn record_run(state: &Mutex<TargetState>, request: &WireRequest) {
     let mut state = state.lock().expect("no holder of the lock panics");
     let attempt = request.header(headers::ATTEMPT_ID).unwrap_or("-").to_owned();
-    if let Some(left) = request.header(headers::TIME_LEFT) {
-        state.times_left.insert(attempt.clone(), left.to_owned());
+    if let Some(time_left) = request.header(headers::TIME_LEFT) {
+        state.times_left.insert(attempt.clone(), time_left.to_owned());
     }
     *state.runs.entry(attempt).or_default() += 1;
     state.requests.push((request.method.clone(), request.target.clone(), request.body.clone()));
 }
 
-/// Answers a request; false when the connection is over.
+/// Runs and answers a request; returns false when the connection must be closed.
 async fn run(
     stream: &mut TcpStream,
     state: &Mutex<TargetState>,
@@ -289,20 +291,21 @@
         (state.id.clone(), state.service.clone())
     };
     if let Some(TargetFault::Slow(time)) = fault {
-        let mut rest = [0; 1];
+        let mut byte = [0; 1];
         tokio::select! {
             () = sleep(time) => {}
-            _ = stream.read(&mut rest) => {
+            _ = stream.read(&mut byte) => {
                 state.lock().expect("no holder of the lock panics").cancelled += 1;
                 return false;
             }
         }
     }
     let attempt = request.header(headers::ATTEMPT_ID).unwrap_or("-");
-    let echoed = if fault == Some(TargetFault::WrongAttemptId) { "another" } else { attempt };
+    let answered_attempt =
+        if fault == Some(TargetFault::WrongAttemptId) { "another" } else { attempt };
     let headers = [
         (headers::RECEIPT, format!("{id}.{attempt}")),
-        (headers::ATTEMPT_ID, echoed.to_owned()),
+        (headers::ATTEMPT_ID, answered_attempt.to_owned()),
         (headers::LOAD, "1,0,2".to_owned()),
     ];
     let body = records(&service);
@@ -312,7 +315,7 @@
         Some(TargetFault::Disconnect) => return false,
         Some(TargetFault::NoAnswer) => std::future::pending().await,
         Some(TargetFault::Truncated) => {
-            // The connection ends with this function's caller.
+            // The caller of this function closes the connection.
             let _sent = stream.write_all(&answer[..answer.len() - body.len() / 2]).await;
             return false;
         }
@@ -344,11 +347,11 @@
     sent.is_ok()
 }
 
-/// What a service's targets answer: three records and a remainder.
+/// The body that targets of a service answer with: three records and a remainder.
 pub fn records(service: &str) -> Vec<u8> {
     let mut body = Vec::new();
-    for place in 0..3 {
-        let text = format!("{place}{service:.<15.15}");
+    for number in 0..3 {
+        let text = format!("{number}{service:.<15.15}");
         body.extend_from_slice(text.as_bytes());
     }
     body.extend_from_slice(b"rest");
--- a/crates/hawthorn-standin/src/route/wire.rs
+++ b/crates/hawthorn-standin/src/route/wire.rs
@@ -1,20 +1,20 @@
-//! HTTP/1.1 by hand, so that a stand-in can break its rules.
+//! A minimal HTTP/1.1 implementation that allows stand-ins to violate the protocol.
 
 use std::collections::HashMap;
 
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Bytes of a head that are read at the most.
-const HEAD_LIMIT: usize = 64 * 1024;
+/// Maximum size of a request head in bytes.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// A request as it was read.
+/// A parsed request.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WireRequest {
     pub(super) method: String,
-    /// Path and query.
+    /// Path and query string.
     pub(super) target: String,
-    /// By names in lower case.
+    /// Values by lower-case name.
     pub(super) headers: HashMap<String, String>,
     pub(super) body: Vec<u8>,
 }
@@ -24,7 +24,7 @@
         self.headers.get(name).map(String::as_str)
     }
 
-    /// A value of the query, as it was sent.
+    /// A query parameter, without percent-decoding.
     pub(super) fn query(&self, name: &str) -> Option<&str> {
         let (_, query) = self.target.split_once('?')?;
         query
@@ -39,7 +39,7 @@
     }
 }
 
-/// Reads the next request of a connection; `None` at its end.
+/// Reads the next request of a connection; `None` when the connection ends first.
 pub(super) async fn read(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
@@ -48,7 +48,7 @@
         if let Some(at) = buffer.windows(4).position(|part| part == b"\r\n\r\n") {
             break at;
         }
-        if buffer.len() > HEAD_LIMIT || stream.read_buf(buffer).await? == 0 {
+        if buffer.len() > MAX_HEAD_BYTES || stream.read_buf(buffer).await? == 0 {
             return Ok(None);
         }
     };
@@ -74,7 +74,7 @@
     Ok(Some(request))
 }
 
-/// An answer with a length.
+/// Encodes an answer with a content length.
 pub(super) fn answer(status: u16, headers: &[(&str, String)], body: &[u8]) -> Vec<u8> {
     let mut bytes = format!("HTTP/1.1 {status} -\r\nContent-Length: {}\r\n", body.len());
     for (name, value) in headers {
