--- a/crates/hawthorn-standin/src/proxy/faults.rs
+++ b/crates/hawthorn-standin/src/proxy/faults.rs
@@ -1,4 +1,4 @@
-//! What can go wrong on one link, and the handle that changes it.
+//! Faults of one link, and its control handle.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -10,44 +10,44 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::sync::watch;
 
-/// Bytes handed on at a time, and the pause before each lot.
+/// Limits throughput: chunk size and the delay before each chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DripRate {
-    /// Bytes in a lot.
-    pub bytes: usize,
-    /// The pause.
-    pub every: Duration,
+pub struct ThrottleRate {
+    /// Chunk size in bytes.
+    pub chunk_bytes: usize,
+    /// Delay before each chunk.
+    pub delay: Duration,
 }
 
-/// Faults in force on a link. Forward is from the client to the upstream.
+/// Active faults of a link. Forward is the direction from client to upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub struct LinkFaults {
-    /// Delay one way.
+    /// One-way delay.
     pub latency: Duration,
-    /// Up to so much more delay, drawn evenly. Bytes of a connection keep their
-    /// order, datagrams may not.
+    /// Maximum additional delay, uniformly distributed. Bytes of a connection stay in
+    /// order; datagrams may be reordered.
     pub jitter: Duration,
-    /// The fraction of datagrams that are lost.
+    /// Fraction of datagrams that are lost.
     pub loss: f64,
-    /// The fraction of datagrams that arrive twice.
+    /// Fraction of datagrams that are duplicated.
     pub duplicates: f64,
-    /// The fraction of new connections that are reset at once.
+    /// Fraction of new connections that are reset immediately.
     pub resets: f64,
-    /// The next so many connections that get an answer are reset before its
-    /// first byte passes.
+    /// Number of next answered connections that are reset before the first byte of the
+    /// answer passes.
     pub lost_answers: u32,
-    /// New connections are accepted and everything sent on them is swallowed;
-    /// open ones go silent. A connection that met this stays silent.
+    /// New connections are accepted and their bytes discarded; open ones pass no more
+    /// bytes. An affected connection stays silent after the fault ends.
     pub black_hole: bool,
-    /// Nothing passes forward; bytes wait, datagrams are lost.
+    /// Blocks the forward direction: bytes are held back, datagrams are lost.
     pub cut_forward: bool,
-    /// Nothing passes backward; bytes wait, datagrams are lost.
+    /// Blocks the backward direction: bytes are held back, datagrams are lost.
     pub cut_backward: bool,
-    /// Bytes trickle.
-    pub drip: Option<DripRate>,
+    /// Throughput limit of connections.
+    pub throttle: Option<ThrottleRate>,
 }
 
-/// The way that bytes go.
+/// Direction of traffic on a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LinkDirection {
     Forward,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Changes and reads a running proxy. Clones share the proxy.
+/// Controls and inspects a running proxy. Clones refer to the same proxy.
 #[derive(Clone, Debug)]
 pub struct LinkControl {
     shared: Arc<SharedLink>,
@@ -81,20 +81,20 @@
     counters: Mutex<LinkCounters>,
 }
 
-/// What passed a link so far.
+/// Traffic counters of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub struct LinkCounters {
     /// Connections accepted.
     pub connections: u64,
     /// Connections reset by a fault.
     pub resets: u64,
-    /// Bytes passed forward on connections.
+    /// Bytes forwarded on connections from client to upstream.
     pub bytes_forward: u64,
-    /// Bytes passed backward on connections.
+    /// Bytes forwarded on connections from upstream to client.
     pub bytes_backward: u64,
-    /// Datagrams passed, both ways.
+    /// Datagrams forwarded, in both directions.
     pub datagrams: u64,
-    /// Datagrams lost by a fault, both ways.
+    /// Datagrams lost by a fault, in both directions.
     pub datagrams_lost: u64,
 }
 
@@ -109,12 +109,12 @@
         Self { shared: Arc::new(shared) }
     }
 
-    /// Changes the faults in force.
+    /// Changes the active faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut LinkFaults)) {
         self.shared.faults.send_modify(change);
     }
 
-    /// The faults in force.
+    /// The active faults.
     pub fn faults(&self) -> LinkFaults {
         *self.shared.faults.borrow()
     }
@@ -124,13 +124,13 @@
         self.shared.resets.send_modify(|resets| *resets += 1);
     }
 
-    /// What passed so far.
+    /// The current traffic counters.
     pub fn counters(&self) -> LinkCounters {
         *self.lock()
     }
 
     pub(super) fn lock(&self) -> MutexGuard<'_, LinkCounters> {
-        self.shared.counters.lock().expect("nothing panics while it holds the counters")
+        self.shared.counters.lock().expect("no holder of the lock panics")
     }
 
     pub(super) fn watch_faults(&self) -> watch::Receiver<LinkFaults> {
@@ -141,20 +141,20 @@
         self.shared.resets.subscribe()
     }
 
-    /// Randomness of its own for connection or client `number`, so that what
-    /// happens on one does not depend on the timing of others.
+    /// The random number generator of connection or client `number`. Each has its own
+    /// stream, so that its faults do not depend on the timing of others.
     pub(super) fn rng(&self, number: u64, direction: LinkDirection) -> ChaCha8Rng {
         let mut rng = ChaCha8Rng::seed_from_u64(self.shared.seed);
         rng.set_stream(2 * number + u64::from(direction == LinkDirection::Backward));
         rng
     }
 
-    /// Whether the answer that is about to pass is lost; uses up one of the count.
-    pub(super) fn loses_answer(&self) -> bool {
+    /// Whether the next answer is lost; consumes one of the count.
+    pub(super) fn take_lost_answer(&self) -> bool {
         self.shared.faults.send_if_modified(|faults| {
-            let had = faults.lost_answers > 0;
+            let available = faults.lost_answers > 0;
             faults.lost_answers = faults.lost_answers.saturating_sub(1);
-            had
+            available
         })
     }
 }
--- a/crates/hawthorn-standin/src/proxy/host.rs
+++ b/crates/hawthorn-standin/src/proxy/host.rs
@@ -1,5 +1,5 @@
-//! The link in front of one host of the system: one address for TCP and UDP,
-//! with faults chosen by the address that a peer comes from.
+//! Link in front of one host of the system: one address for TCP and UDP, with faults
+//! selected by the source address of a peer.
 
 use std::collections::HashMap;
 use std::io;
@@ -21,10 +21,10 @@
 use super::tcp;
 use super::udp;
 
-/// Ports drawn for UDP that TCP may find taken, before giving up.
-const PORT_TRIES: usize = 16;
+/// Maximum number of retries when a free UDP port is in use for TCP.
+const MAX_BIND_RETRIES: usize = 16;
 
-/// A running link; stops when its last clone is dropped.
+/// A running link. Dropping its last clone stops it.
 #[derive(Clone, Debug)]
 pub struct HostLink {
     address: SocketAddr,
@@ -33,8 +33,8 @@
 }
 
 impl HostLink {
-    /// Starts a link whose clients meet the faults of the address they come
-    /// from; clients from elsewhere meet none.
+    /// Starts a link that applies faults by the source address of a client, and none to
+    /// clients from other addresses.
     pub(super) async fn start(
         by_source: HashMap<IpAddr, LinkControl>,
         stop: &CancellationToken,
@@ -50,27 +50,27 @@
         Ok(Self { address, upstream: sender, _stop: Arc::new(stop.drop_guard()) })
     }
 
-    /// What the host tells others as its address.
+    /// The address that the host advertises.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where the host really listens. Until then nothing passes. UDP clients
-    /// that were heard before keep the upstream of that time.
+    /// Sets the actual listen address of the host. No traffic passes before the first
+    /// call. Known UDP clients keep the upstream of their first datagram.
     pub fn set_upstream(&self, upstream: SocketAddr) {
         self.upstream.send_replace(Some(upstream));
     }
 }
 
-/// One free port for both protocols.
+/// Binds the same free port for both protocols.
 async fn bind_both() -> io::Result<(UdpSocket, TcpListener)> {
-    let mut tries = 0;
+    let mut retries = 0;
     loop {
         let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         match TcpListener::bind(socket.local_addr()?).await {
             Ok(listener) => return Ok((socket, listener)),
-            Err(err) if tries == PORT_TRIES => return Err(err),
-            Err(_) => tries += 1,
+            Err(err) if retries == MAX_BIND_RETRIES => return Err(err),
+            Err(_) => retries += 1,
         }
     }
 }
--- a/crates/hawthorn-standin/src/proxy/mod.rs
+++ b/crates/hawthorn-standin/src/proxy/mod.rs
@@ -1,10 +1,10 @@
-//! A fault-injecting network: TCP and UDP proxies that delay, lose, cut and
-//! reset as a test tells them.
+//! A fault-injecting network: TCP and UDP proxies that a test can make delay, lose,
+//! block or reset traffic.
 //!
-//! - [`faults`]: what can go wrong on one link.
+//! - [`faults`]: faults of one link.
 //! - [`tcp`] and [`udp`]: one proxy in front of one address.
-//! - [`host`]: one proxy for both in front of a host, faults by source.
-//! - [`network`]: all links of a test, by the places they join.
+//! - [`host`]: one proxy for both in front of a host, with faults by source address.
+//! - [`network`]: all links of a test, by the locations that they connect.
 
 use std::io;
 
@@ -17,9 +17,9 @@
 pub mod tcp;
 pub mod udp;
 
-pub use faults::DripRate;
 pub use faults::LinkControl;
 pub use faults::LinkFaults;
+pub use faults::ThrottleRate;
 pub use host::HostLink;
 pub use network::NetworkLocation;
 pub use network::NetworkOptions;
@@ -28,10 +28,10 @@
 pub use udp::UdpProxy;
 
 quick_error! {
-    /// Why a proxy could not start.
+    /// Errors of starting a proxy.
     #[derive(Debug)]
     pub enum Error {
-        /// No port could be bound.
+        /// Binding a port failed.
         Bind(err: io::Error) {
             display("cannot bind a loopback port: {err}")
             source(err)
--- a/crates/hawthorn-standin/src/proxy/network.rs
+++ b/crates/hawthorn-standin/src/proxy/network.rs
@@ -1,5 +1,5 @@
-//! All links of a test by the places they join: latencies by default, and
-//! partitions by name.
+//! All links of a test by the locations that they connect, with default latencies and
+//! network partitions.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -15,7 +15,7 @@
 use super::tcp::TcpProxy;
 use super::udp::UdpProxy;
 
-/// Where one end of a link stands.
+/// Location of one end of a link.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum NetworkLocation {
     /// An availability zone, with its hosts and targets.
@@ -33,7 +33,7 @@
     }
 }
 
-/// Latencies one way, and the seed of all links.
+/// One-way latencies, and the seed of all links.
 #[derive(Clone, Debug)]
 pub struct NetworkOptions {
     /// Between availability zones.
@@ -42,14 +42,15 @@
     pub to_clients: Duration,
     /// Between any zone and the platform.
     pub to_platform: Duration,
-    /// The same seed makes the same draws on the link of the same number.
+    /// Seed of all links; the same seed gives the same faults on the link of the same
+    /// number.
     pub seed: u64,
-    /// Stops all links.
+    /// Stops all links when cancelled.
     pub stop: CancellationToken,
 }
 
 impl NetworkOptions {
-    /// Dar Port.
+    /// Latencies of Dar Port.
     pub fn dar_port() -> Self {
         Self {
             between_zones: Duration::from_micros(1_500),
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Poland.
+    /// Latencies of Poland.
     pub fn poland() -> Self {
         Self { between_zones: Duration::from_micros(500), ..Self::dar_port() }
     }
@@ -72,7 +73,7 @@
     }
 }
 
-/// The links of one test; they stop when it is dropped.
+/// The links of one test. Dropping it stops them.
 #[derive(Debug)]
 pub struct StandinNetwork {
     options: NetworkOptions,
@@ -89,9 +90,9 @@
 
 #[derive(Debug)]
 enum LinkProxy {
-    Tcp(#[expect(dead_code, reason = "held so that it runs")] TcpProxy),
-    Udp(#[expect(dead_code, reason = "held so that it runs")] UdpProxy),
-    Host(#[expect(dead_code, reason = "held so that it runs")] HostLink),
+    Tcp(#[expect(dead_code, reason = "keeps the proxy running")] TcpProxy),
+    Udp(#[expect(dead_code, reason = "keeps the proxy running")] UdpProxy),
+    Host(#[expect(dead_code, reason = "keeps the proxy running")] HostLink),
 }
 
 impl StandinNetwork {
@@ -100,14 +101,14 @@
         Self { options, links: Vec::new() }
     }
 
-    /// A TCP address at which `from` reaches `upstream`, which stands at `to`.
+    /// Adds a TCP link; returns the address at which `from` reaches `upstream` in `to`.
     pub async fn link_tcp(
         &mut self,
         from: NetworkLocation,
         to: NetworkLocation,
         upstream: SocketAddr,
     ) -> Result<SocketAddr, Error> {
-        let faults = self.usual(&from, &to);
+        let faults = self.default_faults(&from, &to);
         let proxy = TcpProxy::start(upstream, self.seed(), faults, &self.options.stop).await?;
         let address = proxy.address();
         let control = proxy.control().clone();
@@ -115,14 +116,14 @@
         Ok(address)
     }
 
-    /// A UDP address at which `from` reaches `upstream`, which stands at `to`.
+    /// Adds a UDP link; returns the address at which `from` reaches `upstream` in `to`.
     pub async fn link_udp(
         &mut self,
         from: NetworkLocation,
         to: NetworkLocation,
         upstream: SocketAddr,
     ) -> Result<SocketAddr, Error> {
-        let faults = self.usual(&from, &to);
+        let faults = self.default_faults(&from, &to);
         let proxy = UdpProxy::start(upstream, self.seed(), faults, &self.options.stop).await?;
         let address = proxy.address();
         let control = proxy.control().clone();
@@ -130,8 +131,8 @@
         Ok(address)
     }
 
-    /// An address, TCP and UDP, at which peers reach a host in zone `to`. Each
-    /// peer stands in the place of `sources` whose address it comes from.
+    /// Adds a link for TCP and UDP to a host in `to`. `sources` maps the source addresses
+    /// of peers to their locations.
     pub async fn link_host(
         &mut self,
         to: NetworkLocation,
@@ -140,7 +141,7 @@
         let mut by_source = HashMap::new();
         for (number, (source, from)) in sources.iter().enumerate() {
             let seed = self.seed().wrapping_add(number as u64);
-            by_source.insert(*source, LinkControl::new(seed, self.usual(from, &to)));
+            by_source.insert(*source, LinkControl::new(seed, self.default_faults(from, &to)));
         }
         let link = HostLink::start(by_source.clone(), &self.options.stop).await?;
         for (source, from) in sources {
@@ -156,7 +157,7 @@
         Ok(link)
     }
 
-    /// The handles of the links that lead from `from` to `to`.
+    /// The control handles of the links from `from` to `to`.
     pub fn controls(&self, from: &NetworkLocation, to: &NetworkLocation) -> Vec<LinkControl> {
         self.links
             .iter()
@@ -165,13 +166,13 @@
             .collect()
     }
 
-    /// Cuts `a` and `b` off from each other, both ways.
+    /// Blocks traffic between `a` and `b` in both directions.
     pub fn cut(&self, a: &NetworkLocation, b: &NetworkLocation) {
         self.cut_one_way(a, b);
         self.cut_one_way(b, a);
     }
 
-    /// Lets nothing pass from `a` to `b`; the other way stays open.
+    /// Blocks traffic from `a` to `b`; the opposite direction stays open.
     pub fn cut_one_way(&self, a: &NetworkLocation, b: &NetworkLocation) {
         for link in &self.links {
             if link.from == *a && link.to == *b {
@@ -183,17 +184,17 @@
         }
     }
 
-    /// Cuts every two places that stand in different groups. A place in no
-    /// group keeps all its links.
+    /// Partitions the network: blocks traffic between locations of different groups. A
+    /// location in no group keeps all its links.
     pub fn partition(&self, groups: &[&[NetworkLocation]]) {
         let group_of =
-            |place: &NetworkLocation| groups.iter().position(|group| group.contains(place));
+            |location: &NetworkLocation| groups.iter().position(|group| group.contains(location));
         for link in &self.links {
-            let apart = match (group_of(&link.from), group_of(&link.to)) {
+            let is_separated = match (group_of(&link.from), group_of(&link.to)) {
                 (Some(from), Some(to)) => from != to,
                 _ => false,
             };
-            if apart {
+            if is_separated {
                 link.control.set_faults(|faults| {
                     faults.cut_forward = true;
                     faults.cut_backward = true;
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Cuts every place off from the platform.
+    /// Blocks all traffic to and from the platform.
     pub fn cut_platform(&self) {
         for link in &self.links {
             if link.to == NetworkLocation::Platform || link.from == NetworkLocation::Platform {
@@ -214,11 +215,11 @@
         }
     }
 
-    /// Puts every link back to its usual latency without faults.
+    /// Resets every link to its default latency without faults.
     pub fn heal(&self) {
         for link in &self.links {
-            let usual = self.usual(&link.from, &link.to);
-            link.control.set_faults(|faults| *faults = usual);
+            let defaults = self.default_faults(&link.from, &link.to);
+            link.control.set_faults(|faults| *faults = defaults);
         }
     }
 
@@ -226,7 +227,7 @@
         self.options.seed.wrapping_add(self.links.len() as u64)
     }
 
-    fn usual(&self, from: &NetworkLocation, to: &NetworkLocation) -> LinkFaults {
+    fn default_faults(&self, from: &NetworkLocation, to: &NetworkLocation) -> LinkFaults {
         let latency = match (from, to) {
             (NetworkLocation::Platform, _) | (_, NetworkLocation::Platform) => {
                 self.options.to_platform
--- a/crates/hawthorn-standin/src/proxy/route.rs
+++ b/crates/hawthorn-standin/src/proxy/route.rs
@@ -1,4 +1,4 @@
-//! Where a link leads, and which faults each client meets.
+//! The upstream of a link, and the faults of each client.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -8,7 +8,7 @@
 
 use super::faults::LinkControl;
 
-/// The upstream of a link and the handles of its clients.
+/// The upstream of a link and the control handles of its clients.
 #[derive(Clone, Debug)]
 pub(super) struct LinkRoute {
     upstream: watch::Receiver<Option<SocketAddr>>,
@@ -17,13 +17,13 @@
 }
 
 impl LinkRoute {
-    /// One upstream, the same faults for every client.
+    /// A fixed upstream with the same faults for all clients.
     pub(super) fn single(upstream: SocketAddr, control: LinkControl) -> Self {
         let (_, upstream) = watch::channel(Some(upstream));
         Self { upstream, by_source: HashMap::new(), other: control }
     }
 
-    /// Faults by the address that a client comes from; `other` for the rest.
+    /// Faults by the source address of a client; `other` for all other clients.
     pub(super) fn by_source(
         upstream: watch::Receiver<Option<SocketAddr>>,
         by_source: HashMap<IpAddr, LinkControl>,
@@ -32,7 +32,7 @@
         Self { upstream, by_source, other }
     }
 
-    /// None until it is known.
+    /// The upstream; `None` until it is set.
     pub(super) fn upstream(&self) -> Option<SocketAddr> {
         *self.upstream.borrow()
     }
--- a/crates/hawthorn-standin/src/proxy/tcp.rs
+++ b/crates/hawthorn-standin/src/proxy/tcp.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy in front of one address.
+//! TCP proxy in front of one address.
 
 use std::io;
 use std::net::SocketAddr;
@@ -25,13 +25,13 @@
 use crate::timer;
 use crate::wire;
 
-/// Bytes read at a time.
-const CHUNK: usize = 16 << 10;
-/// Chunks on their way in one direction: enough that a latency of tens of
-/// milliseconds does not bound the throughput of a test.
-const CHUNKS: usize = 64;
+/// Maximum size of a read in bytes.
+const CHUNK_BYTES: usize = 16 << 10;
+/// Maximum number of chunks in flight per direction. Large enough that a latency of
+/// tens of milliseconds does not limit the throughput of a test.
+const MAX_CHUNKS_IN_FLIGHT: usize = 64;
 
-/// A running proxy; stops when dropped.
+/// A running proxy. Dropping it stops the proxy.
 #[derive(Debug)]
 pub struct TcpProxy {
     address: SocketAddr,
@@ -39,7 +39,7 @@
     _stop: DropGuard,
 }
 
-/// How the connection ended.
+/// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionEnd {
     Closed,
@@ -47,7 +47,7 @@
 }
 
 impl TcpProxy {
-    /// Starts a proxy in front of `upstream`. The same `seed` makes the same draws.
+    /// Starts a proxy in front of `upstream`. The same `seed` gives the same random faults.
     pub async fn start(
         upstream: SocketAddr,
         seed: u64,
@@ -62,12 +62,12 @@
         Ok(Self { address, control, _stop: stop.drop_guard() })
     }
 
-    /// Where it listens.
+    /// The listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The test's handle on it.
+    /// The control handle.
     pub fn control(&self) -> &LinkControl {
         &self.control
     }
@@ -81,7 +81,7 @@
             accepted = listener.accept() => accepted,
         };
         let Ok((client, address)) = accepted else { continue };
-        // Closed at once while nobody listens behind the link.
+        // The connection is closed immediately while the upstream is not set.
         let Some(upstream) = route.upstream() else { continue };
         let control = route.control(address);
         control.lock().connections += 1;
@@ -104,17 +104,17 @@
 
 impl Connection {
     async fn run(self, mut client: TcpStream, upstream: SocketAddr) {
-        let end = self.pass(&mut client, upstream).await;
+        let end = self.forward(&mut client, upstream).await;
         if end != ConnectionEnd::Closed {
             self.control.lock().resets += 1;
-            // Without lingering, the close is sent as a reset.
+            // With a linger time of zero, closing sends a reset.
             if let Err(err) = client.set_zero_linger() {
-                log::debug!("a connection was gone before its reset: {err}");
+                log::debug!("a connection had ended before its reset: {err}");
             }
         }
     }
 
-    async fn pass(&self, client: &mut TcpStream, upstream: SocketAddr) -> ConnectionEnd {
+    async fn forward(&self, client: &mut TcpStream, upstream: SocketAddr) -> ConnectionEnd {
         let faults = self.control.faults();
         let mut resets = self.control.watch_resets();
         let mut rng = self.control.rng(self.number, LinkDirection::Forward);
@@ -124,10 +124,10 @@
         if faults.black_hole {
             return tokio::select! {
                 _ = resets.changed() => ConnectionEnd::Reset,
-                () = swallow(client) => ConnectionEnd::Closed,
+                () = discard_all(client) => ConnectionEnd::Closed,
             };
         }
-        // An upstream that refuses shows to the client as a reset.
+        // The client sees a refusal by the upstream as a reset.
         let Ok(mut upstream) = self.connect(upstream).await else { return ConnectionEnd::Reset };
         if client.set_nodelay(true).and(upstream.set_nodelay(true)).is_err() {
             return ConnectionEnd::Reset;
@@ -146,14 +146,14 @@
         }
     }
 
-    /// Connects once nothing cuts the way to the upstream.
+    /// Connects to the upstream once no direction is blocked.
     async fn connect(&self, upstream: SocketAddr) -> io::Result<TcpStream> {
         let mut faults = self.control.watch_faults();
         drop(faults.wait_for(|faults| !faults.cut_forward && !faults.cut_backward).await);
         TcpStream::connect(upstream).await
     }
 
-    /// Hands bytes on, each after its delay, until the reader ends.
+    /// Forwards bytes, each chunk after its delay, until the end of the reader.
     async fn pump(
         &self,
         reader: impl AsyncRead + Unpin,
@@ -161,7 +161,7 @@
         direction: LinkDirection,
         rng: ChaCha8Rng,
     ) -> io::Result<()> {
-        let (sender, receiver) = mpsc::channel(CHUNKS);
+        let (sender, receiver) = mpsc::channel(MAX_CHUNKS_IN_FLIGHT);
         let read = self.read(reader, sender, rng);
         let write = self.write(writer, receiver, direction);
         tokio::try_join!(read, write)?;
@@ -174,11 +174,11 @@
         sender: mpsc::Sender<(Instant, Bytes)>,
         mut rng: ChaCha8Rng,
     ) -> io::Result<()> {
-        let mut buffer = vec![0; CHUNK];
+        let mut buffer = vec![0; CHUNK_BYTES];
         let mut due = Instant::now();
         loop {
             let length = reader.read(&mut buffer).await?;
-            // Never before the chunk ahead of it, whatever the jitter.
+            // Jitter must not reorder chunks.
             due = due.max(Instant::now() + self.control.faults().delay(&mut rng));
             let chunk = Bytes::copy_from_slice(&buffer[..length]);
             if sender.send((due, chunk)).await.is_err() || length == 0 {
@@ -198,20 +198,20 @@
         while let Some((due, chunk)) = receiver.recv().await {
             timer::sleep_until(due).await;
             let passes = |faults: &LinkFaults| faults.black_hole || !faults.is_cut(direction);
-            let met = faults.wait_for(passes).await.map(|faults| *faults);
-            let Ok(met) = met else { return Ok(()) };
-            if met.black_hole {
-                // Goes silent for good: bytes swallowed can't be brought back.
+            let current = faults.wait_for(passes).await.map(|faults| *faults);
+            let Ok(current) = current else { return Ok(()) };
+            if current.black_hole {
+                // Stays silent for good, as discarded bytes cannot be recovered.
                 return std::future::pending().await;
             }
             if chunk.is_empty() {
                 return writer.shutdown().await;
             }
-            if direction == LinkDirection::Backward && first && self.control.loses_answer() {
+            if direction == LinkDirection::Backward && first && self.control.take_lost_answer() {
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
             first = false;
-            hand_on(&mut writer, &chunk, met).await?;
+            write_chunk(&mut writer, &chunk, current).await?;
             self.count(direction, chunk.len());
         }
         Ok(())
@@ -226,22 +226,22 @@
     }
 }
 
-async fn hand_on(
+async fn write_chunk(
     writer: &mut (impl AsyncWrite + Unpin),
     chunk: &[u8],
     faults: LinkFaults,
 ) -> io::Result<()> {
-    let Some(drip) = faults.drip else { return writer.write_all(chunk).await };
-    for lot in chunk.chunks(drip.bytes.max(1)) {
-        timer::sleep(drip.every).await;
-        writer.write_all(lot).await?;
+    let Some(throttle) = faults.throttle else { return writer.write_all(chunk).await };
+    for part in chunk.chunks(throttle.chunk_bytes.max(1)) {
+        timer::sleep(throttle.delay).await;
+        writer.write_all(part).await?;
     }
     Ok(())
 }
 
-/// Reads and drops until the client closes.
-async fn swallow(client: &mut TcpStream) {
-    let mut buffer = vec![0; CHUNK];
+/// Discards everything that the client sends until it closes the connection.
+async fn discard_all(client: &mut TcpStream) {
+    let mut buffer = vec![0; CHUNK_BYTES];
     while let Ok(length) = client.read(&mut buffer).await {
         if length == 0 {
             return;
--- a/crates/hawthorn-standin/src/proxy/udp.rs
+++ b/crates/hawthorn-standin/src/proxy/udp.rs
@@ -1,7 +1,7 @@
-//! A UDP forwarder in front of one address, for heartbeats.
+//! UDP proxy in front of one address, for heartbeats.
 //!
-//! Each client gets a socket of its own towards the upstream, which sees that
-//! socket as the sender and can answer through it.
+//! Each client has its own socket towards the upstream, which sees that socket as the
+//! sender and can answer through it.
 
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -21,10 +21,10 @@
 use super::route::LinkRoute;
 use crate::timer;
 
-/// Larger than any datagram.
-const DATAGRAM: usize = 1 << 16;
+/// Buffer size in bytes, larger than any datagram.
+const MAX_DATAGRAM_BYTES: usize = 1 << 16;
 
-/// A running forwarder; stops when dropped.
+/// A running proxy. Dropping it stops the proxy.
 #[derive(Debug)]
 pub struct UdpProxy {
     address: SocketAddr,
@@ -33,7 +33,7 @@
 }
 
 impl UdpProxy {
-    /// Starts a forwarder in front of `upstream`. The same `seed` makes the same draws.
+    /// Starts a proxy in front of `upstream`. The same `seed` gives the same random faults.
     pub async fn start(
         upstream: SocketAddr,
         seed: u64,
@@ -49,18 +49,18 @@
         Ok(Self { address, control, _stop: stop.drop_guard() })
     }
 
-    /// Where it listens.
+    /// The listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The test's handle on it.
+    /// The control handle.
     pub fn control(&self) -> &LinkControl {
         &self.control
     }
 }
 
-/// Forwards what arrives at `socket` until `stop` is cancelled.
+/// Forwards datagrams that arrive at `socket` until `stop` is cancelled.
 pub(super) async fn forward(socket: Arc<UdpSocket>, route: LinkRoute, stop: CancellationToken) {
     Forwarder { socket, route, stop }.run().await;
 }
@@ -71,8 +71,8 @@
     stop: CancellationToken,
 }
 
-/// One direction of one client's way.
-struct ForwardedWay {
+/// One direction of the traffic of one client.
+struct ForwardPath {
     control: LinkControl,
     direction: LinkDirection,
     rng: ChaCha8Rng,
@@ -90,41 +90,41 @@
     }
 
     async fn forward(&self) {
-        let mut ways: HashMap<SocketAddr, ForwardedWay> = HashMap::new();
-        let mut buffer = vec![0; DATAGRAM];
+        let mut paths: HashMap<SocketAddr, ForwardPath> = HashMap::new();
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            // An error here is an earlier datagram that found nobody: UDP goes on.
+            // An error reports that an earlier datagram was not deliverable; later ones may be.
             let Ok((length, client)) = self.socket.recv_from(&mut buffer).await else { continue };
-            if !ways.contains_key(&client) {
-                // Lost while nobody listens behind the link.
+            if !paths.contains_key(&client) {
+                // Datagrams are lost while the upstream is not set.
                 let Some(upstream) = self.route.upstream() else { continue };
-                let number = ways.len() as u64;
-                let Ok(way) = self.open(client, upstream, number).await else { continue };
-                ways.insert(client, way);
+                let number = paths.len() as u64;
+                let Ok(path) = self.open_path(client, upstream, number).await else { continue };
+                paths.insert(client, path);
             }
-            if let Some(way) = ways.get_mut(&client) {
-                way.pass(&buffer[..length]);
+            if let Some(path) = paths.get_mut(&client) {
+                path.send(&buffer[..length]);
             }
         }
     }
 
-    async fn open(
+    async fn open_path(
         &self,
         client: SocketAddr,
         to: SocketAddr,
         number: u64,
-    ) -> Result<ForwardedWay, Error> {
+    ) -> Result<ForwardPath, Error> {
         let control = self.route.control(client);
         let upstream = Arc::new(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?);
-        let backward = ForwardedWay {
+        let backward = ForwardPath {
             control: control.clone(),
             direction: LinkDirection::Backward,
             rng: control.rng(number, LinkDirection::Backward),
             from: Arc::clone(&self.socket),
             to: client,
         };
-        tokio::spawn(answers(Arc::clone(&upstream), backward, self.stop.clone()));
-        Ok(ForwardedWay {
+        tokio::spawn(forward_answers(Arc::clone(&upstream), backward, self.stop.clone()));
+        Ok(ForwardPath {
             control: control.clone(),
             direction: LinkDirection::Forward,
             rng: control.rng(number, LinkDirection::Forward),
@@ -134,41 +134,41 @@
     }
 }
 
-async fn answers(upstream: Arc<UdpSocket>, mut way: ForwardedWay, stop: CancellationToken) {
-    let mut buffer = vec![0; DATAGRAM];
+async fn forward_answers(upstream: Arc<UdpSocket>, mut path: ForwardPath, stop: CancellationToken) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let received = tokio::select! {
             () = stop.cancelled() => return,
             received = upstream.recv_from(&mut buffer) => received,
         };
         if let Ok((length, _)) = received {
-            way.pass(&buffer[..length]);
+            path.send(&buffer[..length]);
         }
     }
 }
 
-impl ForwardedWay {
-    /// Sends one datagram on, or loses it, or sends it twice.
-    fn pass(&mut self, datagram: &[u8]) {
+impl ForwardPath {
+    /// Forwards one datagram, unless a fault loses or duplicates it.
+    fn send(&mut self, datagram: &[u8]) {
         let faults = self.control.faults();
-        // All draws are made for each datagram, so that a change of one fault
-        // leaves the fate of later datagrams under the others as it was.
+        // The number of draws per datagram is constant, so that changing one fault does
+        // not change how the others affect later datagrams.
         let lost = self.rng.random_bool(faults.loss.clamp(0.0, 1.0));
-        let twice = self.rng.random_bool(faults.duplicates.clamp(0.0, 1.0));
+        let duplicated = self.rng.random_bool(faults.duplicates.clamp(0.0, 1.0));
         let delays = [faults.delay(&mut self.rng), faults.delay(&mut self.rng)];
         if lost || faults.black_hole || faults.is_cut(self.direction) {
             self.control.lock().datagrams_lost += 1;
             return;
         }
         self.control.lock().datagrams += 1;
-        for delay in delays.into_iter().take(1 + usize::from(twice)) {
+        for delay in delays.into_iter().take(1 + usize::from(duplicated)) {
             let datagram = datagram.to_vec();
             let socket = Arc::clone(&self.from);
             let to = self.to;
             tokio::spawn(async move {
                 timer::sleep(delay).await;
                 if let Err(err) = socket.send_to(&datagram, to).await {
-                    log::debug!("a datagram found nobody: {err}");
+                    log::debug!("a datagram was not delivered: {err}");
                 }
             });
         }
--- a/crates/hawthorn-standin/tests/proxy.rs
+++ b/crates/hawthorn-standin/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! Each fault of the proxies brings about its effect.
+//! Each fault of the proxies has its effect.
 
 mod support;
 
@@ -9,12 +9,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hawthorn_standin::proxy::DripRate;
 use hawthorn_standin::proxy::LinkFaults;
 use hawthorn_standin::proxy::NetworkLocation;
 use hawthorn_standin::proxy::NetworkOptions;
 use hawthorn_standin::proxy::StandinNetwork;
 use hawthorn_standin::proxy::TcpProxy;
+use hawthorn_standin::proxy::ThrottleRate;
 use hawthorn_standin::proxy::UdpProxy;
 use support::Fallible;
 use support::TestResult;
@@ -28,10 +28,10 @@
 use tokio::time::timeout;
 use tokio_util::sync::CancellationToken;
 
-/// Long enough that anything on its way would have arrived.
+/// Long enough for traffic in flight to arrive.
 const SILENCE: Duration = Duration::from_millis(60);
 
-/// An address that sends every byte back.
+/// Starts a server that echoes every byte.
 async fn echo() -> Fallible<SocketAddr> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let address = listener.local_addr()?;
@@ -81,24 +81,24 @@
     name: &'static str,
     faults: LinkFaults,
     bytes: usize,
-    at_least: Duration,
+    min_delay: Duration,
 }
 
 #[tokio::test]
-async fn delays_are_never_shorter_than_told() -> TestResult {
-    let drip = DripRate { bytes: 2, every: Duration::from_millis(5) };
+async fn delays_are_never_shorter_than_configured() -> TestResult {
+    let throttle = ThrottleRate { chunk_bytes: 2, delay: Duration::from_millis(5) };
     let cases = [
         DelayCase {
-            name: "latency, both ways",
+            name: "latency, both directions",
             faults: LinkFaults { latency: Duration::from_millis(20), ..LinkFaults::default() },
             bytes: 1,
-            at_least: Duration::from_millis(40),
+            min_delay: Duration::from_millis(40),
         },
         DelayCase {
-            name: "drip, five lots forward",
-            faults: LinkFaults { drip: Some(drip), ..LinkFaults::default() },
+            name: "throttle, five chunks forward",
+            faults: LinkFaults { throttle: Some(throttle), ..LinkFaults::default() },
             bytes: 10,
-            at_least: Duration::from_millis(25),
+            min_delay: Duration::from_millis(25),
         },
     ];
     for case in cases {
@@ -106,7 +106,7 @@
         let mut stream = TcpStream::connect(proxy.address()).await?;
         let start = Instant::now();
         round_trip(&mut stream, &vec![7; case.bytes]).await?;
-        assert!(start.elapsed() >= case.at_least, "{}", case.name);
+        assert!(start.elapsed() >= case.min_delay, "{}", case.name);
     }
     Ok(())
 }
@@ -125,8 +125,8 @@
     Ok(())
 }
 
-/// A caller waits until its deadline although the target is gone: the kernel
-/// accepted the connection and nobody reads it.
+/// Simulates a dead target whose kernel still accepts connections: nothing reads them, and
+/// a caller waits until its deadline.
 #[tokio::test]
 async fn a_black_hole_accepts_and_stays_silent() -> TestResult {
     let proxy = proxy(LinkFaults::default()).await?;
@@ -141,36 +141,40 @@
     Ok(())
 }
 
-struct CutCase {
+struct BlockCase {
     name: &'static str,
-    cut: fn(&mut LinkFaults),
-    reached: u64,
+    fault: fn(&mut LinkFaults),
+    bytes_forward: u64,
 }
 
-/// A target runs what it is sent and no answer comes back, or hears nothing at
-/// all: one way of the network is cut. What waited must arrive once it heals.
+/// Simulates a one-way network partition: a target receives no requests, or its answers do
+/// not arrive. Bytes that were held back must arrive after it heals.
 #[tokio::test]
-async fn a_one_way_cut_holds_bytes_back_until_it_heals() -> TestResult {
+async fn a_one_way_partition_holds_bytes_back_until_it_heals() -> TestResult {
     let cases = [
-        CutCase { name: "forward", cut: |faults| faults.cut_forward = true, reached: 1 },
-        CutCase { name: "backward", cut: |faults| faults.cut_backward = true, reached: 2 },
+        BlockCase { name: "forward", fault: |faults| faults.cut_forward = true, bytes_forward: 1 },
+        BlockCase {
+            name: "backward",
+            fault: |faults| faults.cut_backward = true,
+            bytes_forward: 2,
+        },
     ];
     for case in cases {
         let proxy = proxy(LinkFaults::default()).await?;
         let mut stream = TcpStream::connect(proxy.address()).await?;
         round_trip(&mut stream, b"a").await?;
-        proxy.control().set_faults(case.cut);
+        proxy.control().set_faults(case.fault);
         stream.write_all(b"b").await?;
         assert!(timeout(SILENCE, stream.read_u8()).await.is_err(), "{}", case.name);
-        assert_eq!(proxy.control().counters().bytes_forward, case.reached, "{}", case.name);
+        assert_eq!(proxy.control().counters().bytes_forward, case.bytes_forward, "{}", case.name);
         proxy.control().set_faults(|faults| *faults = LinkFaults::default());
         assert_eq!(stream.read_u8().await?, b'b', "{}", case.name);
     }
     Ok(())
 }
 
-/// An order is confirmed and its sender never hears: the connection broke after
-/// the request had passed and before the answer did.
+/// Simulates a request that runs and whose answer is lost: the connection is reset after
+/// the request has passed and before the answer.
 #[tokio::test]
 async fn an_answer_can_be_lost_after_its_request_passed() -> TestResult {
     let proxy = proxy(LinkFaults { lost_answers: 1, ..LinkFaults::default() }).await?;
@@ -189,18 +193,18 @@
 }
 
 #[tokio::test]
-async fn datagrams_are_lost_doubled_and_cut() -> TestResult {
+async fn datagrams_are_lost_duplicated_and_blocked() -> TestResult {
     let none = LinkFaults::default();
     let cases = [
         LossCase { name: "no fault", faults: none, received: 100..=100 },
         LossCase { name: "loss", faults: LinkFaults { loss: 0.5, ..none }, received: 30..=70 },
         LossCase {
-            name: "doubled",
+            name: "duplicated",
             faults: LinkFaults { duplicates: 1.0, ..none },
             received: 200..=200,
         },
         LossCase {
-            name: "cut forward",
+            name: "blocked forward",
             faults: LinkFaults { cut_forward: true, ..none },
             received: 0..=0,
         },
@@ -208,16 +212,16 @@
     for case in cases {
         let mut counts = Vec::new();
         for _run in 0..2 {
-            counts.push(received(case.faults).await?);
+            counts.push(count_received(case.faults).await?);
         }
         assert!(case.received.contains(&counts[0]), "{}: {}", case.name, counts[0]);
-        assert_eq!(counts[0], counts[1], "{}: the same seed, the same fate", case.name);
+        assert_eq!(counts[0], counts[1], "{}: the same seed must give the same losses", case.name);
     }
     Ok(())
 }
 
-/// How many of a hundred datagrams arrive.
-async fn received(faults: LinkFaults) -> Fallible<usize> {
+/// Number of datagrams that arrive when a hundred are sent.
+async fn count_received(faults: LinkFaults) -> Fallible<usize> {
     let upstream = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let stop = CancellationToken::new();
     let proxy = UdpProxy::start(upstream.local_addr()?, 1, faults, &stop).await?;
@@ -225,15 +229,15 @@
     for number in 0..100_u8 {
         client.send_to(&[number], proxy.address()).await?;
     }
-    let met = || {
+    let processed = || {
         let counters = proxy.control().counters();
         counters.datagrams + counters.datagrams_lost
     };
-    while met() < 100 {
+    while processed() < 100 {
         tokio::task::yield_now().await;
     }
-    let each = if faults.duplicates > 0.0 { 2 } else { 1 };
-    let expected = usize::try_from(proxy.control().counters().datagrams)? * each;
+    let copies = if faults.duplicates > 0.0 { 2 } else { 1 };
+    let expected = usize::try_from(proxy.control().counters().datagrams)? * copies;
     let mut buffer = [0; 8];
     for _datagram in 0..expected {
         upstream.recv_from(&mut buffer).await?;
@@ -243,7 +247,7 @@
 }
 
 #[tokio::test]
-async fn datagrams_are_answered_through_the_forwarder() -> TestResult {
+async fn datagrams_are_answered_through_the_proxy() -> TestResult {
     let upstream = Arc::new(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?);
     let proxy = UdpProxy::start(
         upstream.local_addr()?,
@@ -262,18 +266,18 @@
     Ok(())
 }
 
-/// Two zones stop hearing each other while both reach a third and the platform
-/// is out of reach for all.
+/// Two zones are partitioned from each other while one still reaches a third, and the
+/// platform is unreachable.
 #[tokio::test]
-async fn partitions_cut_by_place_and_heal() -> TestResult {
+async fn partitions_separate_locations_and_heal() -> TestResult {
     let kurasini = NetworkLocation::zone("kurasini");
     let kigamboni = NetworkLocation::zone("kigamboni");
     let mbagala = NetworkLocation::zone("mbagala");
     let mut network = StandinNetwork::new(NetworkOptions::dar_port());
-    let places = [&kigamboni, &mbagala, &NetworkLocation::Platform];
+    let locations = [&kigamboni, &mbagala, &NetworkLocation::Platform];
     let mut streams = Vec::new();
-    for place in places {
-        let address = network.link_tcp(kurasini.clone(), place.clone(), echo().await?).await?;
+    for location in locations {
+        let address = network.link_tcp(kurasini.clone(), location.clone(), echo().await?).await?;
         let mut stream = TcpStream::connect(address).await?;
         round_trip(&mut stream, b"a").await?;
         streams.push(stream);
@@ -281,8 +285,8 @@
     network.partition(&[slice::from_ref(&kurasini), slice::from_ref(&kigamboni)]);
     network.cut_platform();
     round_trip(&mut streams[1], b"b").await?;
-    for cut in [0, 2] {
-        let stream = &mut streams[cut];
+    for blocked in [0, 2] {
+        let stream = &mut streams[blocked];
         assert!(timeout(SILENCE, round_trip(stream, b"b")).await.is_err());
     }
     network.heal();
@@ -293,10 +297,10 @@
     Ok(())
 }
 
-/// Daemons of one zone lose a host that daemons of another still reach: the cut
-/// lies between two zones, and the host has one address for all.
+/// A partition between two zones makes a host unreachable for one zone only, although the
+/// host has the same address for all.
 #[tokio::test]
-async fn a_host_is_cut_off_by_where_its_peer_stands() -> TestResult {
+async fn host_link_faults_depend_on_the_source_address() -> TestResult {
     let near = (IpAddr::from([127, 0, 0, 1]), NetworkLocation::zone("kurasini"));
     let far = (IpAddr::from([127, 0, 0, 2]), NetworkLocation::zone("kigamboni"));
     let host = NetworkLocation::zone("mbagala");
