--- a/crates/hawthorn-standin/src/platform/control.rs
+++ b/crates/hawthorn-standin/src/platform/control.rs
@@ -1,4 +1,4 @@
-//! The test's handle on a running platform.
+//! Control handle of a running platform, for tests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use super::faults::StoreOutage;
 use super::hosts::HostList;
 use super::options::PlatformOptions;
-use super::rate::CallRate;
+use super::rate_limit::RateLimiter;
 use super::store::Store;
 use super::store::StoreBackup;
 use super::store::WriteError;
@@ -46,24 +46,24 @@
 }
 
 impl CallKind {
-    /// Whether it counts against the rate of writes.
-    pub fn writes(self) -> bool {
+    /// Whether the call counts towards the rate limit of writes.
+    pub fn is_write(self) -> bool {
         matches!(self, Self::Put | Self::Delete | Self::Grant | Self::Renew)
     }
 }
 
-/// How often a kind of call was made.
+/// Numbers of calls of one kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub struct CallCounters {
     /// All calls.
     pub calls: u64,
-    /// Those answered 429.
-    pub over_rate: u64,
-    /// Those that met an outage.
+    /// Calls answered with status 429.
+    pub rate_limited: u64,
+    /// Calls that arrived during an outage.
     pub in_outage: u64,
 }
 
-/// Changes and reads a running platform. Clones share the platform.
+/// Controls and inspects a running platform. Clones refer to the same platform.
 #[derive(Clone, Debug)]
 pub struct PlatformControl {
     pub(super) shared: Arc<Shared>,
@@ -76,7 +76,7 @@
     host_lag: Duration,
     start: Instant,
     state: Mutex<State>,
-    /// Moves on with each change of a key, to wake the watches.
+    /// Incremented with each change of a key, to wake watches.
     pub(super) changes: watch::Sender<u64>,
     pub(super) faults: watch::Sender<PlatformFaults>,
 }
@@ -85,8 +85,8 @@
 pub(super) struct State {
     pub(super) store: Store,
     pub(super) hosts: HostList,
-    pub(super) writes: CallRate,
-    pub(super) reads: CallRate,
+    pub(super) writes: RateLimiter,
+    pub(super) reads: RateLimiter,
     pub(super) counters: BTreeMap<CallKind, CallCounters>,
 }
 
@@ -96,14 +96,14 @@
         self.start.elapsed()
     }
 
-    /// The state with lapsed leases gone.
+    /// Locks the state and removes expired leases.
     pub(super) fn lock(&self) -> MutexGuard<'_, State> {
-        let mut state = self.state.lock().expect("nothing panics while it holds the store");
+        let mut state = self.state.lock().expect("no holder of the lock panics");
         state.store.expire(self.now());
         state
     }
 
-    pub(super) fn changed(&self) {
+    pub(super) fn notify_watches(&self) {
         self.changes.send_modify(|change| *change += 1);
     }
 }
@@ -113,8 +113,8 @@
         let state = State {
             store: Store::default(),
             hosts: HostList::default(),
-            writes: CallRate::new(options.writes_per_second),
-            reads: CallRate::new(options.reads_per_second),
+            writes: RateLimiter::new(options.writes_per_second),
+            reads: RateLimiter::new(options.reads_per_second),
             counters: BTreeMap::new(),
         };
         let shared = Shared {
@@ -129,62 +129,62 @@
         Self { shared: Arc::new(shared) }
     }
 
-    /// Changes the faults in force.
+    /// Changes the active faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut PlatformFaults)) {
         self.shared.faults.send_modify(change);
     }
 
-    /// Begins or ends an outage.
+    /// Starts or ends an outage.
     pub fn set_outage(&self, outage: StoreOutage) {
         self.set_faults(|faults| faults.outage = outage);
     }
 
-    /// The entry of `key`, whatever faults are in force.
+    /// The entry of `key`, regardless of active faults.
     pub fn get(&self, key: &str) -> Option<StoreEntry> {
         self.shared.lock().store.get(key)
     }
 
-    /// The entries under `prefix`, without values, whatever faults are in force.
+    /// The entries under `prefix`, without values, regardless of active faults.
     pub fn list(&self, prefix: &str) -> Vec<StoreEntry> {
         self.shared.lock().store.list(prefix)
     }
 
-    /// Writes `key` by compare-and-swap, whatever faults are in force.
+    /// Writes `key` by compare-and-swap, regardless of active faults.
     pub fn put(&self, key: &str, put: StorePut) -> Result<StoreEntry, WriteError> {
         let written = self.shared.lock().store.put(key, put);
-        self.shared.changed();
+        self.shared.notify_watches();
         written
     }
 
-    /// The keys as they are now.
+    /// A copy of the current keys.
     pub fn backup(&self) -> StoreBackup {
         self.shared.lock().store.backup()
     }
 
-    /// Brings older keys back, as a store restored from a backup does.
+    /// Replaces all keys with those of `backup`, including their older revisions.
     pub fn restore(&self, backup: StoreBackup) {
         self.shared.lock().store.restore(backup);
-        self.shared.changed();
+        self.shared.notify_watches();
     }
 
-    /// Shows `entry` in the list of hosts once the lag has passed.
+    /// Adds `entry` to the list of hosts after the lag.
     pub fn put_host(&self, entry: HostEntry) {
         let due = self.shared.now() + self.shared.host_lag;
         self.shared.lock().hosts.put(due, entry);
     }
 
-    /// Takes `host` off the list once the lag has passed.
+    /// Removes `host` from the list of hosts after the lag.
     pub fn remove_host(&self, host: &str) {
         let due = self.shared.now() + self.shared.host_lag;
         self.shared.lock().hosts.remove(due, host);
     }
 
-    /// How often `kind` was called.
+    /// Numbers of calls of `kind`.
     pub fn counters(&self, kind: CallKind) -> CallCounters {
         self.shared.lock().counters.get(&kind).copied().unwrap_or_default()
     }
 
-    /// How often each kind was called.
+    /// Numbers of calls of each kind.
     pub fn all_counters(&self) -> BTreeMap<CallKind, CallCounters> {
         self.shared.lock().counters.clone()
     }
--- a/crates/hawthorn-standin/src/platform/faults.rs
+++ b/crates/hawthorn-standin/src/platform/faults.rs
@@ -1,31 +1,31 @@
-//! What a test can make the platform do wrong.
+//! Faults that a test can inject into the platform.
 
 use std::time::Duration;
 
-/// Faults in force at the platform. The counted ones are used up one a
-/// write or deletion of a key; leases leave them alone.
+/// Active faults of the platform. Each write or deletion of a key consumes one of a
+/// counted fault; calls on leases do not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub struct PlatformFaults {
-    /// Added to the time of each call.
+    /// Additional delay of each call.
     pub extra_delay: Duration,
-    /// Whether it is down, and how that shows.
+    /// The outage, if any.
     pub outage: StoreOutage,
-    /// The next so many writes take effect, and then the connection closes
-    /// without an answer.
+    /// Number of next writes that take effect and whose connection is closed without
+    /// an answer.
     pub lost_write_answers: u32,
-    /// The next so many writes take effect and are answered 503.
+    /// Number of next writes that take effect and are answered with status 503.
     pub applied_unavailable: u32,
 }
 
-/// How an outage shows.
+/// Kinds of outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum StoreOutage {
-    /// There is none.
+    /// No outage.
     #[default]
     None,
-    /// Every call is answered 503 and takes no effect.
+    /// Every call is answered with status 503 and has no effect.
     Unavailable,
-    /// No call is answered as long as it lasts; none takes effect. A call that
-    /// still waits when the outage ends is answered 503.
+    /// No call is answered during the outage, and none has an effect. Calls that still
+    /// wait at its end are answered with status 503.
     Hang,
 }
--- a/crates/hawthorn-standin/src/platform/hosts.rs
+++ b/crates/hawthorn-standin/src/platform/hosts.rs
@@ -1,15 +1,15 @@
-//! The platform's list of hosts, which lags behind the truth.
+//! The platform's list of hosts, which shows changes with a delay.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use hawthorn_types::platform::HostEntry;
 
-/// The list and the changes that it does not show yet.
+/// The visible hosts and the pending changes.
 #[derive(Clone, Debug, Default)]
 pub struct HostList {
-    shown: BTreeMap<String, HostEntry>,
-    coming: Vec<HostChange>,
+    visible: BTreeMap<String, HostEntry>,
+    pending: Vec<HostChange>,
 }
 
 #[derive(Clone, Debug)]
@@ -20,27 +20,27 @@
 }
 
 impl HostList {
-    /// Shows `entry` from `due` on.
+    /// Adds `entry` at time `due`.
     pub fn put(&mut self, due: Duration, entry: HostEntry) {
-        self.coming.push(HostChange { due, host: entry.host.clone(), entry: Some(entry) });
+        self.pending.push(HostChange { due, host: entry.host.clone(), entry: Some(entry) });
     }
 
-    /// Takes `host` off the list from `due` on.
+    /// Removes `host` at time `due`.
     pub fn remove(&mut self, due: Duration, host: &str) {
-        self.coming.push(HostChange { due, host: host.to_owned(), entry: None });
+        self.pending.push(HostChange { due, host: host.to_owned(), entry: None });
     }
 
-    /// The list as it shows at `now`, by name.
+    /// The list at time `now`, ordered by name.
     pub fn at(&mut self, now: Duration) -> Vec<HostEntry> {
-        let (due, coming) = self.coming.drain(..).partition(|change| change.due <= now);
-        self.coming = coming;
+        let (due, pending) = self.pending.drain(..).partition(|change| change.due <= now);
+        self.pending = pending;
         let due: Vec<HostChange> = due;
         for change in due {
             match change.entry {
-                Some(entry) => self.shown.insert(change.host, entry),
-                None => self.shown.remove(&change.host),
+                Some(entry) => self.visible.insert(change.host, entry),
+                None => self.visible.remove(&change.host),
             };
         }
-        self.shown.values().cloned().collect()
+        self.visible.values().cloned().collect()
     }
 }
--- a/crates/hawthorn-standin/src/platform/mod.rs
+++ b/crates/hawthorn-standin/src/platform/mod.rs
@@ -1,10 +1,10 @@
-//! A stand-in for the platform: key-value store with compare-and-swap, leases
-//! and watches, and the lagging list of hosts.
+//! Stand-in for the platform: a key-value store with compare-and-swap, leases and
+//! watches, and a list of hosts that shows changes with a delay.
 //!
-//! - [`options`]: its rates and lags.
-//! - [`faults`]: what a test can make it do wrong.
-//! - [`control`]: the test's handle on a running platform.
-//! - [`store`]: the keys, without sockets or clock.
+//! - [`options`]: rate limits and delays.
+//! - [`faults`]: faults that a test can inject.
+//! - [`control`]: control handle of a running platform, for tests.
+//! - [`store`]: the key-value store, without sockets or clock.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 pub mod faults;
 pub mod hosts;
 pub mod options;
-pub mod rate;
+pub mod rate_limit;
 mod serving;
 pub mod store;
 
@@ -33,10 +33,10 @@
 pub use options::PlatformOptions;
 
 quick_error! {
-    /// Why the platform could not start.
+    /// Errors of starting the platform.
     #[derive(Debug)]
     pub enum Error {
-        /// No port could be bound.
+        /// Binding a port failed.
         Bind(err: io::Error) {
             display("cannot bind a loopback port: {err}")
             source(err)
@@ -45,7 +45,7 @@
     }
 }
 
-/// A running platform; stops when dropped.
+/// A running platform. Dropping it stops the platform.
 #[derive(Debug)]
 pub struct PlatformStandin {
     address: SocketAddr,
@@ -63,12 +63,12 @@
         Ok(Self { address, control, _stop: stop.drop_guard() })
     }
 
-    /// Where it listens.
+    /// The listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The test's handle on it.
+    /// The control handle.
     pub fn control(&self) -> &PlatformControl {
         &self.control
     }
@@ -84,13 +84,13 @@
         match accepted {
             Ok((stream, _)) => {
                 if let Err(err) = stream.set_nodelay(true) {
-                    log::debug!("a connection closed at once: {err}");
+                    log::debug!("a connection was closed immediately: {err}");
                     continue;
                 }
                 let handler = Arc::clone(&handler);
                 tokio::spawn(wire::serve_connection(stream, handler, stop.clone()));
             }
-            Err(err) => log::warn!("the platform cannot accept: {err}"),
+            Err(err) => log::warn!("the platform cannot accept connections: {err}"),
         }
     }
 }
--- a/crates/hawthorn-standin/src/platform/options.rs
+++ b/crates/hawthorn-standin/src/platform/options.rs
@@ -1,23 +1,25 @@
-//! Rates and lags of the platform.
+//! Rate limits and delays of the platform.
 
 use std::time::Duration;
 
 use tokio_util::sync::CancellationToken;
 
-/// How to start the platform.
+/// Options of the platform.
 #[derive(Clone, Debug)]
 pub struct PlatformOptions {
-    /// Writes a second before 429: "several hundred".
+    /// Writes per second; further ones are answered with status 429. The users' figure
+    /// is "several hundred".
     pub writes_per_second: u32,
-    /// Reads a second before 429; a waiting watch counts as one.
+    /// Reads per second; further ones are answered with status 429. A watch counts as
+    /// one read.
     pub reads_per_second: u32,
-    /// How long each call takes.
+    /// Delay of each call.
     pub delay: Duration,
-    /// How far the list of hosts lags.
+    /// Delay until the list of hosts shows a change.
     pub host_lag: Duration,
-    /// The longest a watch waits, whatever it asks for.
+    /// Maximum duration of a watch, regardless of the requested one.
     pub watch_limit: Duration,
-    /// Stops it.
+    /// Stops the platform when cancelled.
     pub stop: CancellationToken,
 }
 
--- a/crates/hawthorn-standin/src/platform/serving.rs
+++ b/crates/hawthorn-standin/src/platform/serving.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface of the platform.
+//! HTTP interface of the platform.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,7 +35,7 @@
     }
 }
 
-/// One call, understood.
+/// A parsed call.
 #[derive(Debug)]
 enum PlatformCall {
     Get { key: String },
@@ -65,54 +65,54 @@
 
 impl Handler for PlatformHandler {
     async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Result<Reply, Unanswered> {
-        let Some(call) = understand(request).await else {
+        let Some(call) = parse_call(request).await else {
             return Ok(wire::empty(StatusCode::BAD_REQUEST));
         };
         let kind = call.kind();
-        if !self.within_rate(kind) {
+        if !self.try_admit(kind) {
             return Ok(wire::empty(StatusCode::TOO_MANY_REQUESTS));
         }
         let faults = *self.shared.faults.borrow();
         timer::sleep(self.shared.delay + faults.extra_delay).await;
-        if self.wait_out(kind).await {
+        if self.await_outage(kind).await {
             return Ok(wire::empty(StatusCode::SERVICE_UNAVAILABLE));
         }
         let reply = self.answer(call).await;
-        self.lose(kind, reply)
+        self.apply_write_faults(kind, reply)
     }
 }
 
 impl PlatformHandler {
-    fn within_rate(&self, kind: CallKind) -> bool {
+    fn try_admit(&self, kind: CallKind) -> bool {
         let now = self.shared.now();
         let mut state = self.shared.lock();
-        let within = match kind.writes() {
-            true => state.writes.take(now),
-            false => state.reads.take(now),
+        let allowed = match kind.is_write() {
+            true => state.writes.try_take(now),
+            false => state.reads.try_take(now),
         };
         let counters = state.counters.entry(kind).or_default();
         counters.calls += 1;
-        counters.over_rate += u64::from(!within);
-        within
+        counters.rate_limited += u64::from(!allowed);
+        allowed
     }
 
-    /// Whether the call met an outage; one that hangs is sat out.
-    async fn wait_out(&self, kind: CallKind) -> bool {
+    /// Returns whether there is an outage; waits for the end of one that hangs.
+    async fn await_outage(&self, kind: CallKind) -> bool {
         let outage = self.shared.faults.borrow().outage;
         if outage == StoreOutage::None {
             return false;
         }
         self.shared.lock().counters.entry(kind).or_default().in_outage += 1;
         let mut faults = self.shared.faults.subscribe();
-        let over = |faults: &PlatformFaults| faults.outage != StoreOutage::Hang;
-        // The sender lives as long as this handler, so the wait cannot fail.
-        faults.wait_for(over).await.is_ok()
+        let has_ended = |faults: &PlatformFaults| faults.outage != StoreOutage::Hang;
+        // Cannot fail, as this handler holds the sender.
+        faults.wait_for(has_ended).await.is_ok()
     }
 
     async fn answer(&self, call: PlatformCall) -> Reply {
         let now = self.shared.now();
         match call {
-            PlatformCall::Get { key } => found(self.shared.lock().store.get(&key)),
+            PlatformCall::Get { key } => entry_reply(self.shared.lock().store.get(&key)),
             PlatformCall::List { prefix } => {
                 wire::json(StatusCode::OK, &self.shared.lock().store.list(&prefix))
             }
@@ -132,19 +132,19 @@
 
     fn put(&self, key: &str, put: StorePut) -> Reply {
         let written = self.shared.lock().store.put(key, put);
-        self.shared.changed();
+        self.shared.notify_watches();
         match written {
             Ok(entry) => wire::json(StatusCode::OK, &entry),
-            Err(err) => refused(&err),
+            Err(err) => write_error_reply(&err),
         }
     }
 
     fn delete(&self, key: &str, expect: u64) -> Reply {
         let deleted = self.shared.lock().store.delete(key, expect);
-        self.shared.changed();
+        self.shared.notify_watches();
         match deleted {
             Ok(()) => wire::empty(StatusCode::OK),
-            Err(err) => refused(&err),
+            Err(err) => write_error_reply(&err),
         }
     }
 
@@ -160,9 +160,9 @@
             }
             tokio::select! {
                 biased;
-                // A watch that is open when an outage begins meets it like any call.
-                () = outage_begins(&mut faults) => {
-                    self.wait_out(CallKind::Watch).await;
+                // An outage also affects watches that are open when it starts.
+                () = outage_starts(&mut faults) => {
+                    self.await_outage(CallKind::Watch).await;
                     return wire::empty(StatusCode::SERVICE_UNAVAILABLE);
                 }
                 _ = changes.changed() => {}
@@ -173,9 +173,9 @@
         }
     }
 
-    /// Loses the answer of a write that took effect, when a test asks for it.
-    fn lose(&self, kind: CallKind, reply: Reply) -> Result<Reply, Unanswered> {
-        // Leases are renewed in the background and would use the count up.
+    /// Applies the faults that replace the answer of a successful write.
+    fn apply_write_faults(&self, kind: CallKind, reply: Reply) -> Result<Reply, Unanswered> {
+        // Calls on leases are excluded, as background renewals would consume the count.
         let key_write = matches!(kind, CallKind::Put | CallKind::Delete);
         if !key_write || reply.status() != StatusCode::OK {
             return Ok(reply);
@@ -183,8 +183,8 @@
         let mut lost = false;
         let mut unavailable = false;
         self.shared.faults.send_if_modified(|faults| {
-            lost = use_up(&mut faults.lost_write_answers);
-            unavailable = !lost && use_up(&mut faults.applied_unavailable);
+            lost = take_one(&mut faults.lost_write_answers);
+            unavailable = !lost && take_one(&mut faults.applied_unavailable);
             lost || unavailable
         });
         match (lost, unavailable) {
@@ -195,42 +195,42 @@
     }
 }
 
-async fn outage_begins(faults: &mut watch::Receiver<PlatformFaults>) {
-    let begun = |faults: &PlatformFaults| faults.outage != StoreOutage::None;
-    // An error means that the platform is going away, which ends the watch too.
-    drop(faults.wait_for(begun).await);
+async fn outage_starts(faults: &mut watch::Receiver<PlatformFaults>) {
+    let has_started = |faults: &PlatformFaults| faults.outage != StoreOutage::None;
+    // An error means that the platform is being dropped, which ends the watch.
+    drop(faults.wait_for(has_started).await);
 }
 
-fn use_up(count: &mut u32) -> bool {
-    let had = *count > 0;
+fn take_one(count: &mut u32) -> bool {
+    let available = *count > 0;
     *count = count.saturating_sub(1);
-    had
+    available
 }
 
-fn found(entry: Option<StoreEntry>) -> Reply {
+fn entry_reply(entry: Option<StoreEntry>) -> Reply {
     match entry {
         Some(entry) => wire::json(StatusCode::OK, &entry),
         None => wire::empty(StatusCode::NOT_FOUND),
     }
 }
 
-fn refused(err: &WriteError) -> Reply {
+fn write_error_reply(err: &WriteError) -> Reply {
     match err {
         WriteError::Conflict(conflict) => wire::json(StatusCode::CONFLICT, conflict),
         WriteError::TooLarge => wire::empty(StatusCode::PAYLOAD_TOO_LARGE),
-        WriteError::LeaseLapsed | WriteError::Absent => wire::empty(StatusCode::NOT_FOUND),
+        WriteError::LeaseExpired | WriteError::Absent => wire::empty(StatusCode::NOT_FOUND),
     }
 }
 
-async fn understand(request: Request<Incoming>) -> Option<PlatformCall> {
+async fn parse_call(request: Request<Incoming>) -> Option<PlatformCall> {
     let method = request.method().clone();
-    let path = decoded(request.uri().path())?;
+    let path = percent_decode(request.uri().path())?;
     let query = request.uri().query().unwrap_or_default().to_owned();
     let number = |name: &str| parameter(&query, name).and_then(|text| text.parse::<u64>().ok());
     let body = request.into_body();
-    let (route, rest) = path.strip_prefix('/')?.split_once('/').unwrap_or((&path[1..], ""));
+    let (endpoint, rest) = path.strip_prefix('/')?.split_once('/').unwrap_or((&path[1..], ""));
     let key = rest.to_owned();
-    match (method, route) {
+    match (method, endpoint) {
         (Method::GET, "kv") => Some(PlatformCall::Get { key }),
         (Method::PUT, "kv") => Some(PlatformCall::Put { key, put: wire::read(body).await.ok()? }),
         (Method::DELETE, "kv") => Some(PlatformCall::Delete { key, expect: number("expect")? }),
@@ -259,8 +259,8 @@
         .map(|(_, value)| value)
 }
 
-/// The path with `%XX` decoded; nothing when that is not UTF-8.
-fn decoded(path: &str) -> Option<String> {
+/// Decodes `%XX` in a path; `None` when the result is not UTF-8.
+fn percent_decode(path: &str) -> Option<String> {
     const HEX: u32 = 16;
     let mut bytes = Vec::with_capacity(path.len());
     let mut rest = path.bytes();
--- a/crates/hawthorn-standin/src/platform/store.rs
+++ b/crates/hawthorn-standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Keys, revisions and leases. Time is passed in, since the platform started.
+//! Keys, revisions and leases. Times are passed in, relative to the platform's start.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,33 +9,33 @@
 use hawthorn_types::platform::StorePut;
 use quick_error::quick_error;
 
-/// The largest value kept, in bytes.
-pub const VALUE_LIMIT: usize = 1 << 20;
+/// Maximum size of a value in bytes.
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
 quick_error! {
-    /// Why a write took no effect.
+    /// Reasons why a write had no effect.
     #[derive(Debug, PartialEq, Eq)]
     pub enum WriteError {
-        /// The key is not at the revision expected.
+        /// The key is not at the expected revision.
         Conflict(conflict: StoreConflict) {
             display("the key is at revision {}", conflict.found)
         }
-        /// The value is larger than [`VALUE_LIMIT`].
+        /// The value is larger than [`MAX_VALUE_BYTES`].
         TooLarge {
-            display("the value is larger than the limit")
+            display("the value exceeds the maximum size")
         }
-        /// The lease named is unknown or has lapsed.
-        LeaseLapsed {
-            display("the lease has lapsed")
+        /// The lease is unknown or has expired.
+        LeaseExpired {
+            display("the lease has expired")
         }
-        /// The key to delete is absent.
+        /// The key to delete does not exist.
         Absent {
-            display("there is no such key")
+            display("the key does not exist")
         }
     }
 }
 
-/// The keys and leases in force.
+/// The current keys and leases.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     revision: u64,
@@ -44,7 +44,7 @@
     leases: BTreeMap<u64, StoredLease>,
 }
 
-/// The keys at one moment, to be brought back by [`Store::restore`].
+/// A copy of the keys at one moment, for [`Store::restore`].
 #[derive(Clone, Debug)]
 pub struct StoreBackup {
     revision: u64,
@@ -61,28 +61,28 @@
 #[derive(Clone, Copy, Debug)]
 struct StoredLease {
     ttl: Duration,
-    ends: Duration,
+    expires: Duration,
 }
 
 impl Store {
-    /// Drops leases that have lapsed at `now`, and the keys that depend on them.
-    /// Returns whether any key went.
+    /// Removes leases that have expired at `now`, and the keys attached to them.
+    /// Returns whether any key was removed.
     pub fn expire(&mut self, now: Duration) -> bool {
-        self.leases.retain(|_, lease| lease.ends > now);
+        self.leases.retain(|_, lease| lease.expires > now);
         let before = self.keys.len();
         let leases = &self.leases;
-        self.keys.retain(|_, kept| kept.lease.is_none_or(|lease| leases.contains_key(&lease)));
+        self.keys.retain(|_, stored| stored.lease.is_none_or(|lease| leases.contains_key(&lease)));
         self.keys.len() != before
     }
 
-    /// The next moment a lease lapses.
+    /// The earliest expiry of a lease.
     pub fn next_expiry(&self) -> Option<Duration> {
-        self.leases.values().map(|lease| lease.ends).min()
+        self.leases.values().map(|lease| lease.expires).min()
     }
 
     /// The entry of `key`.
     pub fn get(&self, key: &str) -> Option<StoreEntry> {
-        self.keys.get(key).map(|kept| entry(key, kept, true))
+        self.keys.get(key).map(|stored| entry(key, stored, true))
     }
 
     /// The entries whose key starts with `prefix`, without values.
@@ -90,27 +90,27 @@
         self.keys
             .range(prefix.to_owned()..)
             .take_while(|(key, _)| key.starts_with(prefix))
-            .map(|(key, kept)| entry(key, kept, false))
+            .map(|(key, stored)| entry(key, stored, false))
             .collect()
     }
 
-    /// Writes `key` when it is at the revision expected; the entry has no value.
+    /// Writes `key` if it is at the expected revision. The returned entry has no value.
     pub fn put(&mut self, key: &str, put: StorePut) -> Result<StoreEntry, WriteError> {
-        if put.value.len() > VALUE_LIMIT {
+        if put.value.len() > MAX_VALUE_BYTES {
             return Err(WriteError::TooLarge);
         }
         if put.lease.is_some_and(|lease| !self.leases.contains_key(&lease)) {
-            return Err(WriteError::LeaseLapsed);
+            return Err(WriteError::LeaseExpired);
         }
         self.expect(key, put.expect)?;
         self.revision += 1;
-        let kept = StoredKey { revision: self.revision, value: put.value, lease: put.lease };
-        let written = entry(key, &kept, false);
-        self.keys.insert(key.to_owned(), kept);
+        let stored = StoredKey { revision: self.revision, value: put.value, lease: put.lease };
+        let written = entry(key, &stored, false);
+        self.keys.insert(key.to_owned(), stored);
         Ok(written)
     }
 
-    /// Deletes `key` when it is at revision `expect`.
+    /// Deletes `key` if it is at revision `expect`.
     pub fn delete(&mut self, key: &str, expect: u64) -> Result<(), WriteError> {
         if !self.keys.contains_key(key) {
             return Err(WriteError::Absent);
@@ -121,33 +121,34 @@
         Ok(())
     }
 
-    /// Grants a lease of `ttl` from `now`.
+    /// Grants a lease that expires `ttl` after `now`.
     pub fn grant(&mut self, ttl: Duration, now: Duration) -> LeaseAnswer {
         self.last_lease += 1;
-        self.leases.insert(self.last_lease, StoredLease { ttl, ends: now + ttl });
+        self.leases.insert(self.last_lease, StoredLease { ttl, expires: now + ttl });
         lease_answer(self.last_lease, ttl)
     }
 
-    /// Renews `lease` from `now`; nothing when it has lapsed.
+    /// Renews `lease` at `now`; `None` when it has expired.
     pub fn renew(&mut self, lease: u64, now: Duration) -> Option<LeaseAnswer> {
-        let kept = self.leases.get_mut(&lease)?;
-        kept.ends = now + kept.ttl;
-        Some(lease_answer(lease, kept.ttl))
+        let stored = self.leases.get_mut(&lease)?;
+        stored.expires = now + stored.ttl;
+        Some(lease_answer(lease, stored.ttl))
     }
 
-    /// The keys as they are now.
+    /// A copy of the current keys.
     pub fn backup(&self) -> StoreBackup {
         StoreBackup { revision: self.revision, keys: self.keys.clone() }
     }
 
-    /// Brings older keys back, with their older revisions. Leases stay.
+    /// Replaces all keys with those of `backup`, including their revisions. Leases are
+    /// unchanged.
     pub fn restore(&mut self, backup: StoreBackup) {
         self.revision = backup.revision;
         self.keys = backup.keys;
     }
 
     fn expect(&self, key: &str, expect: u64) -> Result<(), WriteError> {
-        let found = self.keys.get(key).map_or(0, |kept| kept.revision);
+        let found = self.keys.get(key).map_or(0, |stored| stored.revision);
         match found == expect {
             true => Ok(()),
             false => Err(WriteError::Conflict(StoreConflict { found })),
@@ -155,9 +156,9 @@
     }
 }
 
-fn entry(key: &str, kept: &StoredKey, with_value: bool) -> StoreEntry {
-    let value = if with_value { kept.value.clone() } else { String::new() };
-    StoreEntry { key: key.to_owned(), revision: kept.revision, value }
+fn entry(key: &str, stored: &StoredKey, with_value: bool) -> StoreEntry {
+    let value = if with_value { stored.value.clone() } else { String::new() };
+    StoreEntry { key: key.to_owned(), revision: stored.revision, value }
 }
 
 fn lease_answer(lease: u64, ttl: Duration) -> LeaseAnswer {
--- a/crates/hawthorn-standin/tests/platform.rs
+++ b/crates/hawthorn-standin/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's store, its limits, and each of its faults.
+//! Store, limits and faults of the platform.
 
 mod support;
 
@@ -9,9 +9,9 @@
 use hawthorn_standin::platform::CallKind;
 use hawthorn_standin::platform::PlatformFaults;
 use hawthorn_standin::platform::StoreOutage;
-use hawthorn_standin::platform::rate::CallRate;
+use hawthorn_standin::platform::rate_limit::RateLimiter;
+use hawthorn_standin::platform::store::MAX_VALUE_BYTES;
 use hawthorn_standin::platform::store::Store;
-use hawthorn_standin::platform::store::VALUE_LIMIT;
 use hawthorn_standin::platform::store::WriteError;
 use hawthorn_types::platform::HostEntry;
 use hawthorn_types::platform::HostPhase;
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn malformed_calls_are_refused() -> TestResult {
+async fn malformed_calls_are_rejected() -> TestResult {
     let (_platform, mut client) = start().await?;
     let cases = [
         MalformedCase { method: Method::GET, path: "/", body: "", status: 400 },
@@ -90,23 +90,23 @@
 }
 
 #[test]
-fn writes_name_why_they_took_no_effect() -> TestResult {
+fn failed_writes_report_the_reason() -> TestResult {
     let mut store = Store::default();
     let written = store.put("k", put(0, "v"))?;
-    let large = "x".repeat(VALUE_LIMIT + 1);
+    let large = "x".repeat(MAX_VALUE_BYTES + 1);
     assert_eq!(store.put("k", put(written.revision, &large)), Err(WriteError::TooLarge));
-    let lapsed = StorePut { lease: Some(7), ..put(0, "v") };
-    assert_eq!(store.put("l", lapsed), Err(WriteError::LeaseLapsed));
+    let expired = StorePut { lease: Some(7), ..put(0, "v") };
+    assert_eq!(store.put("l", expired), Err(WriteError::LeaseExpired));
     let conflict = StoreConflict { found: written.revision };
     assert_eq!(store.delete("k", 0), Err(WriteError::Conflict(conflict)));
     assert_eq!(store.delete("m", 0), Err(WriteError::Absent));
     Ok(())
 }
 
-/// Two hosts believe they hold one lease: the first was paused past its end and
-/// goes on as before. Its renewal must fail and its key be gone.
+/// Guards against two holders of one lease: a host that was paused beyond the expiry of
+/// its lease must fail to renew it, and its key must be removed.
 #[test]
-fn a_lapsed_lease_takes_its_keys_along() -> TestResult {
+fn an_expired_lease_removes_its_keys() -> TestResult {
     let mut store = Store::default();
     let second = Duration::from_secs(1);
     let lease = store.grant(2 * second, Duration::ZERO).lease;
@@ -133,7 +133,7 @@
 }
 
 #[tokio::test]
-async fn a_watch_answers_a_change_or_the_end_of_its_wait() -> TestResult {
+async fn a_watch_returns_on_a_change_or_timeout() -> TestResult {
     let (platform, mut client) = start().await?;
     let written: StoreEntry = client.put(KEY, &put(0, "a")).await?.json()?;
     let old: StoreEntry = client.get("/watch/config/current?after=0&wait_ms=0").await?.json()?;
@@ -154,18 +154,18 @@
 }
 
 #[test]
-fn the_rate_bounds_calls_over_given_time() {
-    let mut rate = CallRate::new(100);
-    let mut passed = 0;
+fn the_rate_limiter_bounds_calls_over_time() {
+    let mut limiter = RateLimiter::new(100);
+    let mut accepted = 0;
     // Twice the rate for five seconds.
     for call in 0..1_000_u64 {
-        passed += u32::from(rate.take(Duration::from_millis(5 * call)));
+        accepted += u32::from(limiter.try_take(Duration::from_millis(5 * call)));
     }
-    assert!((500..=510).contains(&passed), "{passed}");
+    assert!((500..=510).contains(&accepted), "{accepted}");
 }
 
 #[tokio::test]
-async fn calls_over_the_rate_are_refused_and_counted() -> TestResult {
+async fn calls_over_the_rate_limit_are_rejected_and_counted() -> TestResult {
     let options = PlatformOptions { writes_per_second: 0, reads_per_second: 10_000, ..options() };
     let platform = PlatformStandin::start(options).await?;
     let mut client = Client::connect(platform.address()).await?;
@@ -173,7 +173,7 @@
     assert_eq!(client.put("/kv/b", &put(0, "b")).await?.status, 429);
     assert_eq!(client.get("/kv/b").await?.status, 404);
     let counters = platform.control().counters(CallKind::Put);
-    assert_eq!((counters.calls, counters.over_rate), (2, 1));
+    assert_eq!((counters.calls, counters.rate_limited), (2, 1));
     assert_eq!(platform.control().counters(CallKind::Get).calls, 1);
     Ok(())
 }
@@ -184,8 +184,8 @@
     status: Option<u16>,
 }
 
-/// An operator's edit is reported as failed, is sent again and conflicts with
-/// itself: the write took effect and its answer was lost.
+/// Simulates an edit that conflicts with itself: a write takes effect, its answer is lost,
+/// and the resent write fails with a conflict.
 #[tokio::test]
 async fn a_write_can_take_effect_without_an_answer() -> TestResult {
     let cases = [
@@ -210,7 +210,7 @@
 }
 
 #[tokio::test]
-async fn an_outage_is_refused_or_hangs_and_then_ends() -> TestResult {
+async fn calls_fail_or_hang_during_an_outage() -> TestResult {
     let (platform, mut client) = start().await?;
     platform.control().set_outage(StoreOutage::Unavailable);
     assert_eq!(client.put(KEY, &put(0, "a")).await?.status, 503);
@@ -231,10 +231,10 @@
     Ok(())
 }
 
-/// Operators see last week's rules in force: the store came back from a backup.
-/// It must show the older value at its older revision, so daemons can tell.
+/// A store restored from a backup must return the older value at its older revision, so
+/// that daemons can detect the restore.
 #[tokio::test]
-async fn a_restored_store_shows_older_revisions() -> TestResult {
+async fn a_restored_store_returns_older_revisions() -> TestResult {
     let (platform, mut client) = start().await?;
     let first: StoreEntry = client.put(KEY, &put(0, "a")).await?.json()?;
     let backup = platform.control().backup();
