--- a/crates/hawthorn-standin/src/bin/hawthorn-load.rs
+++ b/crates/hawthorn-standin/src/bin/hawthorn-load.rs
@@ -1,8 +1,8 @@
 //! Load generator for the tier: runs scenarios and prints a table or JSON.
 //!
-//! With `--front` it loads a running tier whose targets are stand-ins named in
-//! `--inventory`. Without, it starts stand-ins of its own and loads them with
-//! the naive client, which shows what the targets give without the tier.
+//! With `--front`, it loads a running tier whose targets are the stand-ins in
+//! `--inventory`. Without it, it starts its own stand-ins and loads them with the naive
+//! client, as a baseline without the tier.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms)]
 
@@ -36,8 +36,8 @@
 use hawthorn_standin::load::tier::EntryHost;
 use hawthorn_types::IndexVersion;
 
-/// Connections to one entry host.
-const FRONT_CONNECTIONS: usize = 512;
+/// Maximum number of connections to one entry host.
+const MAX_FRONT_CONNECTIONS: usize = 512;
 
 fn main() -> ExitCode {
     let arguments = arguments().run();
@@ -59,7 +59,7 @@
     ExitCode::FAILURE
 }
 
-/// What the command line says.
+/// Command-line arguments.
 #[derive(Clone, Debug)]
 struct Arguments {
     front: Vec<SocketAddr>,
@@ -78,7 +78,7 @@
     json: bool,
 }
 
-/// What to compare the tier with.
+/// Baselines of a comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::EnumString)]
 #[strum(serialize_all = "kebab-case")]
 enum CompareWith {
@@ -87,40 +87,45 @@
 }
 
 fn arguments() -> OptionParser<Arguments> {
-    let front =
-        long("front").help("An entry host's callers' address, once each").argument("ADDR").many();
+    let front = long("front")
+        .help("Address of an entry host's callers' interface; repeatable")
+        .argument("ADDR")
+        .many();
     let inventory =
-        long("inventory").help("The inventory of the stand-in targets").argument("FILE").optional();
+        long("inventory").help("Inventory of the stand-in targets").argument("FILE").optional();
     let scenario =
-        long("scenario").help("What to run, once each; calm when absent").argument("NAME").many();
+        long("scenario").help("Scenario to run; repeatable, default calm").argument("NAME").many();
     let service = long("service")
-        .help("The service to search")
+        .help("Service to search")
         .argument("NAME")
         .fallback("agent-desk".to_owned());
-    let seed = long("seed").help("The same seed draws the same schedule").argument("N").fallback(1);
-    let seconds = long("seconds").help("How long each run lasts").argument("N").fallback(5.0);
+    let seed = long("seed").help("Seed of the schedule").argument("N").fallback(1);
+    let seconds =
+        long("seconds").help("Duration of each run in seconds").argument("N").fallback(5.0);
     let capacity = long("capacity")
-        .help("Queries a second that the targets could serve")
+        .help("Capacity of the targets in queries per second")
         .argument("N")
         .fallback(200.0);
     let flavour = long("flavour")
-        .help("What the stand-ins' documents speak of: bunker or claims")
+        .help("Subject of the stand-ins' documents: bunker or claims")
         .argument("NAME")
         .fallback(CorpusFlavour::Bunker);
     let version = long("version")
-        .help("The index version that the naive client asks for")
+        .help("Index version that the naive client searches")
         .argument("N")
         .fallback(1);
-    let deadline_ms =
-        long("deadline-ms").help("How long a caller waits").argument("N").fallback(500);
+    let deadline_ms = long("deadline-ms")
+        .help("Deadline of each request in milliseconds")
+        .argument("N")
+        .fallback(500);
     let once_share = long("once-share")
-        .help("The part of non-idempotent requests, 0 to 1")
+        .help("Share of non-idempotent requests, 0 to 1")
         .argument("N")
         .fallback(0.0);
     let caller =
-        long("caller").help("A caller named in the rules, once each").argument("NAME").many();
+        long("caller").help("Caller listed in the rules; repeatable").argument("NAME").many();
     let compare = long("compare")
-        .help("`baseline`: run each scenario with the naive client too")
+        .help("`baseline`: also run each scenario with the naive client")
         .argument("WITH")
         .optional();
     let json = long("json").help("Print JSON").switch();
@@ -141,32 +146,32 @@
         json,
     })
     .to_options()
-    .descr("Loads a tier over stand-in targets and reports what its callers saw")
+    .descr("Loads a tier over stand-in targets and reports the results")
 }
 
 async fn run(arguments: &Arguments) -> Result<String, Box<dyn Error>> {
     match (&arguments.inventory, arguments.front.is_empty()) {
-        (_, true) => run_alone(arguments).await,
+        (_, true) => run_standalone(arguments).await,
         (Some(inventory), false) => run_tier(arguments, inventory).await,
-        (None, false) => Err("--front needs --inventory".into()),
+        (None, false) => Err("--front requires --inventory".into()),
     }
 }
 
-/// Loads stand-ins of its own with the naive client.
-async fn run_alone(arguments: &Arguments) -> Result<String, Box<dyn Error>> {
-    let described = match arguments.flavour {
+/// Starts stand-ins and loads them with the naive client.
+async fn run_standalone(arguments: &Arguments) -> Result<String, Box<dyn Error>> {
+    let deployment_options = match arguments.flavour {
         CorpusFlavour::Bunker => DeploymentOptions::dar_port(),
         CorpusFlavour::Claims => DeploymentOptions::poland(),
     };
-    let deployment = StandinDeployment::start(described).await?;
-    let stage = DeploymentEnvironment::new(&deployment);
+    let deployment = StandinDeployment::start(deployment_options).await?;
+    let environment = DeploymentEnvironment::new(&deployment);
     let mut output = Output::new(arguments.json);
     for scenario in scenarios(arguments) {
         let mut options = options(arguments, scenario);
         options.history = deployment.history().clone();
         options.corpora.clone_from(&deployment.corpora);
         let naive = Arc::new(NaiveTier::of_deployment(&deployment, arguments.seed));
-        let report = load::run("naive", naive, &stage, None, &options).await?;
+        let report = load::run("naive", naive, &environment, None, &options).await?;
         output.push(&report, report.to_string())?;
     }
     Ok(output.finish())
@@ -175,27 +180,28 @@
 /// Loads a running tier.
 async fn run_tier(arguments: &Arguments, inventory: &PathBuf) -> Result<String, Box<dyn Error>> {
     let inventory = TargetInventory::parse(&std::fs::read_to_string(inventory)?)?;
-    let stage = RemoteEnvironment::new(&inventory);
+    let environment = RemoteEnvironment::new(&inventory);
     let hosts = arguments
         .front
         .iter()
         .map(|&address| EntryHost { name: address.to_string(), address })
         .collect();
-    let tier: Arc<dyn QueryTier> = Arc::new(HttpTier::new(hosts, FRONT_CONNECTIONS));
+    let tier: Arc<dyn QueryTier> = Arc::new(HttpTier::new(hosts, MAX_FRONT_CONNECTIONS));
     let mut output = Output::new(arguments.json);
     for scenario in scenarios(arguments) {
         let options = options(arguments, scenario);
-        let first: &dyn LoadEnvironment = &stage;
+        let environment: &dyn LoadEnvironment = &environment;
         if arguments.compare.is_none() {
-            let report = load::run("tier", Arc::clone(&tier), first, None, &options).await?;
+            let report = load::run("tier", Arc::clone(&tier), environment, None, &options).await?;
             output.push(&report, report.to_string())?;
             continue;
         }
         let known = inventory.known_services()?;
         let naive =
             Arc::new(NaiveTier::new(known, IndexVersion(arguments.version), arguments.seed));
-        let compared = load::compare(Arc::clone(&tier), naive, first, None, &options).await?;
-        output.push(&compared, format!("{}{}", compared.tier, compared.baseline))?;
+        let comparison =
+            load::compare(Arc::clone(&tier), naive, environment, None, &options).await?;
+        output.push(&comparison, format!("{}{}", comparison.tier, comparison.baseline))?;
     }
     Ok(output.finish())
 }
@@ -208,9 +214,9 @@
 }
 
 fn options(arguments: &Arguments, scenario: LoadScenario) -> load::run::Options {
-    let usual = ScheduleOptions::default();
+    let defaults = ScheduleOptions::default();
     let callers = match arguments.caller.is_empty() {
-        true => usual.callers.clone(),
+        true => defaults.callers.clone(),
         false => arguments.caller.clone(),
     };
     let schedule = ScheduleOptions {
@@ -221,9 +227,9 @@
         callers,
         texts: arguments.flavour.query_texts(),
         once_share: arguments.once_share,
-        ..usual
+        ..defaults
     };
-    // The stand-ins of a deployment hold these documents unless told otherwise.
+    // The default documents of a deployment of stand-ins.
     let corpus_options = CorpusOptions { flavour: arguments.flavour, ..CorpusOptions::default() };
     let corpus = Corpus::generate(&arguments.service, &corpus_options);
     load::run::Options {
@@ -235,7 +241,7 @@
     }
 }
 
-/// What is printed: a table, or a JSON list.
+/// Output as a table or a JSON list.
 struct Output {
     json: bool,
     lines: Vec<String>,
--- a/crates/hawthorn-standin/src/bin/hawthorn-standins.rs
+++ b/crates/hawthorn-standin/src/bin/hawthorn-standins.rs
@@ -1,7 +1,7 @@
-//! Runs the stand-ins of one deployment until it is interrupted.
+//! Runs the stand-ins of one deployment until interrupted.
 //!
-//! Writes the inventory and the rules that match their addresses, for the tier's
-//! own commands and for `hawthorn-load`, and prints the platform's address.
+//! Writes an inventory with their addresses and rules, for the tier's commands and for
+//! `hawthorn-load`, and prints the platform's address.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms)]
 
@@ -20,7 +20,7 @@
 use hawthorn_standin::StandinDeployment;
 use hawthorn_standin::corpus::CorpusFlavour;
 
-/// What the command line says.
+/// Command-line arguments.
 #[derive(Clone, Debug)]
 struct Arguments {
     flavour: CorpusFlavour,
@@ -31,12 +31,13 @@
 
 fn arguments() -> OptionParser<Arguments> {
     let flavour = long("flavour")
-        .help("Which deployment: bunker (Dar Port) or claims (Poland)")
+        .help("Deployment: bunker (Dar Port) or claims (Poland)")
         .argument("NAME")
         .fallback(CorpusFlavour::Bunker);
-    let shards = long("shards").help("Shards of each service").argument("N").optional();
-    let service_ms = long("service-ms").help("The typical service time").argument("N").optional();
-    let directory = positional("DIRECTORY").help("Where inventory.toml and rules.toml go");
+    let shards = long("shards").help("Number of shards of each service").argument("N").optional();
+    let service_ms =
+        long("service-ms").help("Typical service time in milliseconds").argument("N").optional();
+    let directory = positional("DIRECTORY").help("Directory for inventory.toml and rules.toml");
     construct!(Arguments { flavour, shards, service_ms, directory })
         .to_options()
         .descr("Runs stand-in targets and a stand-in platform on loopback")
@@ -44,10 +45,10 @@
 
 fn main() -> ExitCode {
     let arguments = arguments().run();
-    let ran = tokio::runtime::Runtime::new()
+    let result = tokio::runtime::Runtime::new()
         .map_err(Box::from)
         .and_then(|runtime| runtime.block_on(run(&arguments)));
-    match ran {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(err) => {
             eprintln!("{err}");
@@ -57,7 +58,7 @@
 }
 
 async fn run(arguments: &Arguments) -> Result<(), Box<dyn Error>> {
-    let deployment = StandinDeployment::start(described(arguments)).await?;
+    let deployment = StandinDeployment::start(deployment_options(arguments)).await?;
     std::fs::create_dir_all(&arguments.directory)?;
     std::fs::write(arguments.directory.join("inventory.toml"), deployment.inventory_toml())?;
     std::fs::write(arguments.directory.join("rules.toml"), deployment.rules_toml())?;
@@ -67,13 +68,13 @@
     Ok(())
 }
 
-fn described(arguments: &Arguments) -> DeploymentOptions {
-    let usual = match arguments.flavour {
+fn deployment_options(arguments: &Arguments) -> DeploymentOptions {
+    let defaults = match arguments.flavour {
         CorpusFlavour::Bunker => DeploymentOptions::dar_port(),
         CorpusFlavour::Claims => DeploymentOptions::poland(),
     };
-    // It runs for as long as it likes, and nobody reads its history.
-    let mut options = DeploymentOptions { history: History::discarding(), ..usual };
+    // The run time is unbounded and the history is never read.
+    let mut options = DeploymentOptions { history: History::discarding(), ..defaults };
     for service in &mut options.services {
         service.shards = arguments.shards.unwrap_or(service.shards);
         if let Some(service_ms) = arguments.service_ms {
--- a/crates/hawthorn-standin/src/check/daemons.rs
+++ b/crates/hawthorn-standin/src/check/daemons.rs
@@ -1,4 +1,5 @@
-//! Daemons: a configuration never goes back, and a planned stop cuts nothing off.
+//! Checks of daemons: configuration revisions never decrease, and planned stops abort no
+//! requests.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -7,21 +8,21 @@
 use hawthorn_types::CallerOutcome;
 use hawthorn_types::ConfigRevision;
 
-use super::BrokenPromise;
-use super::BrokenSubject;
 use super::Violation;
+use super::ViolationKind;
+use super::ViolationSubject;
 use crate::history::HistoryEvent;
 use crate::history::HistoryRecord;
 
 #[derive(Default)]
 struct DaemonView<'a> {
-    /// The greatest revision seen so far at each daemon.
+    /// The greatest revision of each daemon so far.
     newest: HashMap<&'a str, ConfigRevision>,
     /// Daemons in a planned stop.
     stopping: HashSet<&'a str>,
-    /// Where each send went, and the greatest revision seen there before.
+    /// The daemon of each send, and its greatest revision when the request was sent.
     sends: HashMap<u64, (&'a str, ConfigRevision)>,
-    found: Vec<Violation>,
+    violations: Vec<Violation>,
 }
 
 pub(super) fn check(records: &[HistoryRecord]) -> Vec<Violation> {
@@ -30,17 +31,16 @@
         match &record.event {
             HistoryEvent::QuerySent(sent) => view.sent(sent.send, &sent.front),
             HistoryEvent::OnceSent(sent) => view.sent(sent.send, &sent.front),
-            // A restarted process that has no configuration yet says revision 0
-            // with its refusals: none is in force there. With anything that ran
-            // it would be a broken promise.
+            // A restarted process without configuration reports revision 0 in refusals,
+            // which is valid. In the answer to a request that ran it is a violation.
             HistoryEvent::Answered { answer, .. } if is_unconfigured(answer) => {}
             HistoryEvent::Answered { send, answer } => {
                 view.answered(record, *send, answer.configuration.revision);
             }
-            HistoryEvent::ConnectionLost { send } => view.cut(record, *send),
+            HistoryEvent::ConnectionLost { send } => view.connection_lost(record, *send),
             HistoryEvent::ConfigSeen { daemon, revision } => {
-                let had = view.newest.get(daemon.as_str()).copied().unwrap_or_default();
-                view.compare(record, daemon, had, *revision);
+                let previous = view.newest.get(daemon.as_str()).copied().unwrap_or_default();
+                view.compare(record, daemon, previous, *revision);
             }
             HistoryEvent::StopStarted { daemon } => {
                 view.stopping.insert(daemon);
@@ -51,7 +51,7 @@
             _ => {}
         }
     }
-    view.found
+    view.violations
 }
 
 fn is_unconfigured(answer: &CallerAnswer) -> bool {
@@ -61,15 +61,15 @@
 
 impl<'a> DaemonView<'a> {
     fn sent(&mut self, send: u64, front: &'a str) {
-        let had = self.newest.get(front).copied().unwrap_or_default();
-        self.sends.insert(send, (front, had));
+        let previous = self.newest.get(front).copied().unwrap_or_default();
+        self.sends.insert(send, (front, previous));
     }
 
-    /// Answers overtake each other, so an answer is held against what was known
-    /// when its request was sent.
+    /// Answers can overtake each other, so the revision of an answer is compared with the
+    /// greatest one when its request was sent.
     fn answered(&mut self, record: &HistoryRecord, send: u64, revision: ConfigRevision) {
-        if let Some(&(front, had)) = self.sends.get(&send) {
-            self.compare(record, front, had, revision);
+        if let Some(&(front, previous)) = self.sends.get(&send) {
+            self.compare(record, front, previous, revision);
         }
     }
 
@@ -77,24 +77,24 @@
         &mut self,
         record: &HistoryRecord,
         daemon: &'a str,
-        had: ConfigRevision,
+        previous: ConfigRevision,
         later: ConfigRevision,
     ) {
-        if later < had {
-            let subject = BrokenSubject::Config { daemon: daemon.to_owned(), had, later };
-            let promise = BrokenPromise::ConfigWentBack;
-            self.found.push(Violation { at: record.at, promise, subject });
+        if later < previous {
+            let subject = ViolationSubject::Config { daemon: daemon.to_owned(), previous, later };
+            let kind = ViolationKind::ConfigReverted;
+            self.violations.push(Violation { at: record.at, kind, subject });
         }
         let newest = self.newest.entry(daemon).or_default();
         *newest = later.max(*newest);
     }
 
-    fn cut(&mut self, record: &HistoryRecord, send: u64) {
+    fn connection_lost(&mut self, record: &HistoryRecord, send: u64) {
         let stopping = |front: &str| self.stopping.contains(front);
         if self.sends.get(&send).is_some_and(|&(front, _)| stopping(front)) {
-            let subject = BrokenSubject::Send { send };
-            let promise = BrokenPromise::RequestCutOff;
-            self.found.push(Violation { at: record.at, promise, subject });
+            let subject = ViolationSubject::Send { send };
+            let kind = ViolationKind::RequestAborted;
+            self.violations.push(Violation { at: record.at, kind, subject });
         }
     }
 }
--- a/crates/hawthorn-standin/src/check/mod.rs
+++ b/crates/hawthorn-standin/src/check/mod.rs
@@ -1,7 +1,7 @@
-//! Reads the history of a run and reports every broken promise.
+//! Checks the history of a run for violations of the tier's guarantees.
 //!
-//! The checker knows the generated documents, so it compares what an answer
-//! claims to cover with what a complete search of just those ranges finds.
+//! The checker has the generated documents. It compares each answer with a complete
+//! search of the ranges that the answer claims to cover.
 
 use std::fmt;
 use std::sync::Arc;
@@ -19,13 +19,13 @@
 mod runs;
 mod targets;
 
-/// What to check against.
+/// Options of a check.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The documents of each service. Answers of other services are checked
-    /// without them.
+    /// The documents of each service. Answers of other services are not compared with
+    /// documents.
     pub corpora: Vec<Arc<Corpus>>,
-    /// How long work may still reach a target that is leaving.
+    /// Time after the start of a drain during which attempts may still arrive.
     pub drain_grace: Duration,
 }
 
@@ -35,31 +35,37 @@
     }
 }
 
-/// A promise that can be broken.
+/// Kinds of violated guarantees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display, EnumIter)]
 #[strum(serialize_all = "kebab-case")]
-pub enum BrokenPromise {
-    /// An answer holds documents of another index version than it states.
+pub enum ViolationKind {
+    /// An answer contains documents of another index version than it states.
     MixedVersions,
-    /// An answer states a coverage that its matches or ranges do not bear out.
+    /// The coverage of an answer contradicts its matches or ranges.
     OverstatedCoverage,
     /// A non-idempotent request ran twice.
-    DoubledRun,
-    /// A request was said not to have run although it had.
+    #[strum(serialize = "doubled-run")]
+    DuplicateRun,
+    /// A request was answered as not run although it ran.
     FalseNotRun,
-    /// A daemon went back to an older configuration.
-    ConfigWentBack,
-    /// Work reached a target that had been leaving for too long.
-    WorkToLeaving,
-    /// A planned stop cut a request off.
-    RequestCutOff,
-    /// A caller got an answer that was not to its request.
-    CrossedAnswer,
+    /// A daemon reverted to an older configuration.
+    #[strum(serialize = "config-went-back")]
+    ConfigReverted,
+    /// An attempt arrived at a target that had been draining for longer than the grace
+    /// period.
+    #[strum(serialize = "work-to-leaving")]
+    WorkToDraining,
+    /// A planned stop aborted a request.
+    #[strum(serialize = "request-cut-off")]
+    RequestAborted,
+    /// A caller received the answer to another request.
+    #[strum(serialize = "crossed-answer")]
+    MismatchedAnswer,
 }
 
-/// What a broken promise is about.
+/// Subject of a violation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BrokenSubject {
+pub enum ViolationSubject {
     /// A caller's send.
     Send {
         /// Its number.
@@ -76,12 +82,12 @@
     Config {
         /// The daemon.
         daemon: String,
-        /// The revision it had.
-        had: ConfigRevision,
-        /// The smaller one it had later.
+        /// The earlier revision.
+        previous: ConfigRevision,
+        /// The smaller revision that followed.
         later: ConfigRevision,
     },
-    /// Work at a target.
+    /// An attempt at a target.
     Work {
         /// The target.
         target: String,
@@ -90,39 +96,41 @@
     },
 }
 
-/// One broken promise.
+/// A violated guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// When it showed, since the history began.
+    /// When it was observed, relative to the start of the history.
     pub at: Duration,
-    /// The promise.
-    pub promise: BrokenPromise,
-    /// What it is about.
-    pub subject: BrokenSubject,
+    /// The kind of violation.
+    pub kind: ViolationKind,
+    /// The subject of the violation.
+    pub subject: ViolationSubject,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} {}: ", self.at, self.promise)?;
+        write!(f, "{:?} {}: ", self.at, self.kind)?;
         match &self.subject {
-            BrokenSubject::Send { send } => write!(f, "send {send}"),
-            BrokenSubject::Run { caller, caller_request } => {
+            ViolationSubject::Send { send } => write!(f, "send {send}"),
+            ViolationSubject::Run { caller, caller_request } => {
                 write!(f, "request {caller_request} of {caller}")
             }
-            BrokenSubject::Config { daemon, had, later } => {
-                write!(f, "{daemon} had revision {} and later {}", had.0, later.0)
+            ViolationSubject::Config { daemon, previous, later } => {
+                write!(f, "{daemon} had revision {} and later {}", previous.0, later.0)
+            }
+            ViolationSubject::Work { target, attempt } => {
+                write!(f, "attempt {attempt} at {target}")
             }
-            BrokenSubject::Work { target, attempt } => write!(f, "attempt {attempt} at {target}"),
         }
     }
 }
 
-/// Every broken promise in `records`, which stand in the order of their times.
+/// Returns all violations in `records`, which must be ordered by time.
 pub fn check(records: &[HistoryRecord], options: &Options) -> Vec<Violation> {
-    let mut found = answers::check(records, &options.corpora);
-    found.extend(runs::check(records));
-    found.extend(daemons::check(records));
-    found.extend(targets::check(records, options.drain_grace));
-    found.sort_by_key(|violation| violation.at);
-    found
+    let mut violations = answers::check(records, &options.corpora);
+    violations.extend(runs::check(records));
+    violations.extend(daemons::check(records));
+    violations.extend(targets::check(records, options.drain_grace));
+    violations.sort_by_key(|violation| violation.at);
+    violations
 }
--- a/crates/hawthorn-standin/src/check/runs.rs
+++ b/crates/hawthorn-standin/src/check/runs.rs
@@ -1,27 +1,29 @@
-//! Non-idempotent requests run at most once, and "not run" is true.
+//! Checks of non-idempotent requests: they run at most once, and the answer "not run" is
+//! correct.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
 
 use hawthorn_types::CallerOutcome;
 
-use super::BrokenPromise;
-use super::BrokenSubject;
 use super::Violation;
+use super::ViolationKind;
+use super::ViolationSubject;
 use crate::history::HistoryEvent;
 use crate::history::HistoryRecord;
 use crate::history::WorkKind;
 use crate::history::WorkPhase;
 
-type RunName<'a> = (&'a str, &'a str);
+/// Caller and request id, which identify a non-idempotent request.
+type RunKey<'a> = (&'a str, &'a str);
 
 pub(super) fn check(records: &[HistoryRecord]) -> Vec<Violation> {
-    // A run may start after its "not run" was heard, so the tier's requests that
-    // ever started are collected first.
+    // A run may start after it was answered as "not run", so all started requests of the
+    // tier are collected first.
     let started_requests: HashSet<&str> = records.iter().filter_map(started_request).collect();
-    let mut runs: HashSet<RunName<'_>> = HashSet::new();
-    let mut sent: HashMap<u64, RunName<'_>> = HashMap::new();
-    let mut found = Vec::new();
+    let mut runs: HashSet<RunKey<'_>> = HashSet::new();
+    let mut sent: HashMap<u64, RunKey<'_>> = HashMap::new();
+    let mut violations = Vec::new();
     for record in records {
         match &record.event {
             HistoryEvent::OnceSent(once) => {
@@ -31,27 +33,27 @@
             HistoryEvent::Work(work) if work.phase == WorkPhase::Started => {
                 let WorkKind::Run { caller, caller_request } = &work.kind else { continue };
                 if !runs.insert((caller, caller_request)) {
-                    found.push(violation(
+                    violations.push(violation(
                         record,
-                        BrokenPromise::DoubledRun,
-                        run(caller, caller_request),
+                        ViolationKind::DuplicateRun,
+                        run_subject(caller, caller_request),
                     ));
                 }
             }
             HistoryEvent::Answered { send, answer } => {
                 let CallerOutcome::NotRun(_) = answer.outcome else { continue };
-                // A later send of the same id may rightly run, so only a run that
-                // began before this answer, or for it, makes it false.
-                let ran = sent.get(send).is_some_and(|name| runs.contains(name));
-                if ran || started_requests.contains(answer.request.as_str()) {
-                    let subject = BrokenSubject::Send { send: *send };
-                    found.push(violation(record, BrokenPromise::FalseNotRun, subject));
+                // A later send of the same id may run, so the answer is wrong only if a run
+                // started before it or belongs to the same request of the tier.
+                let has_run = sent.get(send).is_some_and(|key| runs.contains(key));
+                if has_run || started_requests.contains(answer.request.as_str()) {
+                    let subject = ViolationSubject::Send { send: *send };
+                    violations.push(violation(record, ViolationKind::FalseNotRun, subject));
                 }
             }
             _ => {}
         }
     }
-    found
+    violations
 }
 
 fn started_request(record: &HistoryRecord) -> Option<&str> {
@@ -61,10 +63,10 @@
     }
 }
 
-fn run(caller: &str, caller_request: &str) -> BrokenSubject {
-    BrokenSubject::Run { caller: caller.to_owned(), caller_request: caller_request.to_owned() }
+fn run_subject(caller: &str, caller_request: &str) -> ViolationSubject {
+    ViolationSubject::Run { caller: caller.to_owned(), caller_request: caller_request.to_owned() }
 }
 
-fn violation(record: &HistoryRecord, promise: BrokenPromise, subject: BrokenSubject) -> Violation {
-    Violation { at: record.at, promise, subject }
+fn violation(record: &HistoryRecord, kind: ViolationKind, subject: ViolationSubject) -> Violation {
+    Violation { at: record.at, kind, subject }
 }
--- a/crates/hawthorn-standin/src/corpus.rs
+++ b/crates/hawthorn-standin/src/corpus.rs
@@ -1,9 +1,9 @@
-//! Generated documents of one service, the same on every target and in the
-//! checker: whatever a target answers can be compared with the truth.
+//! Generated documents of one service, identical on every target and in the
+//! checker, so that every answer of a target can be verified.
 //!
-//! A document lives from the version that adds it to the one that drops it, and
-//! its text names the version it was read at, so an answer that mixes versions
-//! shows.
+//! A document exists from the version that adds it up to the version that removes
+//! it. Its text names the version it was read at, which makes answers that mix
+//! versions detectable.
 
 use std::collections::HashSet;
 use std::ops::Range;
@@ -22,16 +22,16 @@
 
 mod words;
 
-/// Versions among which documents are added and dropped.
+/// Documents are added and removed by versions up to this one.
 const VERSIONS: u64 = 16;
-/// One document in so many is added by a version after the first.
-const ADDED_LATER: u32 = 8;
-/// One document in so many is dropped by some version.
-const DROPPED: u32 = 8;
-/// Scores lie in steps of one over this, so that they survive JSON exactly.
+/// One in this many documents is added by a version after the first.
+const ADDED_LATER_RATIO: u32 = 8;
+/// One in this many documents is removed by a later version.
+const REMOVED_RATIO: u32 = 8;
+/// Scores are multiples of one over this, so that JSON represents them exactly.
 const SCORE_STEPS: u32 = 1 << 16;
 
-/// What the documents speak of.
+/// The subject of the documents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Display, EnumIter, EnumString)]
 #[strum(serialize_all = "kebab-case")]
 pub enum CorpusFlavour {
@@ -43,7 +43,7 @@
 }
 
 impl CorpusFlavour {
-    /// Texts that some documents hold, and the empty one that all do.
+    /// Query texts that match some documents, and the empty text, which matches all.
     pub fn query_texts(self) -> Vec<String> {
         let texts: &[&str] = match self {
             Self::Bunker => &["mv-uhuru", "mv-pemba", "stem vlsfo", "order kurasini", ""],
@@ -56,11 +56,11 @@
 /// How to generate a corpus.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CorpusOptions {
-    /// What the documents speak of.
+    /// The subject of the documents.
     pub flavour: CorpusFlavour,
-    /// How many documents.
+    /// The number of documents.
     pub documents: u32,
-    /// The same seed gives the same documents.
+    /// Seed of the generator; the same seed gives the same documents.
     pub seed: u64,
 }
 
@@ -82,15 +82,15 @@
     key: u32,
     score: f32,
     words: Vec<String>,
-    lives: Range<u64>,
+    versions: Range<u64>,
 }
 
-/// The matches of a search and how many there were before the limit.
+/// The matches of a search and their number before the limit is applied.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct FoundDocuments {
-    /// Matches before the limit.
+    /// Number of matches before the limit is applied.
     pub total: u64,
-    /// The best, best first; ties by key.
+    /// The highest-scored matches, in descending order of score; ties by key.
     pub matches: Vec<DocumentMatch>,
 }
 
@@ -105,7 +105,7 @@
                 key,
                 score: rng.random_range(0..SCORE_STEPS) as f32 / SCORE_STEPS as f32,
                 words: words::compose(options.flavour, &mut rng),
-                lives: lifetime(&mut rng),
+                versions: version_range(&mut rng),
             })
             .collect();
         Self { service: service.to_owned(), documents }
@@ -116,7 +116,7 @@
         &self.service
     }
 
-    /// What a complete search of `ranges` at `version` finds.
+    /// The result of a complete search of `ranges` at `version`.
     pub fn search(
         &self,
         version: IndexVersion,
@@ -125,22 +125,22 @@
         limit: usize,
     ) -> FoundDocuments {
         let edition = edition_word(version);
-        let wanted: Vec<String> = text.split_whitespace().map(str::to_lowercase).collect();
+        let query_words: Vec<String> = text.split_whitespace().map(str::to_lowercase).collect();
         let mut found: Vec<&CorpusDocument> = ranges
             .ranges()
             .iter()
-            .flat_map(|&range| self.inside(range))
-            .filter(|document| document.lives.contains(&version.0))
-            .filter(|document| document.holds(&wanted, &edition))
+            .flat_map(|&range| self.documents_in(range))
+            .filter(|document| document.versions.contains(&version.0))
+            .filter(|document| document.contains_words(&query_words, &edition))
             .collect();
         let total = found.len() as u64;
         found.sort_by(|a, b| b.score.total_cmp(&a.score).then(a.key.cmp(&b.key)));
         let matches =
-            found.into_iter().take(limit).map(|document| document.shown(&edition)).collect();
+            found.into_iter().take(limit).map(|document| document.to_match(&edition)).collect();
         FoundDocuments { total, matches }
     }
 
-    fn inside(&self, range: KeyRange) -> &[CorpusDocument] {
+    fn documents_in(&self, range: KeyRange) -> &[CorpusDocument] {
         let from = self.documents.partition_point(|document| document.key < range.start);
         let to = self.documents.partition_point(|document| document.key < range.end);
         &self.documents[from..to.max(from)]
@@ -148,11 +148,11 @@
 }
 
 impl CorpusDocument {
-    fn holds(&self, wanted: &[String], edition: &str) -> bool {
-        wanted.iter().all(|word| word == edition || self.words.contains(word))
+    fn contains_words(&self, query_words: &[String], edition: &str) -> bool {
+        query_words.iter().all(|word| word == edition || self.words.contains(word))
     }
 
-    fn shown(&self, edition: &str) -> DocumentMatch {
+    fn to_match(&self, edition: &str) -> DocumentMatch {
         DocumentMatch {
             key: self.key,
             id: format!("{:06x}", self.key),
@@ -162,7 +162,7 @@
     }
 }
 
-/// The word that every document's text ends with when it is read at `version`.
+/// The last word of every document's text when it is read at `version`.
 pub fn edition_word(version: IndexVersion) -> String {
     format!("edition-{}", version.0)
 }
@@ -178,14 +178,14 @@
     keys
 }
 
-fn lifetime(rng: &mut ChaCha8Rng) -> Range<u64> {
-    let added = match rng.random_ratio(1, ADDED_LATER) {
+fn version_range(rng: &mut ChaCha8Rng) -> Range<u64> {
+    let added = match rng.random_ratio(1, ADDED_LATER_RATIO) {
         true => rng.random_range(2..VERSIONS),
         false => 0,
     };
-    let dropped = match rng.random_ratio(1, DROPPED) {
+    let removed = match rng.random_ratio(1, REMOVED_RATIO) {
         true => rng.random_range(added + 1..=VERSIONS),
         false => u64::MAX,
     };
-    added..dropped
+    added..removed
 }
--- a/crates/hawthorn-standin/src/corpus/words.rs
+++ b/crates/hawthorn-standin/src/corpus/words.rs
@@ -1,4 +1,4 @@
-//! Words of the generated documents.
+//! Vocabulary of the generated documents.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -25,10 +25,10 @@
     ["katowice", "krakow", "gliwice", "lubin", "polkowice", "olkusz", "bytom", "walbrzych"];
 const CLAIM_FIRMS: [&str; 5] = ["slask-geo", "tatra-kop", "odra-min", "baltyk-res", "wisla-terra"];
 
-/// Tonnes or hectares are drawn below this.
-const AMOUNTS: u32 = 500;
+/// Exclusive upper bound of amounts, in tonnes or hectares.
+const MAX_AMOUNT: u32 = 500;
 
-/// Draws the words of one document.
+/// Draws the words of one document at random.
 pub(super) fn compose(flavour: CorpusFlavour, rng: &mut ChaCha8Rng) -> Vec<String> {
     let lists: [&[&str]; 4] = match flavour {
         CorpusFlavour::Bunker => [&BUNKER_KINDS, &BUNKER_SHIPS, &BUNKER_FUELS, &BUNKER_PLACES],
@@ -39,7 +39,7 @@
         CorpusFlavour::Claims => "ha",
     };
     let mut words: Vec<String> = lists.iter().map(|list| draw(list, rng)).collect();
-    words.push(format!("{}{unit}", rng.random_range(1..AMOUNTS)));
+    words.push(format!("{}{unit}", rng.random_range(1..MAX_AMOUNT)));
     words
 }
 
--- a/crates/hawthorn-standin/src/deployment.rs
+++ b/crates/hawthorn-standin/src/deployment.rs
@@ -1,5 +1,5 @@
-//! The stand-ins of one scaled-down deployment, with the inventory and rules
-//! that match their addresses.
+//! The stand-ins of one scaled-down deployment, and the inventory and rules that
+//! contain their addresses.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -26,12 +26,12 @@
 use crate::target::TargetStandin;
 
 quick_error! {
-    /// Why a deployment could not start.
+    /// Errors of starting a deployment.
     #[derive(Debug)]
     pub enum Error {
-        /// The description names no availability zone.
+        /// The options list no availability zone.
         NoZone {
-            display("a deployment needs an availability zone")
+            display("the deployment has no availability zone")
         }
         /// A target could not start.
         Target(err: target::Error) {
@@ -55,15 +55,15 @@
     pub name: String,
     /// Shard NN of N holds `KeyRange::part(NN, N)`.
     pub shards: u32,
-    /// Targets that hold each shard, in zones one after the other.
+    /// Number of targets that hold each shard, assigned to zones in turn.
     pub replicas: u32,
-    /// Shards a target holds.
+    /// Number of shards of each target.
     pub shards_per_target: u32,
-    /// Slots of each target.
+    /// Number of slots of each target.
     pub slots: u32,
-    /// Connections of each target.
+    /// Connection limit of each target.
     pub connections: u32,
-    /// How long a new connection takes.
+    /// Time to establish a new connection.
     pub connect_cost: Duration,
     /// Service times of each target.
     pub service_time: ServiceTime,
@@ -72,7 +72,7 @@
 }
 
 impl ServiceDescription {
-    /// A service of eight shards with two replicas each, one shard a target,
+    /// A service of eight shards with two replicas each and one shard per target,
     /// with the limits of the desk services.
     pub fn new(name: &str) -> Self {
         Self {
@@ -90,9 +90,9 @@
 }
 
 impl ServiceDescription {
-    /// Queries a second that its targets could serve if every slot were busy all
-    /// the time. Timers step in milliseconds, so that short service times come
-    /// out longer and the real capacity lower.
+    /// Queries per second that its targets can serve with every slot busy all the
+    /// time. Timers have a resolution of milliseconds, which lengthens short service
+    /// times, so the actual capacity is lower.
     pub fn capacity(&self) -> f64 {
         let slots = f64::from(self.slots) * f64::from(self.replicas);
         let seconds = self.service_time.mean().as_secs_f64();
@@ -100,7 +100,7 @@
     }
 }
 
-/// What to start.
+/// Options of a deployment.
 #[derive(Clone, Debug)]
 pub struct DeploymentOptions {
     /// The region of all zones.
@@ -109,23 +109,23 @@
     pub zones: Vec<String>,
     /// The services.
     pub services: Vec<ServiceDescription>,
-    /// The callers of the rules.
+    /// The callers that the rules list.
     pub callers: Vec<String>,
-    /// The version every target holds at the start.
+    /// The index version that every target holds initially.
     pub version: IndexVersion,
-    /// Attempts that wait inside a target beyond its slots.
+    /// Queue length of each target, beyond its slots.
     pub queue: u32,
-    /// How long a target is cold after its start.
+    /// How long a target refuses work as cold after its start.
     pub cold_start: Duration,
-    /// How old `/state` is.
+    /// Age of the state that `/state` returns.
     pub state_lag: Duration,
-    /// The platform's rates and lags.
+    /// Rate limits and delays of the platform.
     pub platform: PlatformOptions,
-    /// The same seed draws the same service times.
+    /// Seed of the service times; the same seed gives the same times.
     pub seed: u64,
-    /// Where targets record their work.
+    /// Where targets record their attempts.
     pub history: History,
-    /// Stops everything.
+    /// Stops the deployment when cancelled.
     pub stop: CancellationToken,
 }
 
@@ -136,7 +136,7 @@
 }
 
 impl DeploymentOptions {
-    /// Dar Port, scaled down: one desk service and the port feed.
+    /// A scaled-down Dar Port: one desk service and the port feed.
     pub fn dar_port() -> Self {
         let desk = ServiceDescription::new("agent-desk");
         let feed = ServiceDescription {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Poland, scaled down: the claim desk and the archive.
+    /// A scaled-down Poland: the claim desk and the archive.
     pub fn poland() -> Self {
         let corpus = CorpusOptions { flavour: CorpusFlavour::Claims, ..CorpusOptions::default() };
         let desk =
@@ -228,21 +228,21 @@
         let mut corpora = Vec::new();
         for service in &options.services {
             let corpus = Arc::new(Corpus::generate(&service.name, &service.corpus));
-            for placed in place(service, &options.zones) {
+            for placement in place_targets(service, &options.zones) {
                 let number = targets.len() as u64;
-                targets.push(start_target(&options, service, &corpus, placed, number).await?);
+                targets.push(start_target(&options, service, &corpus, placement, number).await?);
             }
             corpora.push(corpus);
         }
         Ok(Self { platform, targets, corpora, options })
     }
 
-    /// What was started.
+    /// The options that it was started with.
     pub fn options(&self) -> &DeploymentOptions {
         &self.options
     }
 
-    /// The history that targets record their work in.
+    /// The history in which targets record their attempts.
     pub fn history(&self) -> &History {
         &self.options.history
     }
@@ -257,12 +257,12 @@
         self.corpora.iter().find(|corpus| corpus.service() == service)
     }
 
-    /// The inventory that matches the running targets.
+    /// An inventory with the addresses of the running targets.
     pub fn inventory_toml(&self) -> String {
         self.inventory_toml_via(|target| target.standin.address())
     }
 
-    /// The same with other addresses, for targets behind proxies.
+    /// An inventory with the addresses that `via` returns, for targets behind proxies.
     pub fn inventory_toml_via(&self, via: impl Fn(&DeployedTarget) -> SocketAddr) -> String {
         let mut text = String::new();
         for zone in &self.options.zones {
@@ -293,7 +293,7 @@
         text
     }
 
-    /// Rules that name the callers.
+    /// Rules that list the callers.
     pub fn rules_toml(&self) -> String {
         let mut text = String::new();
         for caller in &self.options.callers {
@@ -303,7 +303,7 @@
     }
 }
 
-/// A shard as operators write it: `agent-desk/03`.
+/// The operators' notation of a shard: `agent-desk/03`.
 pub fn shard_name(service: &str, number: u32) -> String {
     format!("{service}/{number:02}")
 }
@@ -312,42 +312,42 @@
     text.write_fmt(line).expect("writing to a string never fails");
 }
 
-/// Where one target goes.
-struct PlacedTarget {
+/// Name, zone and shards of one target.
+struct TargetPlacement {
     name: String,
     zone: String,
     shards: Vec<u32>,
 }
 
-/// Places the targets of `service`: replica R of a group of shards stands R
-/// zones after the first, so that no zone holds two replicas while there are
-/// zones left.
-fn place(service: &ServiceDescription, zones: &[String]) -> Vec<PlacedTarget> {
+/// Assigns the targets of `service` to zones. Replica R of a group of shards is
+/// placed R zones after the first replica, so that replicas share a zone only if
+/// there are more replicas than zones.
+fn place_targets(service: &ServiceDescription, zones: &[String]) -> Vec<TargetPlacement> {
     let width = service.shards_per_target.max(1);
     let numbers: Vec<u32> = (0..service.shards).collect();
-    let mut placed = Vec::new();
+    let mut placements = Vec::new();
     for (group, shards) in numbers.chunks(width as usize).enumerate() {
         for replica in 0..service.replicas as usize {
             let zone = zones[(group + replica) % zones.len()].clone();
-            let name = format!("{}-{:02}", service.name, placed.len());
-            placed.push(PlacedTarget { name, zone, shards: shards.to_vec() });
+            let name = format!("{}-{:02}", service.name, placements.len());
+            placements.push(TargetPlacement { name, zone, shards: shards.to_vec() });
         }
     }
-    placed
+    placements
 }
 
 async fn start_target(
     options: &DeploymentOptions,
     service: &ServiceDescription,
     corpus: &Arc<Corpus>,
-    placed: PlacedTarget,
+    placement: TargetPlacement,
     number: u64,
 ) -> Result<DeployedTarget, target::Error> {
     let ranges: RangeSet =
-        placed.shards.iter().map(|&shard| KeyRange::part(shard, service.shards)).collect();
+        placement.shards.iter().map(|&shard| KeyRange::part(shard, service.shards)).collect();
     let held = HeldRanges { service: service.name.clone(), version: options.version, ranges };
     let standin = TargetStandin::start(TargetOptions {
-        name: placed.name.clone(),
+        name: placement.name.clone(),
         corpora: vec![Arc::clone(corpus)],
         held: vec![held],
         slots: service.slots,
@@ -365,9 +365,9 @@
     .await?;
     Ok(DeployedTarget {
         standin,
-        name: placed.name,
+        name: placement.name,
         service: service.name.clone(),
-        zone: placed.zone,
-        shards: placed.shards,
+        zone: placement.zone,
+        shards: placement.shards,
     })
 }
--- a/crates/hawthorn-standin/src/history.rs
+++ b/crates/hawthorn-standin/src/history.rs
@@ -1,5 +1,5 @@
-//! Typed history of one run: what callers sent and heard, what targets ran,
-//! which configuration daemons had, and who was leaving. The checker reads it.
+//! Typed history of one run: requests and answers of callers, attempts at targets,
+//! configuration revisions of daemons, and drains. The checker reads it.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -26,36 +26,36 @@
 struct SharedRecords {
     start: Instant,
     sends: AtomicU64,
-    keeps: bool,
+    enabled: bool,
     records: Mutex<Vec<HistoryRecord>>,
 }
 
-/// One event and when it happened.
+/// One event and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HistoryRecord {
-    /// Time since the history began.
+    /// Time since the start of the history.
     pub at: Duration,
-    /// What happened.
+    /// The event.
     pub event: HistoryEvent,
 }
 
-/// What can happen in a run.
+/// Events of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HistoryEvent {
-    /// Something happened to an attempt at a target.
+    /// An attempt at a target reached a new phase.
     Work(TargetWork),
     /// A caller sent a search.
     QuerySent(SentQuery),
     /// A caller sent a non-idempotent request.
     OnceSent(SentOnce),
-    /// A caller heard an answer to the send of that number.
+    /// A caller received the answer to a send.
     Answered {
-        /// The send, as numbered by [`SentQuery::send`] or [`SentOnce::send`].
+        /// The number of the send: [`SentQuery::send`] or [`SentOnce::send`].
         send: u64,
         /// The answer.
         answer: CallerAnswer,
     },
-    /// The connection broke after the request was sent and before its answer.
+    /// The connection was lost between the request and its answer.
     ConnectionLost {
         /// The send.
         send: u64,
@@ -67,17 +67,17 @@
         /// The revision.
         revision: ConfigRevision,
     },
-    /// A target began to leave: it drains, or intent says drain or off.
-    TargetLeaving {
+    /// A target started draining, by itself or because its intent is drain or off.
+    TargetDraining {
         /// The target.
         target: String,
     },
-    /// A target that was leaving serves again.
+    /// A draining target serves again.
     TargetServing {
         /// The target.
         target: String,
     },
-    /// A planned stop of a daemon began.
+    /// A planned stop of a daemon started.
     StopStarted {
         /// The daemon, by the name used in [`SentQuery::front`].
         daemon: String,
@@ -87,17 +87,17 @@
         /// The daemon.
         daemon: String,
     },
-    /// A daemon was killed without warning: what it cuts off is no broken promise.
+    /// A daemon was killed without warning; requests lost with it are no violation.
     Killed {
         /// The daemon.
         daemon: String,
     },
 }
 
-/// A search as sent.
+/// A search that a caller sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SentQuery {
-    /// Numbers the sends of the run.
+    /// The number of the send, unique within the run.
     pub send: u64,
     /// The daemon it was sent to.
     pub front: String,
@@ -105,10 +105,10 @@
     pub query: SearchQuery,
 }
 
-/// A non-idempotent request as sent.
+/// A non-idempotent request that a caller sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SentOnce {
-    /// Numbers the sends of the run.
+    /// The number of the send, unique within the run.
     pub send: u64,
     /// The daemon it was sent to.
     pub front: String,
@@ -116,18 +116,18 @@
     pub request: OnceRequest,
 }
 
-/// Something that happened to one attempt at a target.
+/// A phase change of one attempt at a target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetWork {
     /// The target.
     pub target: String,
-    /// The tier's request id.
+    /// The request id that the tier assigned.
     pub request: String,
     /// The attempt.
     pub attempt: u64,
-    /// Search or run.
+    /// What the attempt asks for.
     pub kind: WorkKind,
-    /// How far it got.
+    /// The phase it reached.
     pub phase: WorkPhase,
 }
 
@@ -150,18 +150,18 @@
     },
 }
 
-/// How far an attempt got.
+/// Phases of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkPhase {
-    /// It reached the target.
+    /// It arrived at the target.
     Arrived,
     /// It was refused and did not run.
     Refused(TargetRefusal),
-    /// It got a slot.
+    /// It acquired a slot.
     Started,
-    /// It ran to its end.
+    /// It ran to completion.
     Finished,
-    /// It was ended early, by a cancellation or its deadline.
+    /// It ended early, by a cancellation or at its deadline.
     Cancelled,
 }
 
@@ -172,45 +172,45 @@
 }
 
 impl History {
-    /// A history that keeps nothing, for stand-ins that run for long.
+    /// A history that discards all events, for stand-ins that run for a long time.
     pub fn discarding() -> Self {
         Self::new(false)
     }
 
-    fn new(keeps: bool) -> Self {
+    fn new(enabled: bool) -> Self {
         let start = Instant::now();
         let sends = AtomicU64::default();
-        let shared = SharedRecords { start, sends, keeps, records: Mutex::default() };
+        let shared = SharedRecords { start, sends, enabled, records: Mutex::default() };
         Self { shared: Arc::new(shared) }
     }
 
-    /// Adds `event`, stamped now.
+    /// Adds `event` with the current time.
     pub fn record(&self, event: HistoryEvent) {
-        if !self.shared.keeps {
+        if !self.shared.enabled {
             return;
         }
         let mut records = self.lock();
-        // Stamped under the lock, so that records stand in the order of their times.
+        // The time is read under the lock, so that records are ordered by time.
         let at = self.shared.start.elapsed();
         records.push(HistoryRecord { at, event });
     }
 
-    /// Time since the history began.
+    /// Time since the start of the history.
     pub fn now(&self) -> Duration {
         self.shared.start.elapsed()
     }
 
-    /// A number for a send that no other send of this history has.
+    /// The next unique number of a send.
     pub fn next_send(&self) -> u64 {
         self.shared.sends.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// A copy of all records so far, in the order of their times.
+    /// A copy of all records so far, ordered by time.
     pub fn records(&self) -> Vec<HistoryRecord> {
         self.lock().clone()
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<HistoryRecord>> {
-        self.shared.records.lock().expect("nothing panics while it holds the records")
+        self.shared.records.lock().expect("no holder of the lock panics")
     }
 }
--- a/crates/hawthorn-standin/src/lib.rs
+++ b/crates/hawthorn-standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Development stand-ins: targets, platform, fault proxy, load tool and
-//! history checker.
+//! Stand-ins (test doubles) for development: targets, platform, fault proxy, load
+//! generator and history checker.
 //!
 //! Nothing here runs in production. Each stand-in listens on a free loopback
-//! port, speaks one of the outside contracts of `hawthorn_types`, and stops
+//! port, implements one of the external contracts of `hawthorn_types`, and stops
 //! when its cancellation token is cancelled or its handle is dropped.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms)]
--- a/crates/hawthorn-standin/src/load/compare.rs
+++ b/crates/hawthorn-standin/src/load/compare.rs
@@ -1,5 +1,5 @@
-//! The same schedule against the tier and the naive client, one after the other
-//! on the same targets.
+//! Runs the same schedule against the tier and the naive client, one after the other on
+//! the same targets.
 
 use std::fmt;
 use std::sync::Arc;
@@ -15,20 +15,21 @@
 use super::run::Options;
 use super::tier::QueryTier;
 
-/// Pause between the two runs.
-const SETTLE: Duration = Duration::from_millis(500);
+/// Pause between the two runs, in which the targets finish the work of the first.
+const SETTLE_PAUSE: Duration = Duration::from_millis(500);
 
-/// Both reports of one schedule.
+/// Both reports of one schedule, and their ratios.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Comparison {
-    /// What came of it at the tier.
+    /// Report of the tier.
     pub tier: LoadReport,
-    /// What came of it with the naive client.
+    /// Report of the naive client.
     pub baseline: LoadReport,
-    /// The p99 of the tier's complete answers over the naive client's; below 1 is
-    /// better.
+    /// The p99 latency of complete answers of the tier divided by that of the naive
+    /// client; below 1 is better.
     pub p99_ratio: f64,
-    /// The tier's complete answers over the naive client's; above 1 is better.
+    /// The number of complete answers of the tier divided by that of the naive client;
+    /// above 1 is better.
     pub complete_ratio: f64,
 }
 
@@ -43,27 +44,27 @@
     }
 }
 
-/// Runs the schedule against both.
+/// Runs the schedule against `tier` and `baseline`.
 pub async fn compare(
     tier: Arc<dyn QueryTier>,
     baseline: Arc<dyn QueryTier>,
-    stage: &dyn LoadEnvironment,
+    environment: &dyn LoadEnvironment,
     daemons: Option<&dyn DaemonControl>,
     options: &Options,
 ) -> Result<Comparison, run::Error> {
-    let tier = run::run("tier", tier, stage, daemons, options).await?;
-    // What the first run left at the targets must not slow the second.
-    tokio::time::sleep(SETTLE).await;
-    let baseline = run::run("naive", baseline, stage, daemons, options).await?;
+    let tier = run::run("tier", tier, environment, daemons, options).await?;
+    // Remaining work of the first run must not slow the second.
+    tokio::time::sleep(SETTLE_PAUSE).await;
+    let baseline = run::run("naive", baseline, environment, daemons, options).await?;
     let p99_ratio = ratio(tier.latency_complete.p99_ms, baseline.latency_complete.p99_ms);
     let complete_ratio = ratio(tier.complete as f64, baseline.complete as f64);
     Ok(Comparison { tier, baseline, p99_ratio, complete_ratio })
 }
 
-/// 0 over 0 is 1: nothing differs.
-fn ratio(over: f64, under: f64) -> f64 {
-    match (over, under) {
+/// The ratio of two figures; 0 / 0 is 1, as they do not differ.
+fn ratio(numerator: f64, denominator: f64) -> f64 {
+    match (numerator, denominator) {
         (0.0, 0.0) => 1.0,
-        _ => over / under,
+        _ => numerator / denominator,
     }
 }
--- a/crates/hawthorn-standin/src/load/environment.rs
+++ b/crates/hawthorn-standin/src/load/environment.rs
@@ -1,4 +1,4 @@
-//! What a scenario does to targets and daemons while it runs.
+//! Control of targets and daemons for the scenarios of a load run.
 
 use futures::FutureExt;
 use futures::future::BoxFuture;
@@ -9,58 +9,57 @@
 use super::scenario::LoadScenario;
 use crate::deployment::StandinDeployment;
 
-/// The part of attempts that are stragglers in [`LoadScenario::Stragglers`].
+/// Fraction of attempts that are stragglers in [`LoadScenario::Stragglers`].
 const STRAGGLER_SHARE: f64 = 0.02;
-/// How many times longer those take.
+/// Factor on the service time of those stragglers.
 const STRAGGLER_FACTOR: f64 = 20.0;
-/// How many times slower the one target of [`LoadScenario::OneSlowTarget`] is.
+/// Factor on service times of the slow target of [`LoadScenario::OneSlowTarget`].
 const SLOW_FACTOR: f64 = 10.0;
 
 /// The targets of a run.
 pub trait LoadEnvironment: Send + Sync {
-    /// Brings about what `scenario` needs of targets.
+    /// Applies the target faults of `scenario`.
     fn begin(&self, scenario: LoadScenario) -> BoxFuture<'_, ()>;
 
-    /// Puts the targets back.
+    /// Removes the target faults.
     fn end(&self) -> BoxFuture<'_, ()>;
 
-    /// Attempts that reached the targets of `service` so far, refused ones
-    /// included: each is load on a target.
+    /// Number of attempts that arrived at the targets of `service` so far. Includes
+    /// refused ones, which also load a target.
     fn attempts<'a>(&'a self, service: &'a str) -> BoxFuture<'a, u64>;
 
-    /// Shards of `service`, which is how many attempts a query needs.
+    /// Number of shards of `service`, which is the number of attempts that a query needs.
     fn shards(&self, service: &str) -> u32;
 }
 
-/// The daemons of a run, for the scenarios that stop them.
+/// Control of the daemons of a run, for the scenarios that disturb them.
 pub trait DaemonControl: Send + Sync {
-    /// Their names, as in the history.
+    /// The names of the daemons, as in the history.
     fn daemons(&self) -> Vec<String>;
 
-    /// Stops `daemon` as planned and starts it again; ends once it is ready.
+    /// Restarts `daemon` with a planned stop; completes when it is ready again.
     fn restart<'a>(&'a self, daemon: &'a str) -> BoxFuture<'a, ()>;
 
-    /// Cuts one availability zone off from the others, or heals the cut.
+    /// Partitions one availability zone from the others, or heals the partition.
     fn cut_zone(&self, cut: bool) -> BoxFuture<'_, ()>;
 }
 
-/// What a scenario changes at one target.
+/// Slowness of one target in a scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TargetSlowness {
-    /// Service times are multiplied by this.
+    /// Factor on service times.
     pub slow_factor: f64,
-    /// The part of attempts that are stragglers; what the target started with
-    /// when absent.
+    /// Fraction of attempts that are stragglers; defaults to the target's options.
     pub straggler_share: Option<f64>,
-    /// How many times longer stragglers take; as above.
+    /// Factor on the service time of stragglers; defaults to the target's options.
     pub straggler_factor: Option<f64>,
 }
 
 impl TargetSlowness {
-    /// No change.
+    /// No slowness.
     pub const NONE: Self = Self { slow_factor: 1.0, straggler_share: None, straggler_factor: None };
 
-    /// What `scenario` changes at target number `number`.
+    /// The slowness of target number `number` in `scenario`.
     pub fn of(scenario: LoadScenario, number: usize) -> Self {
         match scenario {
             LoadScenario::Stragglers => Self {
@@ -76,7 +75,7 @@
     }
 }
 
-/// The targets of a deployment of stand-ins in this process.
+/// The targets of a deployment in this process.
 #[derive(Debug)]
 pub struct DeploymentEnvironment<'a> {
     deployment: &'a StandinDeployment,
--- a/crates/hawthorn-standin/src/load/inventory.rs
+++ b/crates/hawthorn-standin/src/load/inventory.rs
@@ -1,4 +1,4 @@
-//! Targets of another process, read from its inventory.
+//! The inventory of targets in another process.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,16 +10,16 @@
 use super::naive::KnownTarget;
 
 quick_error! {
-    /// Why an inventory could not be read.
+    /// Errors of reading an inventory.
     #[derive(Debug)]
     pub enum Error {
-        /// It is not the TOML expected.
+        /// The text is not a valid inventory.
         Toml(err: toml::de::Error) {
-            display("the inventory can't be read: {err}")
+            display("cannot read the inventory: {err}")
             source(err)
             from()
         }
-        /// A target's shard is not `service/number`.
+        /// The name of a target's shard is not of the form `service/number`.
         Shard(shard: String) {
             display("{shard} is not a shard's name")
         }
@@ -37,23 +37,23 @@
     pub target: Vec<ListedTarget>,
 }
 
-/// A service as listed.
+/// A service in the inventory.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListedService {
     /// Its name.
     pub name: String,
-    /// Its shards.
+    /// Number of shards.
     pub shards: u32,
     /// The connection limit of each of its targets.
     pub connections: usize,
 }
 
-/// A target as listed.
+/// A target in the inventory.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListedTarget {
     /// Its service.
     pub service: String,
-    /// Where it listens.
+    /// The listen address.
     pub address: SocketAddr,
     /// The shards it holds.
     pub shards: Vec<String>,
@@ -65,7 +65,7 @@
         Ok(toml::from_str(text)?)
     }
 
-    /// What a naive client knows of it.
+    /// The services and targets as the naive client needs them.
     pub fn known_services(&self) -> Result<HashMap<String, KnownService>, Error> {
         let mut known = HashMap::new();
         for service in &self.service {
@@ -82,12 +82,15 @@
 }
 
 fn known_target(target: &ListedTarget, connections: usize) -> Result<KnownTarget, Error> {
-    let shards =
-        target.shards.iter().map(|shard| number_of(shard)).collect::<Result<Vec<u32>, Error>>()?;
+    let shards = target
+        .shards
+        .iter()
+        .map(|shard| shard_number(shard))
+        .collect::<Result<Vec<u32>, Error>>()?;
     Ok(KnownTarget { address: target.address, connections, shards })
 }
 
-fn number_of(shard: &str) -> Result<u32, Error> {
+fn shard_number(shard: &str) -> Result<u32, Error> {
     let number = shard.rsplit_once('/').and_then(|(_, number)| number.parse().ok());
     number.ok_or_else(|| Error::Shard(shard.to_owned()))
 }
--- a/crates/hawthorn-standin/src/load/mod.rs
+++ b/crates/hawthorn-standin/src/load/mod.rs
@@ -1,14 +1,14 @@
-//! Load generator: open loop, seeded, against the callers' interface.
+//! Open-loop, seeded load generator for the callers' interface.
 //!
-//! - [`scenario`]: what makes one run differ from another.
-//! - [`schedule`]: when which caller asks what, decided before the run.
-//! - [`tier`]: whom to ask: the tier's entry hosts, or
-//! - [`naive`]: a client that asks targets directly with no policy, to compare.
-//! - [`environment`]: faults of targets and stops of daemons that a scenario needs.
-//! - [`inventory`] and [`remote`]: targets of another process, from its inventory.
-//! - [`run`]: one run.
+//! - [`scenario`]: named load patterns and disturbances.
+//! - [`schedule`]: the requests of a run, drawn before it starts.
+//! - [`tier`]: client of the tier's entry hosts.
+//! - [`naive`]: baseline client that sends requests to targets directly.
+//! - [`environment`]: control of targets and daemons for a scenario.
+//! - [`inventory`] and [`remote`]: targets in another process.
+//! - [`run`]: a single run.
 //! - [`compare`]: the same schedule against the tier and the naive client.
-//! - [`report`]: what came of it, as JSON and as a short table.
+//! - [`report`]: results as JSON and as a table.
 
 pub mod compare;
 pub mod inventory;
--- a/crates/hawthorn-standin/src/load/naive.rs
+++ b/crates/hawthorn-standin/src/load/naive.rs
@@ -1,8 +1,8 @@
-//! The baseline: a client that knows the targets and has no policy.
+//! The baseline: a client that sends requests to targets directly, without any policy.
 //!
-//! For each shard it asks one replica drawn at random, with no hedge and no
-//! retry, over a bounded pool in the order of arrival. It is spared the hop
-//! through an entry host, which is to its advantage.
+//! It searches each shard at one random replica, without hedged requests or retries,
+//! over a bounded connection pool in the order of arrival. It has the advantage of
+//! saving the hop through an entry host.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -46,18 +46,18 @@
 use crate::deployment::StandinDeployment;
 use crate::deployment::shard_name;
 
-/// One target as the naive client knows it.
+/// A target known to the naive client.
 #[derive(Clone, Debug)]
 pub struct KnownTarget {
-    /// Where it listens.
+    /// The listen address.
     pub address: SocketAddr,
-    /// Its connection limit.
+    /// Maximum number of connections.
     pub connections: usize,
     /// The numbers of the shards it holds.
     pub shards: Vec<u32>,
 }
 
-/// What the naive client knows of one service.
+/// A service known to the naive client.
 #[derive(Clone, Debug, Default)]
 pub struct KnownService {
     /// The number of shards.
@@ -71,31 +71,31 @@
 pub struct NaiveTier {
     version: IndexVersion,
     services: HashMap<String, Vec<Vec<ConnectionPool>>>,
-    draws: Mutex<NaiveDraws>,
+    selection: Mutex<SelectionState>,
 }
 
 #[derive(Debug)]
-struct NaiveDraws {
+struct SelectionState {
     rng: ChaCha8Rng,
     next: u64,
 }
 
-/// What became of one shard.
+/// Result of the search of one shard.
 enum ShardOutcome {
     Answered(ShardAnswer),
     Missing(MissingReason),
 }
 
 impl NaiveTier {
-    /// A client that searches `version` of the services it knows.
+    /// A client that searches `version` of `services`.
     pub fn new(services: HashMap<String, KnownService>, version: IndexVersion, seed: u64) -> Self {
         let services =
             services.into_iter().map(|(name, known)| (name, replica_pools(&known))).collect();
-        let draws = NaiveDraws { rng: ChaCha8Rng::seed_from_u64(seed), next: 0 };
-        Self { version, services, draws: Mutex::new(draws) }
+        let selection = SelectionState { rng: ChaCha8Rng::seed_from_u64(seed), next: 0 };
+        Self { version, services, selection: Mutex::new(selection) }
     }
 
-    /// A client that knows a running deployment.
+    /// A client for all services of a running deployment.
     pub fn of_deployment(deployment: &StandinDeployment, seed: u64) -> Self {
         let mut services = HashMap::new();
         for service in &deployment.options().services {
@@ -115,36 +115,39 @@
         Self::new(services, deployment.options().version, seed)
     }
 
-    /// Numbers a request and draws a replica for each shard.
-    fn draw(&self, shards: &[Vec<ConnectionPool>]) -> (u64, Vec<Option<ConnectionPool>>) {
-        let mut draws = self.draws.lock().expect("nothing panics while it holds the draws");
-        draws.next += 1;
-        let drawn = shards
+    /// Assigns a request number and selects a random replica of each shard.
+    fn select_replicas(
+        &self,
+        shards: &[Vec<ConnectionPool>],
+    ) -> (u64, Vec<Option<ConnectionPool>>) {
+        let mut selection = self.selection.lock().expect("no holder of the lock panics");
+        selection.next += 1;
+        let replicas = shards
             .iter()
             .map(|replicas| match replicas.is_empty() {
                 true => None,
-                false => Some(replicas[draws.rng.random_range(0..replicas.len())].clone()),
+                false => Some(replicas[selection.rng.random_range(0..replicas.len())].clone()),
             })
             .collect();
-        (draws.next, drawn)
+        (selection.next, replicas)
     }
 
     async fn search(&self, query: &SearchQuery) -> CallerAnswer {
         let start = Instant::now();
-        let asked = query.range.unwrap_or(KeyRange::FULL);
+        let requested = query.range.unwrap_or(KeyRange::FULL);
         let Some(shards) = self.services.get(&query.service) else {
             let outcome = CallerOutcome::NotRun(RefusalReason::UnknownService);
             return answer(0, query.request_id.clone(), outcome, start);
         };
-        let (number, drawn) = self.draw(shards);
-        let searches = drawn.into_iter().enumerate().map(|(shard, pool)| {
-            let range = KeyRange::part(shard as u32, shards.len() as u32).intersect(asked);
+        let (number, replicas) = self.select_replicas(shards);
+        let searches = replicas.into_iter().enumerate().map(|(shard, pool)| {
+            let range = KeyRange::part(shard as u32, shards.len() as u32).intersect(requested);
             self.search_shard(query, number, shard as u32, range, pool)
         });
         let outcomes = join_all(searches).await;
         let mut merged = answer(number, query.request_id.clone(), CallerOutcome::Answer, start);
         merged.index_version = Some(self.version);
-        merge(&mut merged, asked, query.limit as usize, outcomes);
+        merge(&mut merged, requested, query.limit as usize, outcomes);
         merged
     }
 
@@ -169,11 +172,11 @@
             limit: query.limit,
             deadline_ms: query.deadline_ms,
         };
-        let left = Duration::from_millis(query.deadline_ms);
-        let outcome = match timeout(left, pool.post("/search", &search)).await {
+        let time_limit = Duration::from_millis(query.deadline_ms);
+        let outcome = match timeout(time_limit, pool.post("/search", &search)).await {
             Err(_) => ShardOutcome::Missing(MissingReason::DeadlinePast),
             Ok(Err(_)) => ShardOutcome::Missing(MissingReason::Unreachable),
-            Ok(Ok((status, bytes))) => understand(&search, status, &bytes),
+            Ok(Ok((status, bytes))) => shard_outcome(&search, status, &bytes),
         };
         (range, outcome)
     }
@@ -183,18 +186,18 @@
         let id = Some(request.request_id.clone());
         let Some(shards) = self.services.get(&request.service) else {
             let outcome = CallerOutcome::NotRun(RefusalReason::UnknownService);
-            return heard(answer(0, id, outcome, start));
+            return answered(answer(0, id, outcome, start));
         };
-        let holds = |shard: &usize| {
+        let contains_key = |shard: &usize| {
             KeyRange::part(*shard as u32, shards.len() as u32).contains(request.key)
         };
-        let (number, mut drawn) = self.draw(shards);
-        let pool = (0..shards.len()).find(holds).and_then(|shard| drawn[shard].take());
+        let (number, mut replicas) = self.select_replicas(shards);
+        let pool = (0..shards.len()).find(contains_key).and_then(|shard| replicas[shard].take());
         let outcome = match pool {
             None => CallerOutcome::NotRun(RefusalReason::NoTarget),
-            Some(pool) => run_at(&pool, number, request).await,
+            Some(pool) => run_on(&pool, number, request).await,
         };
-        heard(answer(number, id, outcome, start))
+        answered(answer(number, id, outcome, start))
     }
 }
 
@@ -204,7 +207,7 @@
     }
 
     fn query<'a>(&'a self, _front: usize, query: &'a SearchQuery) -> BoxFuture<'a, TierResponse> {
-        Box::pin(async { heard(self.search(query).await) })
+        Box::pin(async { answered(self.search(query).await) })
     }
 
     fn once<'a>(&'a self, _front: usize, request: &'a OnceRequest) -> BoxFuture<'a, TierResponse> {
@@ -212,7 +215,7 @@
     }
 }
 
-fn heard(answer: CallerAnswer) -> TierResponse {
+fn answered(answer: CallerAnswer) -> TierResponse {
     TierResponse::Answered(Box::new(answer))
 }
 
@@ -229,7 +232,7 @@
     shards
 }
 
-fn understand(search: &ShardSearch, status: StatusCode, bytes: &[u8]) -> ShardOutcome {
+fn shard_outcome(search: &ShardSearch, status: StatusCode, bytes: &[u8]) -> ShardOutcome {
     if status == StatusCode::OK {
         return match serde_json::from_slice::<ShardAnswer>(bytes) {
             Ok(found) if found.request == search.request && found.attempt == search.attempt => {
@@ -251,7 +254,7 @@
 
 fn merge(
     merged: &mut CallerAnswer,
-    asked: KeyRange,
+    requested: KeyRange,
     limit: usize,
     outcomes: Vec<(KeyRange, ShardOutcome)>,
 ) {
@@ -266,18 +269,18 @@
             }
             ShardOutcome::Missing(reason) => (RangeSet::default(), reason),
         };
-        let left = RangeSet::from(range).difference(&searched);
-        missing.extend(left.ranges().iter().map(|&range| MissingRange { range, reason }));
+        let uncovered = RangeSet::from(range).difference(&searched);
+        missing.extend(uncovered.ranges().iter().map(|&range| MissingRange { range, reason }));
         covered.extend(&searched);
     }
     merged.matches.sort_by(|a, b| b.score.total_cmp(&a.score).then(a.key.cmp(&b.key)));
     merged.matches.truncate(limit);
-    let fraction = f64::from(covered.len()) / f64::from(asked.len().max(1));
+    let fraction = f64::from(covered.len()) / f64::from(requested.len().max(1));
     merged.coverage =
         Some(AnswerCoverage { fraction, covered: covered.ranges().to_vec(), missing });
 }
 
-async fn run_at(pool: &ConnectionPool, number: u64, request: &OnceRequest) -> CallerOutcome {
+async fn run_on(pool: &ConnectionPool, number: u64, request: &OnceRequest) -> CallerOutcome {
     let run = TargetRun {
         request: format!("{number:032x}"),
         attempt: 0,
@@ -287,10 +290,10 @@
         body: request.body.clone(),
         deadline_ms: request.deadline_ms,
     };
-    let left = Duration::from_millis(request.deadline_ms);
-    match timeout(left, pool.post("/run", &run)).await {
+    let time_limit = Duration::from_millis(request.deadline_ms);
+    match timeout(time_limit, pool.post("/run", &run)).await {
         Err(_) => CallerOutcome::Unknown(UnknownReason::DeadlinePast),
-        Ok(Err(Error::Cut)) => CallerOutcome::Unknown(UnknownReason::ConnectionLost),
+        Ok(Err(Error::ConnectionLost)) => CallerOutcome::Unknown(UnknownReason::ConnectionLost),
         Ok(Err(Error::Connect(_) | Error::Closed)) => {
             CallerOutcome::NotRun(RefusalReason::NoTarget)
         }
--- a/crates/hawthorn-standin/src/load/pool.rs
+++ b/crates/hawthorn-standin/src/load/pool.rs
@@ -1,5 +1,5 @@
-//! A bounded pool of HTTP/1.1 connections to one address, first come first
-//! served.
+//! Bounded pool of HTTP/1.1 connections to one address, with waiting requests served in
+//! the order of arrival.
 
 use std::io;
 use std::net::SocketAddr;
@@ -24,14 +24,14 @@
 use tokio::net::TcpStream;
 use tokio::sync::Semaphore;
 
-/// Largest answer that is read.
-const ANSWER_LIMIT: usize = 64 << 20;
+/// Maximum size of an answer in bytes.
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 
 quick_error! {
-    /// Why a request has no answer.
+    /// Reasons why a request has no answer.
     #[derive(Debug)]
     pub enum Error {
-        /// No connection could be made: nothing was sent.
+        /// Connecting failed; nothing was sent.
         Connect(err: io::Error) {
             display("cannot connect: {err}")
             source(err)
@@ -39,24 +39,24 @@
         }
         /// A new connection was closed before anything was sent.
         Closed {
-            display("the connection was closed at once")
+            display("the connection was closed immediately")
         }
-        /// The connection broke or the answer was too large, after the request
-        /// was sent.
-        Cut {
-            display("the connection broke before the whole answer came")
+        /// The connection was lost, or the answer was too large, after the request was
+        /// sent.
+        ConnectionLost {
+            display("the connection was lost before the answer was complete")
         }
     }
 }
 
-/// Whether a connection was used before.
+/// Whether a connection was taken from the pool or newly opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ConnectionAge {
+enum ConnectionOrigin {
     Idle,
     New,
 }
 
-/// Connections to one address. Clones share the connections.
+/// A connection pool for one address. Clones share the connections.
 #[derive(Clone, Debug)]
 pub struct ConnectionPool {
     address: SocketAddr,
@@ -75,40 +75,39 @@
         self.address
     }
 
-    /// Posts `body` as JSON, once a connection is free.
+    /// Posts `body` as JSON when a connection is available.
     pub async fn post<T: Serialize>(
         &self,
         path: &str,
         body: &T,
     ) -> Result<(StatusCode, Bytes), Error> {
-        let body =
-            serde_json::to_vec(body).expect("the messages of the contracts have string keys");
+        let body = serde_json::to_vec(body).expect("messages of the contracts have string keys");
         self.send(Method::POST, path, body).await
     }
 
-    /// Sends `body`, once a connection is free.
+    /// Sends `body` when a connection is available.
     pub async fn send(
         &self,
         method: Method,
         path: &str,
         body: Vec<u8>,
     ) -> Result<(StatusCode, Bytes), Error> {
-        let _permit = self.limit.acquire().await.expect("the pool is never closed");
+        let _permit = self.limit.acquire().await.expect("the semaphore is never closed");
         let body = Bytes::from(body);
         loop {
-            let (mut sender, age) = self.connection().await?;
+            let (mut sender, origin) = self.connection().await?;
             let request = self.request(&method, path, body.clone());
             let response = match sender.send_request(request).await {
                 Ok(response) => response,
-                // The server closed an idle connection just before: nothing of the
-                // request was written, so that it goes out on another one.
-                Err(err) if err.is_canceled() && age == ConnectionAge::Idle => continue,
+                // The server had closed the idle connection. Nothing was written, so the
+                // request is sent on another connection.
+                Err(err) if err.is_canceled() && origin == ConnectionOrigin::Idle => continue,
                 Err(err) if err.is_canceled() => return Err(Error::Closed),
-                Err(_) => return Err(Error::Cut),
+                Err(_) => return Err(Error::ConnectionLost),
             };
             let status = response.status();
-            let body = Limited::new(response.into_body(), ANSWER_LIMIT);
-            let bytes = body.collect().await.map_err(|_| Error::Cut)?.to_bytes();
+            let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES);
+            let bytes = body.collect().await.map_err(|_| Error::ConnectionLost)?.to_bytes();
             self.lock().push(sender);
             return Ok((status, bytes));
         }
@@ -121,21 +120,21 @@
             .header(HOST, self.address.to_string())
             .header(CONTENT_TYPE, "application/json")
             .body(Full::new(body))
-            .expect("the paths of the contracts are well formed")
+            .expect("paths of the contracts are valid")
     }
 
-    /// Closes the connections that are idle.
+    /// Closes all idle connections.
     pub fn close_idle(&self) {
         self.lock().clear();
     }
 
-    /// An idle connection that is still open, or a new one.
-    async fn connection(&self) -> Result<(SendRequest<Full<Bytes>>, ConnectionAge), Error> {
+    /// Returns an idle connection that is still open, or opens a new one.
+    async fn connection(&self) -> Result<(SendRequest<Full<Bytes>>, ConnectionOrigin), Error> {
         loop {
             let idle = self.lock().pop();
             let Some(mut sender) = idle else { break };
             if sender.ready().await.is_ok() {
-                return Ok((sender, ConnectionAge::Idle));
+                return Ok((sender, ConnectionOrigin::Idle));
             }
         }
         let stream = TcpStream::connect(self.address).await?;
@@ -147,10 +146,10 @@
                 log::debug!("a connection of the load generator ended early: {err}");
             }
         });
-        Ok((sender, ConnectionAge::New))
+        Ok((sender, ConnectionOrigin::New))
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<SendRequest<Full<Bytes>>>> {
-        self.idle.lock().expect("nothing panics while it holds the connections")
+        self.idle.lock().expect("no holder of the lock panics")
     }
 }
--- a/crates/hawthorn-standin/src/load/remote.rs
+++ b/crates/hawthorn-standin/src/load/remote.rs
@@ -1,6 +1,6 @@
-//! Stand-in targets of another process, told by HTTP what a scenario needs.
+//! Stand-in targets in another process, controlled over HTTP.
 //!
-//! Each call takes one of the target's connections for a moment.
+//! Each call briefly occupies one of the target's connections.
 
 use std::collections::HashMap;
 
@@ -48,40 +48,40 @@
         Self { targets, shards }
     }
 
-    async fn slow(&self, slowness: impl Fn(usize) -> TargetSlowness) {
-        let told = self.targets.iter().enumerate().map(|(number, target)| {
+    async fn set_slowness(&self, slowness: impl Fn(usize) -> TargetSlowness) {
+        let requests = self.targets.iter().enumerate().map(|(number, target)| {
             let slowness = slowness(number);
             async move {
                 if let Err(err) = target.pool.post("/standin/slowness", &slowness).await {
-                    log::warn!("{} was not told its slowness: {err}", target.pool.address());
+                    log::warn!("setting the slowness of {} failed: {err}", target.pool.address());
                 }
                 target.pool.close_idle();
             }
         });
-        join_all(told).await;
+        join_all(requests).await;
     }
 }
 
 impl LoadEnvironment for RemoteEnvironment {
     fn begin(&self, scenario: LoadScenario) -> BoxFuture<'_, ()> {
-        self.slow(move |number| TargetSlowness::of(scenario, number)).boxed()
+        self.set_slowness(move |number| TargetSlowness::of(scenario, number)).boxed()
     }
 
     fn end(&self) -> BoxFuture<'_, ()> {
-        self.slow(|_| TargetSlowness::NONE).boxed()
+        self.set_slowness(|_| TargetSlowness::NONE).boxed()
     }
 
     fn attempts<'a>(&'a self, service: &'a str) -> BoxFuture<'a, u64> {
         let targets = self.targets.iter().filter(move |target| target.service == service);
-        let counted = targets.map(|target| async move {
-            let heard = target.pool.send(Method::GET, "/standin/counters", Vec::new()).await;
+        let requests = targets.map(|target| async move {
+            let response = target.pool.send(Method::GET, "/standin/counters", Vec::new()).await;
             target.pool.close_idle();
-            let counters = heard
+            let counters = response
                 .ok()
                 .and_then(|(_, bytes)| serde_json::from_slice::<TargetCounters>(&bytes).ok());
             counters.map_or(0, |counters| counters.arrived)
         });
-        join_all(counted).map(|counts| counts.into_iter().sum()).boxed()
+        join_all(requests).map(|counts| counts.into_iter().sum()).boxed()
     }
 
     fn shards(&self, service: &str) -> u32 {
--- a/crates/hawthorn-standin/src/load/report.rs
+++ b/crates/hawthorn-standin/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What came of a run, as JSON and as a short table.
+//! Results of a run, as JSON and as a table.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,34 +12,34 @@
 
 use super::scenario::LoadScenario;
 use super::schedule::ScheduleOptions;
-use crate::check::BrokenPromise;
 use crate::check::Violation;
+use crate::check::ViolationKind;
 
-/// Significant digits of a latency.
-const DIGITS: u8 = 3;
-/// Latencies above this are counted as this, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
+/// Significant digits of recorded latencies.
+const SIGNIFICANT_DIGITS: u8 = 3;
+/// Maximum recorded latency in microseconds; larger ones are clamped.
+const MAX_LATENCY_US: u64 = 600_000_000;
 const MICROS_IN_MILLI: f64 = 1000.0;
 
-/// What became of one request.
+/// Result of one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sample {
-    /// The caller, by its number.
+    /// The index of the caller.
     pub caller: usize,
-    /// A search, not a non-idempotent request.
+    /// Whether it was a search rather than a non-idempotent request.
     pub search: bool,
-    /// From when it was due to when its caller knew.
+    /// Time from its scheduled start until its caller received the outcome.
     pub latency: Duration,
-    /// How it ended.
-    pub end: SampleEnd,
+    /// Its outcome.
+    pub outcome: SampleOutcome,
 }
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum SampleEnd {
+pub enum SampleOutcome {
     /// It was answered.
     Answered {
-        /// The part of the keys covered.
+        /// Fraction of the requested keys that the answer covers.
         coverage: f64,
     },
     /// It did not run.
@@ -48,11 +48,11 @@
     Unknown,
     /// It ran and failed.
     Failed,
-    /// The connection broke, or the caller lost patience.
-    Cut,
-    /// No connection could be made.
+    /// The connection was lost, or the caller timed out.
+    ConnectionLost,
+    /// Connecting failed.
     NotSent,
-    /// The generator had too many requests under way.
+    /// The generator had too many requests in flight.
     NotOffered,
 }
 
@@ -61,41 +61,41 @@
 pub struct LatencyReport {
     /// The median.
     pub p50_ms: f64,
-    /// 99 in 100 are below.
+    /// The 99th percentile.
     pub p99_ms: f64,
-    /// 999 in 1000 are below.
+    /// The 99.9th percentile.
     pub p999_ms: f64,
-    /// The longest.
+    /// The maximum.
     pub max_ms: f64,
 }
 
-/// What came of one caller's requests.
+/// Results of one caller.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct CallerReport {
     /// The caller.
     pub caller: String,
-    /// Requests that were due.
+    /// Scheduled requests.
     pub offered: u64,
     /// Requests answered.
     pub answered: u64,
-    /// The same, each search counted by the part of the keys it covers.
+    /// Requests answered, with each search weighted by its coverage.
     pub served: f64,
     /// Latencies of its answered requests.
     pub latency: LatencyReport,
 }
 
-/// What came of a run.
+/// Results of a run.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LoadReport {
-    /// Who was asked.
+    /// Name of the client under load.
     pub policy: String,
     /// The scenario.
     #[serde_as(as = "DisplayFromStr")]
     pub scenario: LoadScenario,
     /// The seed.
     pub seed: u64,
-    /// Requests that were due.
+    /// Scheduled requests.
     pub offered: u64,
     /// Requests answered.
     pub answered: u64,
@@ -107,11 +107,11 @@
     pub latency_complete: LatencyReport,
     /// Mean coverage of answered searches.
     pub coverage_mean: f64,
-    /// Least coverage of an answered search.
+    /// Minimum coverage of answered searches.
     pub coverage_least: f64,
-    /// Attempts that reached targets over the attempts needed for what answers
-    /// cover: 1 is no extra load. Attempts that were refused, cancelled, hedged
-    /// or late are extra.
+    /// Attempts that arrived at targets, divided by the attempts that the covered shards
+    /// need; 1 means no extra load. Refused, cancelled, hedged and late attempts are
+    /// extra load.
     pub extra_load: f64,
     /// Requests that did not run, by reason.
     pub refused: BTreeMap<String, u64>,
@@ -119,36 +119,37 @@
     pub unknown: u64,
     /// Requests that ran and failed.
     pub failed: u64,
-    /// Requests whose connection broke.
+    /// Requests whose connection was lost.
     pub cut: u64,
-    /// Requests for which no connection could be made.
+    /// Requests for which connecting failed.
     pub not_sent: u64,
-    /// Requests that the generator could not offer; above 0 the run says little.
+    /// Requests that the generator could not send; above 0, the results are not
+    /// representative.
     pub not_offered: u64,
-    /// The least, over callers, of what the caller was served over its max-min
-    /// fair part of all that was served: 1 is fair.
+    /// Minimum over callers of the served requests divided by the caller's max-min fair
+    /// share of all served requests; 1 is fair.
     pub fairness: f64,
-    /// Each caller.
+    /// Results by caller.
     pub callers: Vec<CallerReport>,
-    /// Broken promises, by name.
+    /// Number of violations by kind.
     pub broken: BTreeMap<String, u64>,
-    /// The first broken promises, described.
+    /// Descriptions of the first violations.
     pub broken_first: Vec<String>,
 }
 
-/// Broken promises that are described.
-const DESCRIBED: usize = 5;
+/// Maximum number of described violations.
+const MAX_DESCRIBED: usize = 5;
 
 impl LoadReport {
-    /// Sums a run up: its samples, the attempts that reached targets, the shards
-    /// that a search needs, and the broken promises.
+    /// Aggregates the samples of a run, the number of attempts that arrived at targets,
+    /// the number of shards of a search, and the violations.
     pub fn new(
         policy: &str,
         schedule: &ScheduleOptions,
         samples: &[Sample],
         attempts: u64,
         shards: u32,
-        broken: &[Violation],
+        violations: &[Violation],
     ) -> Self {
         let callers: Vec<CallerReport> = schedule
             .callers
@@ -156,9 +157,10 @@
             .enumerate()
             .map(|(number, caller)| caller_report(number, caller, samples))
             .collect();
-        let coverages: Vec<f64> = samples.iter().filter_map(covered).collect();
-        let count =
-            |wanted: SampleEnd| samples.iter().filter(|sample| sample.end == wanted).count() as u64;
+        let coverages: Vec<f64> = samples.iter().filter_map(search_coverage).collect();
+        let count = |outcome: SampleOutcome| {
+            samples.iter().filter(|sample| sample.outcome == outcome).count() as u64
+        };
         let needed: f64 = samples.iter().map(|sample| attempts_needed(sample, shards)).sum();
         Self {
             policy: policy.to_owned(),
@@ -172,22 +174,22 @@
             coverage_mean: mean(&coverages),
             coverage_least: coverages.iter().copied().fold(1.0, f64::min),
             extra_load: attempts as f64 / needed.max(1.0),
-            refused: refusals(samples),
-            unknown: count(SampleEnd::Unknown),
-            failed: count(SampleEnd::Failed),
-            cut: count(SampleEnd::Cut),
-            not_sent: count(SampleEnd::NotSent),
-            not_offered: count(SampleEnd::NotOffered),
+            refused: refusal_counts(samples),
+            unknown: count(SampleOutcome::Unknown),
+            failed: count(SampleOutcome::Failed),
+            cut: count(SampleOutcome::ConnectionLost),
+            not_sent: count(SampleOutcome::NotSent),
+            not_offered: count(SampleOutcome::NotOffered),
             fairness: fairness(&callers),
             callers,
-            broken: broken_counts(broken),
-            broken_first: broken.iter().take(DESCRIBED).map(Violation::to_string).collect(),
+            broken: violation_counts(violations),
+            broken_first: violations.iter().take(MAX_DESCRIBED).map(Violation::to_string).collect(),
         }
     }
 
-    /// Broken promises of one kind.
-    pub fn broken_count(&self, promise: BrokenPromise) -> u64 {
-        self.broken.get(&promise.to_string()).copied().unwrap_or_default()
+    /// Number of violations of one kind.
+    pub fn violation_count(&self, kind: ViolationKind) -> u64 {
+        self.broken.get(&kind.to_string()).copied().unwrap_or_default()
     }
 }
 
@@ -217,7 +219,7 @@
     }
 }
 
-/// The head of the table that [`LoadReport`] displays one line of.
+/// The header of the table whose rows are [`LoadReport`]s.
 pub fn table_header() -> String {
     format!(
         "{:<16} {:<8} {:>8} {:>8} {:>8} {:>8} {:>8} {:>8} {:>8} {:>6} {:>8} {:>6} {:>8} {:>6}\n",
@@ -238,68 +240,68 @@
     )
 }
 
-/// Max-min fair parts of `total` for callers that asked for `wanted` each: the
-/// modest get all they asked for, the others share what is left evenly.
-pub fn fair_parts(total: f64, wanted: &[f64]) -> Vec<f64> {
-    let mut order: Vec<usize> = (0..wanted.len()).collect();
-    order.sort_by(|&a, &b| wanted[a].total_cmp(&wanted[b]));
-    let mut parts = vec![0.0; wanted.len()];
-    let mut left = total;
+/// Max-min fair shares of `total` for the given demands: small demands are satisfied,
+/// and the remainder is divided evenly among the others.
+pub fn max_min_fair_shares(total: f64, demands: &[f64]) -> Vec<f64> {
+    let mut order: Vec<usize> = (0..demands.len()).collect();
+    order.sort_by(|&a, &b| demands[a].total_cmp(&demands[b]));
+    let mut shares = vec![0.0; demands.len()];
+    let mut remaining = total;
     for (served, &caller) in order.iter().enumerate() {
-        let even = left / (wanted.len() - served) as f64;
-        parts[caller] = wanted[caller].min(even);
-        left -= parts[caller];
+        let even = remaining / (demands.len() - served) as f64;
+        shares[caller] = demands[caller].min(even);
+        remaining -= shares[caller];
     }
-    parts
+    shares
 }
 
 fn fairness(callers: &[CallerReport]) -> f64 {
     let total: f64 = callers.iter().map(|caller| caller.served).sum();
-    let wanted: Vec<f64> = callers.iter().map(|caller| caller.offered as f64).collect();
-    let parts = fair_parts(total, &wanted);
+    let demands: Vec<f64> = callers.iter().map(|caller| caller.offered as f64).collect();
+    let shares = max_min_fair_shares(total, &demands);
     callers
         .iter()
-        .zip(parts)
-        .filter(|(_, part)| *part > 0.0)
-        .map(|(caller, part)| caller.served / part)
+        .zip(shares)
+        .filter(|(_, share)| *share > 0.0)
+        .map(|(caller, share)| caller.served / share)
         .fold(1.0, f64::min)
 }
 
 fn caller_report(number: usize, caller: &str, samples: &[Sample]) -> CallerReport {
-    let own: Vec<Sample> =
+    let caller_samples: Vec<Sample> =
         samples.iter().copied().filter(|sample| sample.caller == number).collect();
     CallerReport {
         caller: caller.to_owned(),
-        offered: own.len() as u64,
-        answered: own.iter().filter(|sample| is_answered(sample)).count() as u64,
-        served: own.iter().map(served).sum(),
-        latency: latency_report(&own, is_answered),
+        offered: caller_samples.len() as u64,
+        answered: caller_samples.iter().filter(|sample| is_answered(sample)).count() as u64,
+        served: caller_samples.iter().map(served).sum(),
+        latency: latency_report(&caller_samples, is_answered),
     }
 }
 
 fn is_answered(sample: &Sample) -> bool {
-    matches!(sample.end, SampleEnd::Answered { .. })
+    matches!(sample.outcome, SampleOutcome::Answered { .. })
 }
 
 fn served(sample: &Sample) -> f64 {
-    match sample.end {
-        SampleEnd::Answered { coverage } => coverage,
+    match sample.outcome {
+        SampleOutcome::Answered { coverage } => coverage,
         _ => 0.0,
     }
 }
 
 fn is_complete(sample: &Sample) -> bool {
-    covered(sample).is_some_and(|coverage| coverage >= 1.0)
+    search_coverage(sample).is_some_and(|coverage| coverage >= 1.0)
 }
 
-fn covered(sample: &Sample) -> Option<f64> {
-    match sample.end {
-        SampleEnd::Answered { coverage } if sample.search => Some(coverage),
+fn search_coverage(sample: &Sample) -> Option<f64> {
+    match sample.outcome {
+        SampleOutcome::Answered { coverage } if sample.search => Some(coverage),
         _ => None,
     }
 }
 
-/// A search needs one attempt for each shard that it covers.
+/// Attempts that a request needs: a search needs one for each covered shard.
 fn attempts_needed(sample: &Sample, shards: u32) -> f64 {
     match sample.search {
         true => served(sample) * f64::from(shards),
@@ -314,36 +316,37 @@
     }
 }
 
-fn latency_report(samples: &[Sample], counts: fn(&Sample) -> bool) -> LatencyReport {
-    let mut histogram = Histogram::<u64>::new_with_bounds(1, LONGEST_US, DIGITS)
+fn latency_report(samples: &[Sample], include: fn(&Sample) -> bool) -> LatencyReport {
+    let mut histogram = Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
         .expect("the bounds and digits are in range");
-    for sample in samples.iter().filter(|sample| counts(sample)) {
-        let micros = u64::try_from(sample.latency.as_micros()).unwrap_or(LONGEST_US);
+    for sample in samples.iter().filter(|sample| include(sample)) {
+        let micros = u64::try_from(sample.latency.as_micros()).unwrap_or(MAX_LATENCY_US);
         histogram.saturating_record(micros);
     }
-    let at = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / MICROS_IN_MILLI;
+    let quantile_ms =
+        |quantile: f64| histogram.value_at_quantile(quantile) as f64 / MICROS_IN_MILLI;
     LatencyReport {
-        p50_ms: at(0.5),
-        p99_ms: at(0.99),
-        p999_ms: at(0.999),
+        p50_ms: quantile_ms(0.5),
+        p99_ms: quantile_ms(0.99),
+        p999_ms: quantile_ms(0.999),
         max_ms: histogram.max() as f64 / MICROS_IN_MILLI,
     }
 }
 
-fn refusals(samples: &[Sample]) -> BTreeMap<String, u64> {
+fn refusal_counts(samples: &[Sample]) -> BTreeMap<String, u64> {
     let mut refused = BTreeMap::new();
     for sample in samples {
-        if let SampleEnd::NotRun(reason) = sample.end {
+        if let SampleOutcome::NotRun(reason) = sample.outcome {
             *refused.entry(reason.to_string()).or_default() += 1;
         }
     }
     refused
 }
 
-fn broken_counts(broken: &[Violation]) -> BTreeMap<String, u64> {
+fn violation_counts(violations: &[Violation]) -> BTreeMap<String, u64> {
     let mut counts = BTreeMap::new();
-    for violation in broken {
-        *counts.entry(violation.promise.to_string()).or_default() += 1;
+    for violation in violations {
+        *counts.entry(violation.kind.to_string()).or_default() += 1;
     }
     counts
 }
--- a/crates/hawthorn-standin/src/load/run.rs
+++ b/crates/hawthorn-standin/src/load/run.rs
@@ -1,4 +1,4 @@
-//! One run of a schedule.
+//! A single run of a schedule.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use super::environment::LoadEnvironment;
 use super::report::LoadReport;
 use super::report::Sample;
-use super::report::SampleEnd;
+use super::report::SampleOutcome;
 use super::scenario::LoadScenario;
 use super::schedule;
 use super::schedule::PlannedKind;
@@ -33,45 +33,46 @@
 use crate::history::SentQuery;
 use crate::timer;
 
-/// How much longer than its deadline a caller waits before it gives up.
-const CALLER_PATIENCE: Duration = Duration::from_secs(1);
-/// Pause between two daemons of a rolling restart.
+/// Time beyond the deadline after which a caller times out.
+const CALLER_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
+/// Pause between the restarts of two daemons in a rolling restart.
 const RESTART_PAUSE: Duration = Duration::from_millis(200);
-/// A zone is cut off from one third of the run to two thirds.
-const CUT_PARTS: u32 = 3;
+/// A zone is partitioned during the second of this many equal parts of the run.
+const PARTITION_PARTS: u32 = 3;
 
 quick_error! {
-    /// Why a run could not be made.
+    /// Errors of starting a run.
     #[derive(Debug, PartialEq, Eq)]
     pub enum Error {
-        /// The scenario stops daemons, and there is no control of them.
+        /// The scenario stops daemons, but no daemon control is available.
         NeedsDaemons(scenario: LoadScenario) {
-            display("{scenario} needs control of the daemons")
+            display("scenario {scenario} requires daemon control")
         }
-        /// There is nobody to ask.
+        /// The tier has no entry host.
         NoFront {
-            display("the tier has no entry point")
+            display("the tier has no entry host")
         }
     }
 }
 
-/// How to make a run.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The schedule.
     pub schedule: ScheduleOptions,
     /// The service to search.
     pub service: String,
-    /// Milliseconds each caller waits.
+    /// Deadline of each request in milliseconds.
     pub deadline_ms: u64,
-    /// Matches asked for.
+    /// Maximum number of matches per search.
     pub limit: u32,
-    /// Requests under way at once; more are not offered and are counted.
+    /// Maximum number of requests in flight; further ones are not sent and counted as
+    /// not offered.
     pub in_flight: usize,
-    /// Whether a non-idempotent request whose answer was lost is sent once more,
-    /// unchanged, to the next entry host.
+    /// Whether a non-idempotent request whose answer was lost is resent once, unchanged,
+    /// to the next entry host.
     pub resend_lost: bool,
-    /// Where the run is recorded; the same as the targets'.
+    /// The history of the run, shared with the targets.
     pub history: History,
     /// The documents to check answers against.
     pub corpora: Vec<Arc<Corpus>>,
@@ -92,11 +93,11 @@
     }
 }
 
-/// Runs the schedule against `tier` and reports what came of it.
+/// Runs the schedule against `tier` and reports the results.
 pub async fn run(
     policy: &str,
     tier: Arc<dyn QueryTier>,
-    stage: &dyn LoadEnvironment,
+    environment: &dyn LoadEnvironment,
     daemons: Option<&dyn DaemonControl>,
     options: &Options,
 ) -> Result<LoadReport, Error> {
@@ -108,24 +109,25 @@
     if scenario.needs_daemons() && daemons.is_none() {
         return Err(Error::NeedsDaemons(scenario));
     }
-    let attempts = stage.attempts(&options.service).await;
-    let began = options.history.now();
-    stage.begin(scenario).await;
+    let attempts_before = environment.attempts(&options.service).await;
+    let start = options.history.now();
+    environment.begin(scenario).await;
     let load = Load { tier, fronts, options: options.clone(), start: Instant::now() };
-    let (samples, ()) = tokio::join!(offer(Arc::new(load)), disturb(daemons, options));
-    stage.end().await;
-    let attempts = stage.attempts(&options.service).await.saturating_sub(attempts);
+    let (samples, ()) =
+        tokio::join!(send_schedule(Arc::new(load)), inject_daemon_faults(daemons, options));
+    environment.end().await;
+    let attempts = environment.attempts(&options.service).await.saturating_sub(attempts_before);
     let check_options =
         check::Options { corpora: options.corpora.clone(), ..check::Options::default() };
-    // The whole history is read, since a target may have begun to leave before.
-    let mut broken = check::check(&options.history.records(), &check_options);
-    broken.retain(|violation| violation.at >= began);
-    let shards = stage.shards(&options.service);
-    Ok(LoadReport::new(policy, &options.schedule, &samples, attempts, shards, &broken))
+    // The entire history is checked, as a target may have started draining before the run.
+    let mut violations = check::check(&options.history.records(), &check_options);
+    violations.retain(|violation| violation.at >= start);
+    let shards = environment.shards(&options.service);
+    Ok(LoadReport::new(policy, &options.schedule, &samples, attempts, shards, &violations))
 }
 
-/// What a scenario does to daemons while the load runs.
-async fn disturb(daemons: Option<&dyn DaemonControl>, options: &Options) {
+/// Applies the daemon faults of the scenario during the run.
+async fn inject_daemon_faults(daemons: Option<&dyn DaemonControl>, options: &Options) {
     let Some(daemons) = daemons else { return };
     let duration = options.schedule.duration;
     match options.schedule.scenario {
@@ -138,9 +140,9 @@
             }
         }
         LoadScenario::ZoneCut => {
-            tokio::time::sleep(duration / CUT_PARTS).await;
+            tokio::time::sleep(duration / PARTITION_PARTS).await;
             daemons.cut_zone(true).await;
-            tokio::time::sleep(duration / CUT_PARTS).await;
+            tokio::time::sleep(duration / PARTITION_PARTS).await;
             daemons.cut_zone(false).await;
         }
         _ => {}
@@ -154,115 +156,115 @@
     start: Instant,
 }
 
-/// Sends each request when its time has come, however slow earlier ones are.
-async fn offer(load: Arc<Load>) -> Vec<Sample> {
+/// Sends each request at its scheduled time, regardless of earlier ones (open loop).
+async fn send_schedule(load: Arc<Load>) -> Vec<Sample> {
     let planned = schedule::schedule(&load.options.schedule);
     let mut samples = Vec::with_capacity(planned.len());
-    let mut under_way = JoinSet::new();
+    let mut in_flight = JoinSet::new();
     for (number, request) in planned.into_iter().enumerate() {
         let due = load.start + request.at;
         timer::sleep_until(due.into_std()).await;
-        while let Some(sample) = under_way.try_join_next() {
+        while let Some(sample) = in_flight.try_join_next() {
             samples.push(sample);
         }
-        // Memory and sockets of one machine are bounded; what is not offered
-        // is counted, so that a report never hides it.
-        if under_way.len() >= load.options.in_flight {
-            samples.push(Ok(sample(&request, due, SampleEnd::NotOffered)));
+        // Bounds memory and sockets. Requests that are not sent are counted, so that the
+        // report shows them.
+        if in_flight.len() >= load.options.in_flight {
+            samples.push(Ok(sample(&request, due, SampleOutcome::NotOffered)));
             continue;
         }
         let load = Arc::clone(&load);
-        under_way.spawn(async move { load.send(number, &request, due).await });
+        in_flight.spawn(async move { load.send(number, &request, due).await });
     }
-    while let Some(sample) = under_way.join_next().await {
+    while let Some(sample) = in_flight.join_next().await {
         samples.push(sample);
     }
-    samples
-        .into_iter()
-        .map(|sample| sample.expect("a send neither panics nor is aborted"))
-        .collect()
+    samples.into_iter().map(|sample| sample.expect("sends neither panic nor are aborted")).collect()
 }
 
 impl Load {
     async fn send(&self, number: usize, request: &PlannedRequest, due: Instant) -> Sample {
-        let end = match &request.kind {
+        let outcome = match &request.kind {
             PlannedKind::Search { .. } => self.search(number, request).await,
             PlannedKind::Once { key } => self.once(number, request, *key).await,
         };
-        // Measured from when it was due, so that a slow generator shows as latency.
-        sample(request, due, end)
+        // Measured from the scheduled time, so that a slow generator shows as latency.
+        sample(request, due, outcome)
     }
 
-    /// Sends a search, to the next entry host as long as none could be
-    /// connected to: a balancer does the same, and nothing was sent.
-    async fn search(&self, number: usize, request: &PlannedRequest) -> SampleEnd {
+    /// Sends a search. If connecting fails, nothing was sent, and the next entry host is
+    /// tried, as a load balancer does.
+    async fn search(&self, number: usize, request: &PlannedRequest) -> SampleOutcome {
         for front in self.fronts_from(number) {
             let send = self.options.history.next_send();
             let query = self.search_query(send, request);
             let sent = SentQuery { send, front: self.fronts[front].clone(), query };
             self.options.history.record(HistoryEvent::QuerySent(sent.clone()));
-            let heard = timeout(self.patience(), self.tier.query(front, &sent.query)).await;
-            let end = self.hear(send, heard.unwrap_or(TierResponse::ConnectionLost));
-            if end != SampleEnd::NotSent {
-                return end;
+            let response =
+                timeout(self.response_timeout(), self.tier.query(front, &sent.query)).await;
+            let outcome =
+                self.record_response(send, response.unwrap_or(TierResponse::ConnectionLost));
+            if outcome != SampleOutcome::NotSent {
+                return outcome;
             }
         }
-        SampleEnd::NotSent
+        SampleOutcome::NotSent
     }
 
-    async fn once(&self, number: usize, request: &PlannedRequest, key: u32) -> SampleEnd {
+    async fn once(&self, number: usize, request: &PlannedRequest, key: u32) -> SampleOutcome {
         let once = self.once_request(request, key);
-        let end = self.send_once(number, &once).await;
-        if self.options.resend_lost && end == SampleEnd::Cut {
+        let outcome = self.send_once(number, &once).await;
+        if self.options.resend_lost && outcome == SampleOutcome::ConnectionLost {
             return self.send_once(number + 1, &once).await;
         }
-        end
+        outcome
     }
 
     /// Sends a non-idempotent request, as [`search`](Self::search) does.
-    async fn send_once(&self, number: usize, once: &OnceRequest) -> SampleEnd {
+    async fn send_once(&self, number: usize, once: &OnceRequest) -> SampleOutcome {
         for front in self.fronts_from(number) {
             let send = self.options.history.next_send();
             let name = self.fronts[front].clone();
             let sent = SentOnce { send, front: name, request: once.clone() };
             self.options.history.record(HistoryEvent::OnceSent(sent));
-            let heard = timeout(self.patience(), self.tier.once(front, once)).await;
-            let end = self.hear(send, heard.unwrap_or(TierResponse::ConnectionLost));
-            if end != SampleEnd::NotSent {
-                return end;
+            let response = timeout(self.response_timeout(), self.tier.once(front, once)).await;
+            let outcome =
+                self.record_response(send, response.unwrap_or(TierResponse::ConnectionLost));
+            if outcome != SampleOutcome::NotSent {
+                return outcome;
             }
         }
-        SampleEnd::NotSent
+        SampleOutcome::NotSent
     }
 
-    /// Every entry host once, from number `first` on.
+    /// The indices of all entry hosts, starting at `first`.
     fn fronts_from(&self, first: usize) -> impl Iterator<Item = usize> {
         let count = self.fronts.len();
         (0..count).map(move |offset| (first + offset) % count)
     }
 
-    fn patience(&self) -> Duration {
-        Duration::from_millis(self.options.deadline_ms) + CALLER_PATIENCE
+    fn response_timeout(&self) -> Duration {
+        Duration::from_millis(self.options.deadline_ms) + CALLER_TIMEOUT_MARGIN
     }
 
-    fn hear(&self, send: u64, heard: TierResponse) -> SampleEnd {
-        match heard {
+    fn record_response(&self, send: u64, response: TierResponse) -> SampleOutcome {
+        match response {
             TierResponse::Answered(answer) => {
                 let coverage = answer.coverage.as_ref().map_or(1.0, |coverage| coverage.fraction);
-                let end = match answer.outcome {
-                    CallerOutcome::Answer => SampleEnd::Answered { coverage },
-                    CallerOutcome::NotRun(reason) => SampleEnd::NotRun(reason),
-                    CallerOutcome::Unknown(_) => SampleEnd::Unknown,
-                    CallerOutcome::Failed(_) => SampleEnd::Failed,
+                let outcome = match answer.outcome {
+                    CallerOutcome::Answer => SampleOutcome::Answered { coverage },
+                    CallerOutcome::NotRun(reason) => SampleOutcome::NotRun(reason),
+                    CallerOutcome::Unknown(_) => SampleOutcome::Unknown,
+                    CallerOutcome::Failed(_) => SampleOutcome::Failed,
                 };
                 self.options.history.record(HistoryEvent::Answered { send, answer: *answer });
-                end
+                outcome
             }
             TierResponse::ConnectionLost => {
                 self.options.history.record(HistoryEvent::ConnectionLost { send });
-                SampleEnd::Cut
+                SampleOutcome::ConnectionLost
             }
-            TierResponse::NotSent => SampleEnd::NotSent,
+            TierResponse::NotSent => SampleOutcome::NotSent,
         }
     }
 
@@ -296,9 +298,9 @@
     }
 }
 
-fn sample(request: &PlannedRequest, due: Instant, end: SampleEnd) -> Sample {
+fn sample(request: &PlannedRequest, due: Instant, outcome: SampleOutcome) -> Sample {
     let search = matches!(request.kind, PlannedKind::Search { .. });
-    Sample { caller: request.caller, search, latency: due.elapsed(), end }
+    Sample { caller: request.caller, search, latency: due.elapsed(), outcome }
 }
 
 fn unix_seconds() -> u64 {
--- a/crates/hawthorn-standin/src/load/schedule.rs
+++ b/crates/hawthorn-standin/src/load/schedule.rs
@@ -1,5 +1,5 @@
-//! When which caller asks what, decided before the run from the seed alone, so
-//! that a slow answer never holds back the next request.
+//! Requests of a run, drawn from the seed before it starts, so that a slow answer never
+//! delays the next request (open loop).
 
 use std::time::Duration;
 
@@ -12,24 +12,24 @@
 use super::scenario::LoadScenario;
 use crate::corpus::CorpusFlavour;
 
-/// How to draw a schedule.
+/// Options of a schedule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduleOptions {
     /// The scenario.
     pub scenario: LoadScenario,
-    /// The same seed draws the same schedule.
+    /// Seed of the schedule; the same seed gives the same schedule.
     pub seed: u64,
-    /// How long it lasts.
+    /// Duration of the schedule.
     pub duration: Duration,
-    /// Queries a second that the targets could serve if all went well.
+    /// Capacity of the targets in queries per second.
     pub capacity: f64,
-    /// The callers; the first one floods.
+    /// The callers; the first one is the flooding caller of [`LoadScenario::Flood`].
     pub callers: Vec<String>,
-    /// Texts to search for, drawn evenly.
+    /// Query texts, drawn uniformly.
     pub texts: Vec<String>,
-    /// The part of urgent queries.
+    /// Share of urgent queries.
     pub urgent_share: f64,
-    /// The part of non-idempotent requests.
+    /// Share of non-idempotent requests.
     pub once_share: f64,
 }
 
@@ -52,18 +52,18 @@
 /// One request of a schedule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedRequest {
-    /// When it is sent, from the start of the run.
+    /// Scheduled time, relative to the start of the run.
     pub at: Duration,
-    /// The caller, by its number in the options.
+    /// The index of the caller in the options.
     pub caller: usize,
-    /// What it asks.
+    /// The kind of request.
     pub kind: PlannedKind,
 }
 
-/// What a request asks.
+/// Kinds of request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlannedKind {
-    /// A search of the whole key space.
+    /// A search of the entire key space.
     Search {
         /// The text.
         text: String,
@@ -77,20 +77,20 @@
     },
 }
 
-/// Draws a schedule, in the order of its times.
+/// Draws a schedule, ordered by time.
 pub fn schedule(options: &ScheduleOptions) -> Vec<PlannedRequest> {
     let mut planned = Vec::new();
     for caller in 0..options.callers.len() {
         let mut rng = ChaCha8Rng::seed_from_u64(options.seed);
         rng.set_stream(caller as u64);
-        arrivals(options, caller, &mut rng, &mut planned);
+        draw_arrivals(options, caller, &mut rng, &mut planned);
     }
     planned.sort_by_key(|request| (request.at, request.caller));
     planned
 }
 
-/// Poisson arrivals of one caller, thinned from its peak rate.
-fn arrivals(
+/// Draws the Poisson arrivals of one caller, by thinning arrivals at its peak rate.
+fn draw_arrivals(
     options: &ScheduleOptions,
     caller: usize,
     rng: &mut ChaCha8Rng,
@@ -109,9 +109,9 @@
         if at >= options.duration {
             return;
         }
-        let kept = rng.random_range(0.0..peak) < options.scenario.load(caller, callers, at);
+        let accepted = rng.random_range(0.0..peak) < options.scenario.load(caller, callers, at);
         let kind = draw_kind(options, rng);
-        if kept {
+        if accepted {
             planned.push(PlannedRequest { at, caller, kind });
         }
     }
--- a/crates/hawthorn-standin/src/load/tier.rs
+++ b/crates/hawthorn-standin/src/load/tier.rs
@@ -1,4 +1,4 @@
-//! Whom the load generator asks.
+//! Systems that the load generator sends requests to.
 
 use std::net::SocketAddr;
 
@@ -11,26 +11,26 @@
 use super::pool::ConnectionPool;
 use super::pool::Error;
 
-/// What a caller hears.
+/// Response to a caller's request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TierResponse {
     /// An answer.
     Answered(Box<CallerAnswer>),
-    /// The connection broke, or what came was no answer.
+    /// The connection was lost, or the answer was invalid.
     ConnectionLost,
-    /// No connection could be made: nothing was sent.
+    /// Connecting failed; nothing was sent.
     NotSent,
 }
 
-/// Something that answers callers.
+/// A system that answers callers.
 pub trait QueryTier: Send + Sync {
-    /// The names of its entry points, as they stand in the history.
+    /// The names of its entry hosts, as in the history.
     fn fronts(&self) -> Vec<String>;
 
-    /// Sends a search to entry point number `front`.
+    /// Sends a search to entry host number `front`.
     fn query<'a>(&'a self, front: usize, query: &'a SearchQuery) -> BoxFuture<'a, TierResponse>;
 
-    /// Sends a non-idempotent request to entry point number `front`.
+    /// Sends a non-idempotent request to entry host number `front`.
     fn once<'a>(&'a self, front: usize, request: &'a OnceRequest) -> BoxFuture<'a, TierResponse>;
 }
 
@@ -39,11 +39,11 @@
 pub struct EntryHost {
     /// The daemon's name in the history.
     pub name: String,
-    /// Its callers' interface.
+    /// The address of its callers' interface.
     pub address: SocketAddr,
 }
 
-/// The tier, by its entry hosts.
+/// A client of the tier's entry hosts.
 #[derive(Clone, Debug)]
 pub struct HttpTier {
     hosts: Vec<EntryHost>,
@@ -51,7 +51,7 @@
 }
 
 impl HttpTier {
-    /// The tier at `hosts`, with at most `connections` to each.
+    /// A client of `hosts`, with at most `connections` connections to each.
     pub fn new(hosts: Vec<EntryHost>, connections: usize) -> Self {
         let pools =
             hosts.iter().map(|host| ConnectionPool::new(host.address, connections)).collect();
@@ -61,12 +61,12 @@
     async fn post<T: Serialize>(&self, front: usize, path: &str, body: &T) -> TierResponse {
         let Some(pool) = self.pools.get(front) else { return TierResponse::NotSent };
         match pool.post(path, body).await {
-            // The status repeats the outcome; the body is what counts.
+            // The status is redundant, as the body contains the outcome.
             Ok((_, bytes)) => match serde_json::from_slice(&bytes) {
                 Ok(answer) => TierResponse::Answered(Box::new(answer)),
                 Err(_) => TierResponse::ConnectionLost,
             },
-            Err(Error::Cut) => TierResponse::ConnectionLost,
+            Err(Error::ConnectionLost) => TierResponse::ConnectionLost,
             Err(Error::Connect(_) | Error::Closed) => TierResponse::NotSent,
         }
     }
--- a/crates/hawthorn-standin/src/target/attempt.rs
+++ b/crates/hawthorn-standin/src/target/attempt.rs
@@ -1,6 +1,6 @@
-//! The life of an attempt at a target: it waits for a slot, runs, and ends. Each
-//! step is a type of its own, so that an attempt can't run without a slot nor
-//! keep its slot after its end.
+//! Life cycle of an attempt at a target: waiting for a slot, running, ended. Each
+//! phase is a type, so that an attempt cannot run without a slot or keep its slot
+//! after its end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,16 +22,16 @@
 use crate::wire;
 use crate::wire::Reply;
 
-/// Echo fields and record of one attempt, whatever its phase.
+/// Identity of one attempt, in all phases.
 #[derive(Clone)]
-pub(super) struct AttemptEcho {
+pub(super) struct AttemptContext {
     pub(super) shared: Arc<Shared>,
     pub(super) request: String,
     pub(super) attempt: u64,
     pub(super) kind: WorkKind,
 }
 
-impl AttemptEcho {
+impl AttemptContext {
     pub(super) fn record(&self, phase: WorkPhase) {
         self.shared.record(HistoryEvent::Work(TargetWork {
             target: self.shared.options.name.clone(),
@@ -42,7 +42,7 @@
         }));
     }
 
-    pub(super) fn arrive(&self) {
+    pub(super) fn record_arrival(&self) {
         self.shared.lock().counters.arrived += 1;
         self.record(WorkPhase::Arrived);
     }
@@ -69,85 +69,85 @@
     }
 }
 
-/// An attempt that waits for a slot; leaves the queue when dropped.
+/// An attempt that waits for a slot. Dropping it removes it from the queue.
 pub(super) struct WaitingAttempt {
-    echo: AttemptEcho,
+    context: AttemptContext,
     cancel: CancellationToken,
-    left: bool,
+    started: bool,
 }
 
-/// An attempt that holds a slot; gives it back when dropped.
+/// An attempt that holds a slot. Dropping it releases the slot.
 pub(super) struct RunningAttempt {
-    pub(super) echo: AttemptEcho,
+    pub(super) context: AttemptContext,
     pub(super) cancel: CancellationToken,
-    pub(super) takes: Duration,
-    // Dropped after `drop` has counted the attempt out, so that the count never
-    // exceeds the slots.
+    pub(super) service_time: Duration,
+    // Released after `drop` has decremented the counter of busy slots, so that the
+    // counter never exceeds the number of slots.
     _permit: OwnedSemaphorePermit,
 }
 
 impl WaitingAttempt {
-    /// Waits for a slot until `deadline`, or gives the reason it got none.
+    /// Waits for a slot until `deadline`; the error is the refusal.
     pub(super) async fn run(mut self, deadline: Instant) -> Result<RunningAttempt, Reply> {
-        let slots = Arc::clone(&self.echo.shared.slots);
+        let slots = Arc::clone(&self.context.shared.slots);
         let permit = match Arc::clone(&slots).try_acquire_owned() {
             Ok(permit) => permit,
             Err(_) => {
-                self.echo.shared.lock().queued();
+                self.context.shared.lock().record_queued();
                 tokio::select! {
                     biased;
                     () = self.cancel.cancelled() => {
-                        return Err(self.echo.refuse(TargetRefusal::Cancelled, Vec::new()));
+                        return Err(self.context.refuse(TargetRefusal::Cancelled, Vec::new()));
                     }
-                    // It never got a slot in its time: to the caller that is load.
+                    // No slot became free before the deadline, so the target is overloaded.
                     () = tokio::time::sleep_until(deadline) => {
-                        return Err(self.echo.refuse(TargetRefusal::Shedding, Vec::new()));
+                        return Err(self.context.refuse(TargetRefusal::Shedding, Vec::new()));
                     }
                     permit = slots.acquire_owned() => {
-                        permit.expect("the slots are never closed")
+                        permit.expect("the semaphore is never closed")
                     }
                 }
             }
         };
-        self.left = true;
-        let takes = self.echo.shared.lock().run(Instant::now());
-        self.echo.record(WorkPhase::Started);
-        let echo = self.echo.clone();
-        Ok(RunningAttempt { echo, cancel: self.cancel.clone(), takes, _permit: permit })
+        self.started = true;
+        let service_time = self.context.shared.lock().start(Instant::now());
+        self.context.record(WorkPhase::Started);
+        let context = self.context.clone();
+        Ok(RunningAttempt { context, cancel: self.cancel.clone(), service_time, _permit: permit })
     }
 }
 
 impl Drop for WaitingAttempt {
     fn drop(&mut self) {
-        if !self.left {
-            let mut state = self.echo.shared.lock();
+        if !self.started {
+            let mut state = self.context.shared.lock();
             state.counters.waiting -= 1;
-            state.attempts.remove(&(self.echo.request.clone(), self.echo.attempt));
+            state.attempts.remove(&(self.context.request.clone(), self.context.attempt));
         }
     }
 }
 
 impl Drop for RunningAttempt {
     fn drop(&mut self) {
-        let mut state = self.echo.shared.lock();
+        let mut state = self.context.shared.lock();
         state.end(Instant::now());
-        state.attempts.remove(&(self.echo.request.clone(), self.echo.attempt));
+        state.attempts.remove(&(self.context.request.clone(), self.context.attempt));
     }
 }
 
-/// Admits an attempt and lets it wait, in one step under the lock.
-pub(super) fn wait(
-    echo: AttemptEcho,
-    admitted: impl FnOnce(&State) -> Result<(), TargetRefusal>,
-) -> Result<WaitingAttempt, (AttemptEcho, TargetRefusal)> {
+/// Admits an attempt and adds it to the queue, atomically under the lock.
+pub(super) fn enqueue(
+    context: AttemptContext,
+    admit: impl FnOnce(&State) -> Result<(), TargetRefusal>,
+) -> Result<WaitingAttempt, (AttemptContext, TargetRefusal)> {
     let cancel = CancellationToken::new();
-    let shared = Arc::clone(&echo.shared);
+    let shared = Arc::clone(&context.shared);
     let mut state = shared.lock();
-    if let Err(refusal) = admitted(&state) {
+    if let Err(refusal) = admit(&state) {
         drop(state);
-        return Err((echo, refusal));
+        return Err((context, refusal));
     }
-    state.wait((echo.request.clone(), echo.attempt), cancel.clone());
+    state.enqueue((context.request.clone(), context.attempt), cancel.clone());
     drop(state);
-    Ok(WaitingAttempt { echo, cancel, left: false })
+    Ok(WaitingAttempt { context, cancel, started: false })
 }
--- a/crates/hawthorn-standin/src/target/control.rs
+++ b/crates/hawthorn-standin/src/target/control.rs
@@ -1,4 +1,4 @@
-//! The test's handle on a running target.
+//! Control handle of a running target, for tests.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -27,7 +27,7 @@
 use crate::load::environment::TargetSlowness;
 use crate::timer;
 
-/// Changes and reads a running target. Clones share the target.
+/// Controls and inspects a running target. Clones refer to the same target.
 #[derive(Clone, Debug)]
 pub struct TargetControl {
     pub(super) shared: Arc<Shared>,
@@ -38,21 +38,21 @@
     pub(super) options: TargetOptions,
     pub(super) slots: Arc<Semaphore>,
     state: Mutex<State>,
-    held_back: watch::Sender<bool>,
+    paused: watch::Sender<bool>,
     down: watch::Sender<bool>,
 }
 
 impl Shared {
-    /// Passes the service time of an attempt, and longer while work is held back.
-    pub(super) async fn serve(&self, takes: Duration) {
-        timer::sleep(takes).await;
-        let mut held_back = self.held_back.subscribe();
-        // It fails only when the target is gone, and then nobody waits.
-        drop(held_back.wait_for(|held_back| !held_back).await);
+    /// Sleeps for the service time of an attempt, and longer while the target is paused.
+    pub(super) async fn sleep_service_time(&self, service_time: Duration) {
+        timer::sleep(service_time).await;
+        let mut paused = self.paused.subscribe();
+        // Fails only when the target has been dropped.
+        drop(paused.wait_for(|paused| !paused).await);
     }
 
     pub(super) fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("nothing panics while it holds a target's state")
+        self.state.lock().expect("no holder of the lock panics")
     }
 
     pub(super) fn corpus(&self, service: &str) -> Option<&Arc<Corpus>> {
@@ -64,12 +64,12 @@
     }
 }
 
-/// A connection counted against the limit; given back when dropped.
-pub(super) struct HeldConnection {
+/// A connection that counts towards the limit until it is dropped.
+pub(super) struct ConnectionGuard {
     shared: Arc<Shared>,
 }
 
-impl Drop for HeldConnection {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.shared.lock().counters.connections -= 1;
     }
@@ -84,13 +84,13 @@
                 options,
                 slots,
                 state,
-                held_back: watch::Sender::new(false),
+                paused: watch::Sender::new(false),
                 down: watch::Sender::new(false),
             }),
         }
     }
 
-    pub(super) fn open_connection(&self) -> Option<HeldConnection> {
+    pub(super) fn open_connection(&self) -> Option<ConnectionGuard> {
         let mut state = self.shared.lock();
         let counters = &mut state.counters;
         if counters.connections >= self.shared.options.connections {
@@ -99,7 +99,7 @@
         }
         counters.connections += 1;
         counters.peak_connections = counters.peak_connections.max(counters.connections);
-        Some(HeldConnection { shared: Arc::clone(&self.shared) })
+        Some(ConnectionGuard { shared: Arc::clone(&self.shared) })
     }
 
     pub(super) fn connect_cost(&self) -> Duration {
@@ -111,139 +111,139 @@
         &self.shared.options.name
     }
 
-    /// What it has done so far.
+    /// The counters since the start.
     pub fn counters(&self) -> TargetCounters {
         self.shared.lock().counters
     }
 
-    /// Its true phase, whatever `/state` says.
+    /// The actual phase, independent of the lag and override of `/state`.
     pub fn phase(&self) -> TargetPhase {
         self.shared.lock().phase(Instant::now())
     }
 
-    /// The state it was last told to be in.
+    /// The desired state that was set last.
     pub fn desired_state(&self) -> DesiredState {
-        self.shared.lock().wanted
+        self.shared.lock().desired
     }
 
-    /// What `/state` answers now.
-    pub fn shown(&self) -> TargetState {
-        self.shared.lock().shown(self.name(), Instant::now())
+    /// The current answer of `/state`.
+    pub fn reported_state(&self) -> TargetState {
+        self.shared.lock().reported_state(self.name(), Instant::now())
     }
 
-    /// Changes the faults in force.
+    /// Changes the active faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut TargetFaults)) {
         change(&mut self.shared.lock().faults);
     }
 
-    /// The faults in force.
+    /// The active faults.
     pub fn faults(&self) -> TargetFaults {
         self.shared.lock().faults.clone()
     }
 
-    /// Holds back every attempt that has a slot until told otherwise, so that a
-    /// test can act while attempts run, however slow the machine is.
-    pub fn set_paused(&self, held_back: bool) {
-        self.shared.held_back.send_replace(held_back);
+    /// Pauses or resumes all running attempts. A test can act while attempts run,
+    /// independent of the speed of the machine.
+    pub fn set_paused(&self, paused: bool) {
+        self.shared.paused.send_replace(paused);
     }
 
-    /// Loses the target or brings it back at the same address: while it is down
-    /// every connection, open or new, is closed. Attempts that run go on unheard.
+    /// Takes the target down or brings it back at the same address. While it is down,
+    /// all open and new connections are closed; running attempts continue.
     pub fn set_down(&self, down: bool) {
         self.shared.down.send_replace(down);
     }
 
-    /// Ends once the target is down.
-    pub(super) async fn goes_down(&self) {
+    /// Waits until the target is down.
+    pub(super) async fn wait_until_down(&self) {
         let mut down = self.shared.down.subscribe();
-        // It fails only when the target is gone, and then it is down for good.
+        // Fails only when the target has been dropped; it then counts as down.
         drop(down.wait_for(|down| *down).await);
     }
 
-    /// Changes the service times of attempts that start from now on.
+    /// Changes the service times of attempts that start later.
     pub fn set_service_time(&self, service_time: ServiceTime) {
         self.shared.lock().service_time = service_time;
     }
 
-    /// Makes it as slow as a load scenario asks, counted from its options.
+    /// Applies the slowness of a load scenario, relative to the target's options.
     pub fn set_slowness(&self, slowness: TargetSlowness) {
-        let usual = self.shared.options.service_time;
+        let base = self.shared.options.service_time;
         let mut state = self.shared.lock();
         state.faults.slow_factor = slowness.slow_factor;
         state.service_time = ServiceTime {
-            straggler_share: slowness.straggler_share.unwrap_or(usual.straggler_share),
-            straggler_factor: slowness.straggler_factor.unwrap_or(usual.straggler_factor),
-            ..usual
+            straggler_share: slowness.straggler_share.unwrap_or(base.straggler_share),
+            straggler_factor: slowness.straggler_factor.unwrap_or(base.straggler_factor),
+            ..base
         };
     }
 
-    /// Puts it in `wanted`, as `POST /intent` does.
-    pub fn set_wanted(&self, wanted: DesiredState) {
-        self.change_leaving(|state, now| {
-            let was = std::mem::replace(&mut state.wanted, wanted);
-            // A target that was off starts again from cold.
-            if was == DesiredState::Off && wanted != DesiredState::Off {
+    /// Sets the desired state, as `POST /intent` does.
+    pub fn set_desired_state(&self, desired: DesiredState) {
+        self.update_draining(|state, now| {
+            let previous = std::mem::replace(&mut state.desired, desired);
+            // A target that was off goes through a cold start.
+            if previous == DesiredState::Off && desired != DesiredState::Off {
                 state.ready_at = now + self.shared.options.cold_start;
             }
         });
     }
 
-    /// Lets it drain by itself, whatever intent says, as before a planned stop
-    /// by the platform; or lets it go on.
-    pub fn set_draining(&self, leaving: bool) {
-        self.change_leaving(|state, _now| state.leaving = leaving);
+    /// Starts or ends a drain by the target itself, independent of its intent, as
+    /// before a planned stop by the platform.
+    pub fn set_draining(&self, draining: bool) {
+        self.update_draining(|state, _now| state.draining = draining);
     }
 
-    /// Makes a change and records whether the target began or ceased to leave.
-    fn change_leaving(&self, change: impl FnOnce(&mut State, Instant)) {
+    /// Applies a change and records whether a drain started or ended.
+    fn update_draining(&self, change: impl FnOnce(&mut State, Instant)) {
         let mut state = self.shared.lock();
         let now = Instant::now();
-        let left = state.leaves();
+        let was_draining = state.is_draining();
         change(&mut state, now);
-        state.note(now);
-        let leaves = state.leaves();
+        state.record_phase(now);
+        let is_draining = state.is_draining();
         drop(state);
         let target = self.name().to_owned();
-        match (left, leaves) {
-            (false, true) => self.shared.record(HistoryEvent::TargetLeaving { target }),
+        match (was_draining, is_draining) {
+            (false, true) => self.shared.record(HistoryEvent::TargetDraining { target }),
             (true, false) => self.shared.record(HistoryEvent::TargetServing { target }),
             _ => {}
         }
     }
 
-    /// Follows an order, unless a newer revision's was followed before.
-    pub(super) fn obey(&self, intent: &TargetIntent) {
+    /// Applies an intent, unless one of a newer revision was applied before.
+    pub(super) fn apply_intent(&self, intent: &TargetIntent) {
         let mut state = self.shared.lock();
-        if intent.revision < state.obeyed {
+        if intent.revision < state.intent_revision {
             return;
         }
-        state.obeyed = intent.revision;
+        state.intent_revision = intent.revision;
         drop(state);
-        self.set_wanted(intent.wanted);
+        self.set_desired_state(intent.wanted);
     }
 
-    /// Restarts it from cold, with nothing cut off.
+    /// Starts a cold start without ending running attempts.
     pub fn restart_cold(&self) {
         let mut state = self.shared.lock();
         let now = Instant::now();
         state.ready_at = now + self.shared.options.cold_start;
-        state.note(now);
+        state.record_phase(now);
     }
 
-    /// Makes it ready at once.
+    /// Ends the cold start immediately.
     pub fn skip_cold_start(&self) {
         let mut state = self.shared.lock();
         let now = Instant::now();
         state.ready_at = now;
-        state.note(now);
+        state.record_phase(now);
     }
 
-    /// Adds `ranges` of `service` at `version` to what it holds.
+    /// Adds `ranges` of `service` at `version` to the held ranges.
     pub fn publish(&self, service: &str, version: IndexVersion, ranges: &RangeSet) {
         let mut state = self.shared.lock();
-        let known =
+        let existing =
             state.held.iter_mut().find(|held| held.service == service && held.version == version);
-        match known {
+        match existing {
             Some(held) => held.ranges.extend(ranges),
             None => state.held.push(HeldRanges {
                 service: service.to_owned(),
@@ -265,14 +265,14 @@
         }
     }
 
-    /// Takes `version` of `service` away.
+    /// Removes `version` of `service`.
     pub fn retire(&self, service: &str, version: IndexVersion) {
         let mut state = self.shared.lock();
         state.held.retain(|held| held.service != service || held.version != version);
     }
 
-    /// Moves `range` of `service`, at every version held, to another target.
-    /// Searches that are running answer without it.
+    /// Moves `range` of `service`, at every held version, to another target.
+    /// Running searches answer without it.
     pub fn repartition(&self, service: &str, range: KeyRange, to: &TargetControl) {
         let mut moved = Vec::new();
         for held in self.shared.lock().held.iter_mut().filter(|held| held.service == service) {
@@ -286,7 +286,7 @@
         }
     }
 
-    /// What it holds.
+    /// The held ranges of all services and versions.
     pub fn held(&self) -> Vec<HeldRanges> {
         self.shared.lock().held.clone()
     }
--- a/crates/hawthorn-standin/src/target/faults.rs
+++ b/crates/hawthorn-standin/src/target/faults.rs
@@ -1,32 +1,32 @@
-//! What a test can make a target do wrong.
+//! Faults that a test can inject into a target.
 
 use hawthorn_types::target::TargetPhase;
 
-/// Faults in force at a target. The counted ones are used up one an attempt.
+/// Active faults of a target. Each attempt consumes one of a counted fault.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetFaults {
-    /// Refuses all work as shedding.
+    /// All work is refused with the reason `Shedding`.
     pub shedding: bool,
-    /// Service times are multiplied by this.
+    /// Factor on service times.
     pub slow_factor: f64,
-    /// `/state` says this instead of the truth.
-    pub state_lie: Option<StateLie>,
-    /// The next so many searches get another request's answer.
+    /// Replaces the phase and busy slots in `/state`.
+    pub state_override: Option<StateOverride>,
+    /// Number of next searches that receive the answer to another request.
     pub mismatched_answers: u32,
-    /// The next so many searches get an answer padded by
+    /// Number of next searches whose answer is padded by
     /// [`oversized_bytes`](Self::oversized_bytes).
     pub oversized_answers: u32,
-    /// The padding of an oversized answer.
+    /// Padding of an oversized answer in bytes.
     pub oversized_bytes: usize,
-    /// The next so many attempts run, and then the connection closes without an answer.
+    /// Number of next attempts that run and whose connection is closed without an answer.
     pub lost_answers: u32,
-    /// The next so many runs run and answer 500.
+    /// Number of next non-idempotent requests that run and are answered with status 500.
     pub failed_runs: u32,
-    /// The next so many searches get bytes that are not the contract's JSON.
+    /// Number of next searches that are answered with invalid JSON.
     pub malformed_answers: u32,
-    /// `/cancel` is accepted and has no effect.
+    /// `/cancel` is acknowledged without effect.
     pub ignore_cancel: bool,
-    /// `/intent` is accepted and has no effect.
+    /// `/intent` is acknowledged without effect.
     pub ignore_intent: bool,
 }
 
@@ -35,7 +35,7 @@
         Self {
             shedding: false,
             slow_factor: 1.0,
-            state_lie: None,
+            state_override: None,
             mismatched_answers: 0,
             oversized_answers: 0,
             oversized_bytes: 16 << 20,
@@ -48,18 +48,18 @@
     }
 }
 
-/// What a misleading `/state` says.
+/// Values that `/state` reports instead of the actual ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StateLie {
-    /// The phase claimed.
+pub struct StateOverride {
+    /// The reported phase.
     pub phase: TargetPhase,
-    /// The number of busy slots claimed.
+    /// The reported number of busy slots.
     pub busy: u32,
 }
 
-/// Uses up one of `count`; whether there was one.
-pub(super) fn use_up(count: &mut u32) -> bool {
-    let had = *count > 0;
+/// Decrements `count`; returns whether it was above zero.
+pub(super) fn take_one(count: &mut u32) -> bool {
+    let available = *count > 0;
     *count = count.saturating_sub(1);
-    had
+    available
 }
--- a/crates/hawthorn-standin/src/target/mod.rs
+++ b/crates/hawthorn-standin/src/target/mod.rs
@@ -1,8 +1,8 @@
-//! A stand-in for a target: one server with slots that holds ranges of indices.
+//! Stand-in for a target: a server with a limited number of slots that holds index ranges.
 //!
-//! - [`options`]: what a target is like when it starts.
-//! - [`faults`]: what a test can make it do wrong.
-//! - [`control`]: the test's handle on a running target.
+//! - [`options`]: start options of a target.
+//! - [`faults`]: faults that a test can inject.
+//! - [`control`]: control handle of a running target, for tests.
 
 use std::io;
 use std::net::SocketAddr;
@@ -25,17 +25,17 @@
 mod state;
 
 pub use control::TargetControl;
-pub use faults::StateLie;
+pub use faults::StateOverride;
 pub use faults::TargetFaults;
 pub use options::ServiceTime;
 pub use options::TargetOptions;
 pub use state::TargetCounters;
 
 quick_error! {
-    /// Why a target could not start.
+    /// Errors of starting a target.
     #[derive(Debug)]
     pub enum Error {
-        /// No port could be bound.
+        /// Binding a port failed.
         Bind(err: io::Error) {
             display("cannot bind a loopback port: {err}")
             source(err)
@@ -44,7 +44,7 @@
     }
 }
 
-/// A running target; stops when dropped.
+/// A running target. Dropping it stops the target.
 #[derive(Debug)]
 pub struct TargetStandin {
     address: SocketAddr,
@@ -62,12 +62,12 @@
         Ok(Self { address, control, _stop: stop.drop_guard() })
     }
 
-    /// Where it listens.
+    /// The listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The test's handle on it.
+    /// The control handle.
     pub fn control(&self) -> &TargetControl {
         &self.control
     }
@@ -81,20 +81,20 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                tokio::spawn(connection(stream, control.clone(), stop.clone()));
+                tokio::spawn(serve_connection(stream, control.clone(), stop.clone()));
             }
-            Err(err) => log::warn!("a target cannot accept: {err}"),
+            Err(err) => log::warn!("a target cannot accept connections: {err}"),
         }
     }
 }
 
-async fn connection(stream: TcpStream, control: TargetControl, stop: CancellationToken) {
+async fn serve_connection(stream: TcpStream, control: TargetControl, stop: CancellationToken) {
     let served = async {
-        // Beyond its limit a target closes a connection at once; the caller sees
-        // an early end of file.
-        let Some(_held) = control.open_connection() else { return };
+        // Connections beyond the limit are closed immediately; the client reads an
+        // unexpected end of file.
+        let Some(_guard) = control.open_connection() else { return };
         if let Err(err) = stream.set_nodelay(true) {
-            log::debug!("a connection closed at once: {err}");
+            log::debug!("a connection was closed immediately: {err}");
             return;
         }
         timer::sleep(control.connect_cost()).await;
@@ -103,7 +103,7 @@
     };
     tokio::select! {
         biased;
-        () = control.goes_down() => {}
+        () = control.wait_until_down() => {}
         () = served => {}
     }
 }
--- a/crates/hawthorn-standin/src/target/options.rs
+++ b/crates/hawthorn-standin/src/target/options.rs
@@ -1,4 +1,4 @@
-//! What a target is like when it starts.
+//! Start options of a target.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 /// How long an attempt holds its slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceTime {
-    /// The middle of the ordinary times.
+    /// Midpoint of the service times without stragglers.
     pub typical: Duration,
-    /// Ordinary times lie evenly within this fraction of `typical` on each side.
+    /// Half-width of their uniform distribution, as a fraction of `typical`.
     pub spread: f64,
-    /// The fraction of attempts that are stragglers.
+    /// Fraction of attempts that are stragglers.
     pub straggler_share: f64,
-    /// How many times longer a straggler takes.
+    /// Factor on the service time of a straggler.
     pub straggler_factor: f64,
 }
 
@@ -36,54 +36,55 @@
 }
 
 impl ServiceTime {
-    /// The mean of the times drawn.
+    /// The mean service time.
     pub fn mean(&self) -> Duration {
         self.typical.mul_f64(1.0 + self.straggler_share * (self.straggler_factor - 1.0))
     }
 
-    /// Draws the time of one attempt.
+    /// Draws the service time of one attempt.
     pub fn draw(&self, rng: &mut ChaCha8Rng) -> Duration {
-        // All draws are made whatever the settings, so that the same seed gives
-        // the same stragglers after a test changes the spread.
-        let place: f64 = rng.random_range(-1.0..=1.0);
-        let straggles = rng.random_bool(self.straggler_share.clamp(0.0, 1.0));
-        let factor = if straggles { self.straggler_factor } else { 1.0 };
-        self.typical.mul_f64(((1.0 + self.spread * place) * factor).max(0.0))
+        // The number of draws does not depend on the settings, so that the same seed
+        // gives the same stragglers after a test changes the spread.
+        let offset: f64 = rng.random_range(-1.0..=1.0);
+        let is_straggler = rng.random_bool(self.straggler_share.clamp(0.0, 1.0));
+        let factor = if is_straggler { self.straggler_factor } else { 1.0 };
+        self.typical.mul_f64(((1.0 + self.spread * offset) * factor).max(0.0))
     }
 }
 
-/// How to start a target.
+/// Options of a target.
 #[derive(Clone, Debug)]
 pub struct TargetOptions {
     /// The target's name.
     pub name: String,
-    /// The documents of each service it holds part of.
+    /// The corpora of the services that it holds ranges of.
     pub corpora: Vec<Arc<Corpus>>,
-    /// What it holds.
+    /// The ranges that it holds initially.
     pub held: Vec<HeldRanges>,
-    /// How many attempts it works on at once.
+    /// Number of attempts that run concurrently.
     pub slots: u32,
-    /// How many more wait inside it; beyond that it sheds.
+    /// Number of further attempts that wait for a slot; beyond it, work is shed.
     pub queue: u32,
-    /// How many connections it keeps open; beyond that it closes new ones.
+    /// Maximum number of open connections; further ones are closed immediately.
     pub connections: u32,
-    /// How long a new connection takes before its first request is read.
+    /// Delay of a new connection before its first request is read.
     pub connect_cost: Duration,
     /// How long an attempt holds its slot.
     pub service_time: ServiceTime,
     /// How long it refuses work as cold after a start.
     pub cold_start: Duration,
-    /// For how long after that it is slow, getting faster evenly.
+    /// Duration of the warm-up after the cold start, in which service times decrease
+    /// linearly to the normal ones.
     pub warm_up: Duration,
-    /// How many times slower it is when warm-up begins.
+    /// Factor on service times at the start of the warm-up.
     pub warm_up_factor: f64,
-    /// How old `/state` is.
+    /// Age of the state that `/state` returns.
     pub state_lag: Duration,
-    /// The same seed draws the same service times in the order of the attempts.
+    /// Seed of the service times, which are drawn in the order of attempts.
     pub seed: u64,
-    /// Where its work is recorded.
+    /// Where its attempts are recorded.
     pub history: History,
-    /// Stops it.
+    /// Stops the target when cancelled.
     pub stop: CancellationToken,
 }
 
--- a/crates/hawthorn-standin/src/target/serving.rs
+++ b/crates/hawthorn-standin/src/target/serving.rs
@@ -1,5 +1,5 @@
-//! The HTTP interface of a target: the contract, and `/standin/...` by which a
-//! load generator in another process reads counters and brings about slowness.
+//! HTTP interface of a target: the contract, and `/standin/...`, with which a load
+//! generator in another process reads counters and changes service times.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,12 +21,12 @@
 use hyper::body::Incoming;
 use tokio::time::Instant;
 
-use super::attempt::AttemptEcho;
+use super::attempt::AttemptContext;
 use super::attempt::RunningAttempt;
-use super::attempt::wait;
+use super::attempt::enqueue;
 use super::control::Shared;
 use super::control::TargetControl;
-use super::faults::use_up;
+use super::faults::take_one;
 use super::state::State;
 use crate::history::WorkKind;
 use crate::history::WorkPhase;
@@ -51,13 +51,15 @@
         let path = request.uri().path().to_owned();
         let body = request.into_body();
         match (method, path.as_str()) {
-            (Method::GET, "/state") => Ok(wire::json(StatusCode::OK, &self.control.shown())),
+            (Method::GET, "/state") => {
+                Ok(wire::json(StatusCode::OK, &self.control.reported_state()))
+            }
             (Method::POST, "/search") => match wire::read::<ShardSearch>(body).await {
-                Ok(search) => self.detached(search_attempt(self.shared(), search)).await,
+                Ok(search) => self.run_detached(search_attempt(self.shared(), search)).await,
                 Err(_) => Ok(wire::empty(StatusCode::BAD_REQUEST)),
             },
             (Method::POST, "/run") => match wire::read::<TargetRun>(body).await {
-                Ok(run) => self.detached(run_attempt(self.shared(), run)).await,
+                Ok(run) => self.run_detached(run_attempt(self.shared(), run)).await,
                 Err(_) => Ok(wire::empty(StatusCode::BAD_REQUEST)),
             },
             (Method::POST, "/cancel") => match wire::read::<CancelAttempt>(body).await {
@@ -65,7 +67,7 @@
                 Err(_) => Ok(wire::empty(StatusCode::BAD_REQUEST)),
             },
             (Method::POST, "/intent") => match wire::read::<TargetIntent>(body).await {
-                Ok(intent) => Ok(self.intend(&intent)),
+                Ok(intent) => Ok(self.apply_intent(&intent)),
                 Err(_) => Ok(wire::empty(StatusCode::BAD_REQUEST)),
             },
             (Method::GET, "/standin/counters") => {
@@ -88,10 +90,10 @@
         Arc::clone(&self.control.shared)
     }
 
-    /// Runs an attempt on a task of its own. Failure prevented: a client that
-    /// closes its connection would otherwise stop the attempt, and no test could
-    /// show work that runs although nobody waits for it any more.
-    async fn detached(
+    /// Runs an attempt in a separate task. Otherwise a client that closes its
+    /// connection would end the attempt, and no test could cover work that continues
+    /// after its caller has disconnected.
+    async fn run_detached(
         &self,
         attempt: impl Future<Output = Result<Reply, Unanswered>> + Send + 'static,
     ) -> Result<Reply, Unanswered> {
@@ -112,9 +114,9 @@
         }
     }
 
-    fn intend(&self, intent: &TargetIntent) -> Reply {
+    fn apply_intent(&self, intent: &TargetIntent) -> Reply {
         if !self.control.faults().ignore_intent {
-            self.control.obey(intent);
+            self.control.apply_intent(intent);
         }
         wire::empty(StatusCode::OK)
     }
@@ -124,20 +126,20 @@
     let deadline = Instant::now() + Duration::from_millis(search.deadline_ms);
     let service = search.shard.service().to_owned();
     let kind = WorkKind::Search { service: service.clone(), version: search.version };
-    let echo = AttemptEcho {
+    let context = AttemptContext {
         shared: Arc::clone(&shared),
         request: search.request.clone(),
         attempt: search.attempt,
         kind,
     };
-    echo.arrive();
+    context.record_arrival();
     let admitted =
         |state: &State| state.admit_search(&service, search.version, search.range, Instant::now());
-    let waiting = match wait(echo, admitted) {
+    let waiting = match enqueue(context, admitted) {
         Ok(waiting) => waiting,
-        Err((echo, refusal)) => {
+        Err((context, refusal)) => {
             let versions = shared.lock().versions(&service);
-            return Ok(echo.refuse(refusal, versions));
+            return Ok(context.refuse(refusal, versions));
         }
     };
     let running = match waiting.run(deadline).await {
@@ -148,12 +150,12 @@
     tokio::select! {
         biased;
         () = running.cancel.cancelled() => {
-            return Ok(running.echo.refuse(TargetRefusal::Cancelled, Vec::new()));
+            return Ok(running.context.refuse(TargetRefusal::Cancelled, Vec::new()));
         }
         () = tokio::time::sleep_until(deadline) => {
-            return Ok(running.echo.refuse(TargetRefusal::Cancelled, Vec::new()));
+            return Ok(running.context.refuse(TargetRefusal::Cancelled, Vec::new()));
         }
-        () = shared.serve(running.takes) => {}
+        () = shared.sleep_service_time(running.service_time) => {}
     }
     finish_search(&running, &search, &service)
 }
@@ -163,21 +165,21 @@
     search: &ShardSearch,
     service: &str,
 ) -> Result<Reply, Unanswered> {
-    let shared = &running.echo.shared;
-    // Looked up at the end, so that a repartition during the search shows.
+    let shared = &running.context.shared;
+    // Looked up at the end, so that a repartition during the search takes effect.
     let held = shared.lock().holds(service, search.version).cloned();
     let Some(held) = held else {
         let versions = shared.lock().versions(service);
-        return Ok(running.echo.refuse(TargetRefusal::VersionRetired, versions));
+        return Ok(running.context.refuse(TargetRefusal::VersionRetired, versions));
     };
     let searched = held.clip(search.range);
     if searched.is_empty() {
         let versions = shared.lock().versions(service);
-        return Ok(running.echo.refuse(TargetRefusal::RangeMoved, versions));
+        return Ok(running.context.refuse(TargetRefusal::RangeMoved, versions));
     }
     let answer = shard_answer(shared, search, service, searched);
-    running.echo.record(WorkPhase::Finished);
-    faulty_answer(shared, answer)
+    running.context.record(WorkPhase::Finished);
+    apply_answer_faults(shared, answer)
 }
 
 fn shard_answer(
@@ -201,29 +203,29 @@
     }
 }
 
-/// Sends `answer` as the faults in force would have it.
-fn faulty_answer(shared: &Shared, answer: ShardAnswer) -> Result<Reply, Unanswered> {
+/// Sends `answer` with the active faults applied.
+fn apply_answer_faults(shared: &Shared, answer: ShardAnswer) -> Result<Reply, Unanswered> {
     let mut state = shared.lock();
-    let earlier = state.last_answer.replace(answer.clone());
-    if use_up(&mut state.faults.lost_answers) {
+    let previous = state.last_answer.replace(answer.clone());
+    if take_one(&mut state.faults.lost_answers) {
         return Err(Unanswered::Lost);
     }
-    if use_up(&mut state.faults.mismatched_answers) {
-        let crossed = earlier.unwrap_or_else(|| of_another_request(answer));
-        return Ok(wire::json(StatusCode::OK, &crossed));
+    if take_one(&mut state.faults.mismatched_answers) {
+        let mismatched = previous.unwrap_or_else(|| with_wrong_request(answer));
+        return Ok(wire::json(StatusCode::OK, &mismatched));
     }
-    if use_up(&mut state.faults.malformed_answers) {
-        let garbled = Bytes::from_static(b"{\"request\":");
-        return Ok(Response::new(Full::new(garbled)));
+    if take_one(&mut state.faults.malformed_answers) {
+        let malformed = Bytes::from_static(b"{\"request\":");
+        return Ok(Response::new(Full::new(malformed)));
     }
-    if use_up(&mut state.faults.oversized_answers) {
+    if take_one(&mut state.faults.oversized_answers) {
         let padding = state.faults.oversized_bytes;
         return Ok(wire::json(StatusCode::OK, &padded(answer, padding)));
     }
     Ok(wire::json(StatusCode::OK, &answer))
 }
 
-fn of_another_request(mut answer: ShardAnswer) -> ShardAnswer {
+fn with_wrong_request(mut answer: ShardAnswer) -> ShardAnswer {
     answer.request = answer.request.chars().rev().collect();
     answer.attempt += 1;
     answer
@@ -244,34 +246,34 @@
     let deadline = Instant::now() + Duration::from_millis(run.deadline_ms);
     let kind =
         WorkKind::Run { caller: run.caller.clone(), caller_request: run.caller_request.clone() };
-    let echo = AttemptEcho {
+    let context = AttemptContext {
         shared: Arc::clone(&shared),
         request: run.request.clone(),
         attempt: run.attempt,
         kind,
     };
-    echo.arrive();
-    let waiting = match wait(echo, |state| state.admit(Instant::now())) {
+    context.record_arrival();
+    let waiting = match enqueue(context, |state| state.admit(Instant::now())) {
         Ok(waiting) => waiting,
-        Err((echo, refusal)) => return Ok(echo.refuse(refusal, Vec::new())),
+        Err((context, refusal)) => return Ok(context.refuse(refusal, Vec::new())),
     };
     let running = match waiting.run(deadline).await {
         Ok(running) => running,
         Err(reply) => return Ok(reply),
     };
     shared.lock().counters.runs += 1;
-    // Once started, a run ends by itself: an answer "not run" would be a lie.
-    shared.serve(running.takes).await;
-    running.echo.record(WorkPhase::Finished);
+    // A started run is never cancelled: the answer "not run" would be false.
+    shared.sleep_service_time(running.service_time).await;
+    running.context.record(WorkPhase::Finished);
     finish_run(&shared, run)
 }
 
 fn finish_run(shared: &Shared, run: TargetRun) -> Result<Reply, Unanswered> {
     let mut state = shared.lock();
-    if use_up(&mut state.faults.lost_answers) {
+    if take_one(&mut state.faults.lost_answers) {
         return Err(Unanswered::Lost);
     }
-    let (status, result) = match use_up(&mut state.faults.failed_runs) {
+    let (status, result) = match take_one(&mut state.faults.failed_runs) {
         true => (StatusCode::INTERNAL_SERVER_ERROR, "failed".to_owned()),
         false => (StatusCode::OK, format!("done: {}", run.body)),
     };
--- a/crates/hawthorn-standin/src/target/state.rs
+++ b/crates/hawthorn-standin/src/target/state.rs
@@ -1,5 +1,5 @@
-//! The state of a running target and the steps of an attempt's life:
-//! waiting, running, ended.
+//! State of a running target, and the transitions of its attempts: waiting, running,
+//! ended.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -26,50 +26,50 @@
 use super::options::ServiceTime;
 use super::options::TargetOptions;
 
-/// Names an attempt at one target.
-pub(super) type AttemptName = (String, u64);
+/// Request id and attempt number, which identify an attempt at one target.
+pub(super) type AttemptKey = (String, u64);
 
-/// What a target has done so far.
+/// Counters of a target since its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct TargetCounters {
-    /// Attempts that reached it, refused ones included.
+    /// Attempts that arrived, including refused ones.
     pub arrived: u64,
-    /// Searches that got a slot.
+    /// Searches that acquired a slot.
     pub searches: u64,
-    /// Non-idempotent requests that got a slot.
+    /// Non-idempotent requests that acquired a slot.
     pub runs: u64,
     /// Attempts refused.
     pub refused: u64,
-    /// Attempts ended early.
+    /// Attempts that ended early.
     pub cancelled: u64,
-    /// Attempts working now.
+    /// Attempts running now.
     pub busy: u32,
-    /// Attempts waiting inside it now.
+    /// Attempts waiting for a slot now.
     pub waiting: u32,
-    /// The most that worked at once; never above the slots.
+    /// Maximum of `busy`; never above the number of slots.
     pub peak_busy: u32,
-    /// The most that waited at once; never above the queue.
+    /// Maximum of `waiting`; never above the queue length.
     pub peak_waiting: u32,
     /// Connections open now.
     pub connections: u32,
-    /// The most connections open at once; never above the limit.
+    /// Maximum of `connections`; never above the limit.
     pub peak_connections: u32,
-    /// Connections closed at once because the limit was reached.
+    /// Connections closed immediately because the limit was reached.
     pub connections_refused: u64,
 }
 
 #[derive(Debug)]
 pub(super) struct State {
-    pub(super) wanted: DesiredState,
-    pub(super) leaving: bool,
-    /// The newest revision that an order was followed of.
-    pub(super) obeyed: ConfigRevision,
+    pub(super) desired: DesiredState,
+    pub(super) draining: bool,
+    /// The newest revision of which an intent was applied.
+    pub(super) intent_revision: ConfigRevision,
     pub(super) ready_at: Instant,
     pub(super) held: Vec<HeldRanges>,
     pub(super) faults: TargetFaults,
     pub(super) service_time: ServiceTime,
     pub(super) counters: TargetCounters,
-    pub(super) attempts: HashMap<AttemptName, CancellationToken>,
+    pub(super) attempts: HashMap<AttemptKey, CancellationToken>,
     pub(super) last_answer: Option<ShardAnswer>,
     rng: ChaCha8Rng,
     warm_up: Duration,
@@ -77,17 +77,17 @@
     slots: u32,
     queue: u32,
     state_lag: Duration,
-    /// Past pairs of phase and busy slots with the moment they began, oldest first.
-    past: VecDeque<(Instant, TargetPhase, u32)>,
+    /// Past phases and busy slots with their start time, oldest first.
+    phase_history: VecDeque<(Instant, TargetPhase, u32)>,
 }
 
 impl State {
     pub(super) fn new(options: &TargetOptions) -> Self {
         let now = Instant::now();
         let mut state = Self {
-            wanted: DesiredState::Serve,
-            leaving: false,
-            obeyed: ConfigRevision::default(),
+            desired: DesiredState::Serve,
+            draining: false,
+            intent_revision: ConfigRevision::default(),
             ready_at: now + options.cold_start,
             held: options.held.clone(),
             faults: TargetFaults::default(),
@@ -101,16 +101,16 @@
             slots: options.slots,
             queue: options.queue,
             state_lag: options.state_lag,
-            past: VecDeque::new(),
+            phase_history: VecDeque::new(),
         };
-        state.note(now);
+        state.record_phase(now);
         state
     }
 
-    /// The true phase.
+    /// The actual phase.
     pub(super) fn phase(&self, now: Instant) -> TargetPhase {
-        match self.wanted {
-            _ if self.leaving => TargetPhase::Draining,
+        match self.desired {
+            _ if self.draining => TargetPhase::Draining,
             DesiredState::Drain | DesiredState::Off => TargetPhase::Draining,
             _ if now < self.ready_at => TargetPhase::Cold,
             DesiredState::Standby => TargetPhase::Standby,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// What is held of `service` at `version`.
+    /// The held ranges of `service` at `version`.
     pub(super) fn holds(&self, service: &str, version: IndexVersion) -> Option<&RangeSet> {
         self.held
             .iter()
@@ -126,7 +126,7 @@
             .map(|held| &held.ranges)
     }
 
-    /// The versions of `service` that are held, ascending.
+    /// The held versions of `service`, ascending.
     pub(super) fn versions(&self, service: &str) -> Vec<IndexVersion> {
         let mut versions: Vec<IndexVersion> = self
             .held
@@ -138,7 +138,7 @@
         versions
     }
 
-    /// Whether a search can be begun.
+    /// Whether a search is admitted.
     pub(super) fn admit_search(
         &self,
         service: &str,
@@ -154,62 +154,62 @@
         Ok(())
     }
 
-    /// Whether any attempt can be begun.
+    /// Whether an attempt is admitted, regardless of its kind.
     pub(super) fn admit(&self, now: Instant) -> Result<(), TargetRefusal> {
         match self.phase(now) {
             TargetPhase::Cold => return Err(TargetRefusal::Cold),
             TargetPhase::Draining | TargetPhase::Standby => return Err(TargetRefusal::Draining),
             TargetPhase::Ready => {}
         }
-        let inside = self.counters.busy + self.counters.waiting;
-        if self.faults.shedding || inside >= self.slots + self.queue {
+        let in_flight = self.counters.busy + self.counters.waiting;
+        if self.faults.shedding || in_flight >= self.slots + self.queue {
             return Err(TargetRefusal::Shedding);
         }
         Ok(())
     }
 
-    /// An attempt begins to wait for a slot.
-    pub(super) fn wait(&mut self, name: AttemptName, cancel: CancellationToken) {
-        self.attempts.insert(name, cancel);
+    /// Adds an attempt to the queue.
+    pub(super) fn enqueue(&mut self, key: AttemptKey, cancel: CancellationToken) {
+        self.attempts.insert(key, cancel);
         self.counters.waiting += 1;
     }
 
-    /// A waiting attempt got its slot; how long it will hold it.
-    pub(super) fn run(&mut self, now: Instant) -> Duration {
+    /// Moves a waiting attempt to a slot; returns its service time.
+    pub(super) fn start(&mut self, now: Instant) -> Duration {
         self.counters.waiting -= 1;
         self.counters.busy += 1;
         self.counters.peak_busy = self.counters.peak_busy.max(self.counters.busy);
-        self.note(now);
-        let factor = self.faults.slow_factor * self.warmth(now);
+        self.record_phase(now);
+        let factor = self.faults.slow_factor * self.warm_up_slowdown(now);
         self.service_time.draw(&mut self.rng).mul_f64(factor.max(0.0))
     }
 
-    /// A waiting attempt found no slot free at once.
-    pub(super) fn queued(&mut self) {
+    /// Updates the peak of waiting attempts when no slot is free.
+    pub(super) fn record_queued(&mut self) {
         let waiting = self.counters.waiting;
         self.counters.peak_waiting = self.counters.peak_waiting.max(waiting);
     }
 
-    /// A running attempt gave its slot back.
+    /// Releases the slot of a running attempt.
     pub(super) fn end(&mut self, now: Instant) {
         self.counters.busy -= 1;
-        self.note(now);
+        self.record_phase(now);
     }
 
-    /// Keeps the present pair of phase and busy slots for a lagging `/state`.
-    pub(super) fn note(&mut self, now: Instant) {
-        self.past.push_back((now, self.phase(now), self.counters.busy));
-        let shown = now.checked_sub(self.state_lag).unwrap_or(now);
-        while self.past.get(1).is_some_and(|&(began, _, _)| began <= shown) {
-            self.past.pop_front();
+    /// Records the current phase and busy slots for a lagging `/state`.
+    pub(super) fn record_phase(&mut self, now: Instant) {
+        self.phase_history.push_back((now, self.phase(now), self.counters.busy));
+        let reported = now.checked_sub(self.state_lag).unwrap_or(now);
+        while self.phase_history.get(1).is_some_and(|&(start, _, _)| start <= reported) {
+            self.phase_history.pop_front();
         }
     }
 
-    /// The answer to `/state`: `state_lag` old, or a lie.
-    pub(super) fn shown(&mut self, name: &str, now: Instant) -> TargetState {
-        self.note(now);
-        let (phase, busy) = match (self.faults.state_lie, self.past.front()) {
-            (Some(lie), _) => (lie.phase, lie.busy),
+    /// The answer of `/state`: the override if set, otherwise the state `state_lag` ago.
+    pub(super) fn reported_state(&mut self, name: &str, now: Instant) -> TargetState {
+        self.record_phase(now);
+        let (phase, busy) = match (self.faults.state_override, self.phase_history.front()) {
+            (Some(state), _) => (state.phase, state.busy),
             (None, Some(&(_, phase, busy))) => (phase, busy),
             (None, None) => (self.phase(now), self.counters.busy),
         };
@@ -217,23 +217,23 @@
         TargetState { target: name.to_owned(), phase, busy, slots: self.slots, held }
     }
 
-    /// Whether it takes no new work because it is on its way out.
-    pub(super) fn leaves(&self) -> bool {
-        self.leaving || matches!(self.wanted, DesiredState::Drain | DesiredState::Off)
+    /// Whether it refuses new work because it drains or is off.
+    pub(super) fn is_draining(&self) -> bool {
+        self.draining || matches!(self.desired, DesiredState::Drain | DesiredState::Off)
     }
 
-    /// Off, and everything that was running has ended.
+    /// Whether it is off and all attempts have ended.
     fn is_off(&self) -> bool {
-        self.wanted == DesiredState::Off && self.counters.busy + self.counters.waiting == 0
+        self.desired == DesiredState::Off && self.counters.busy + self.counters.waiting == 0
     }
 
-    /// How many times slower than usual the target still is after its start.
-    fn warmth(&self, now: Instant) -> f64 {
+    /// The factor on service times during the warm-up, 1 after it.
+    fn warm_up_slowdown(&self, now: Instant) -> f64 {
         let since = now.saturating_duration_since(self.ready_at);
         if since >= self.warm_up {
             return 1.0;
         }
-        let left = 1.0 - since.as_secs_f64() / self.warm_up.as_secs_f64();
-        1.0 + (self.warm_up_factor - 1.0) * left
+        let remaining = 1.0 - since.as_secs_f64() / self.warm_up.as_secs_f64();
+        1.0 + (self.warm_up_factor - 1.0) * remaining
     }
 }
--- a/crates/hawthorn-standin/src/timer.rs
+++ b/crates/hawthorn-standin/src/timer.rs
@@ -1,9 +1,9 @@
-//! Sleeps of less than a millisecond's error.
+//! Sleeps with an error of less than a millisecond.
 //!
-//! Tokio's timer steps in milliseconds and rounds up, which makes an attempt of
-//! two milliseconds take three and a latency of half a millisecond three times
-//! as long: what is measured over stand-ins would be the timer. One thread of the
-//! process waits for the next moment that is due, to the kernel's precision.
+//! Tokio's timer has a resolution of one millisecond and rounds up: a service time of
+//! 2 ms becomes 3 ms, and a latency of 0.5 ms triples, which would dominate
+//! measurements over stand-ins. One thread per process waits for the next due time
+//! with the kernel's precision instead.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -17,8 +17,8 @@
 
 use tokio::sync::oneshot;
 
-/// The part of a sleep that is left to the precise thread. The rest is slept by
-/// tokio, so that a sleep which is dropped early leaves nothing behind for long.
+/// The last part of a sleep, handled by the precise thread. Tokio handles the rest, so
+/// that the entry of a sleep that is dropped early does not stay in the heap for long.
 const PRECISE_PART: Duration = Duration::from_millis(3);
 
 static TIMER: LazyLock<&'static PreciseTimer> = LazyLock::new(PreciseTimer::spawn);
@@ -30,14 +30,14 @@
 
 /// Sleeps until `due`; never wakes before it.
 pub(crate) async fn sleep_until(due: Instant) {
-    let left = due.saturating_duration_since(Instant::now());
-    if left.is_zero() {
+    let remaining = due.saturating_duration_since(Instant::now());
+    if remaining.is_zero() {
         return;
     }
-    if left > PRECISE_PART {
-        tokio::time::sleep(left - PRECISE_PART).await;
+    if remaining > PRECISE_PART {
+        tokio::time::sleep(remaining - PRECISE_PART).await;
     }
-    // An error means that the thread is gone, which ends the process's sleeps.
+    // An error means that the timer thread has ended, and with it all sleeps.
     drop(TIMER.wake_at(due).await);
 }
 
@@ -60,7 +60,7 @@
         std::thread::Builder::new()
             .name("standin-timer".to_owned())
             .spawn(|| timer.run())
-            .expect("a development machine can start one more thread");
+            .expect("the process can start another thread");
         timer
     }
 
@@ -84,14 +84,14 @@
         loop {
             let now = Instant::now();
             while let Some(waker) = sleepers.pop_due(now) {
-                // A sleeper that was dropped has nobody to wake.
-                let _gone = waker.send(());
+                // The receiver is closed if the sleep was dropped.
+                let _closed = waker.send(());
             }
             sleepers = self.wait(sleepers, now);
         }
     }
 
-    /// Waits for the next sleeper that is due, or for an earlier one to come.
+    /// Waits until the next sleeper is due or an earlier one is added.
     fn wait<'a>(
         &self,
         sleepers: MutexGuard<'a, SleeperHeap>,
@@ -105,11 +105,11 @@
             }
             None => self.earlier.wait(sleepers).ok(),
         };
-        woken.expect("nothing panics while it holds the sleepers")
+        woken.expect("no holder of the lock panics")
     }
 
     fn lock(&self) -> MutexGuard<'_, SleeperHeap> {
-        self.sleepers.lock().expect("nothing panics while it holds the sleepers")
+        self.sleepers.lock().expect("no holder of the lock panics")
     }
 }
 
--- a/crates/hawthorn-standin/src/wire.rs
+++ b/crates/hawthorn-standin/src/wire.rs
@@ -1,4 +1,4 @@
-//! HTTP plumbing shared by the stand-ins: a loopback listener, JSON in and out.
+//! HTTP helpers of the stand-ins: loopback listener, JSON requests and responses.
 
 use std::future::Future;
 use std::io;
@@ -25,43 +25,43 @@
 use tokio::net::TcpStream;
 use tokio_util::sync::CancellationToken;
 
-/// Largest request body a stand-in reads, above the platform's largest value
+/// Maximum size of a request body in bytes. It exceeds the platform's largest value
 /// with every byte escaped.
-pub(crate) const BODY_LIMIT: usize = 8 << 20;
+pub(crate) const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// What a stand-in answers with.
+/// The response of a stand-in.
 pub(crate) type Reply = Response<Full<Bytes>>;
 
 quick_error! {
-    /// Why a request gets no answer: its connection is closed instead.
+    /// Reasons to close the connection without an answer.
     #[derive(Debug)]
     pub enum Unanswered {
-        /// Asked for by a test.
+        /// A fault that a test injected.
         Lost {
-            display("the answer is lost on purpose")
+            display("the answer was dropped by an injected fault")
         }
     }
 }
 
 quick_error! {
-    /// Why a body could not be read.
+    /// Errors of reading a request body.
     #[derive(Debug)]
     pub enum BodyError {
-        /// It broke off or is larger than [`BODY_LIMIT`].
-        Cut {
-            display("the body broke off or is too large")
+        /// The body is incomplete or larger than [`MAX_BODY_BYTES`].
+        Truncated {
+            display("the body is incomplete or too large")
         }
-        /// It is not the JSON expected.
+        /// The body is not the expected JSON.
         Json(err: serde_json::Error) {
-            display("the body is not what the contract says: {err}")
+            display("the body violates the contract: {err}")
             from()
         }
     }
 }
 
-/// Answers the requests of one stand-in.
+/// Handles the requests of one stand-in.
 pub(crate) trait Handler: Send + Sync + 'static {
-    /// Answers one request; an error closes the connection unanswered.
+    /// Handles one request; an error closes the connection without an answer.
     fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
@@ -95,13 +95,14 @@
 
 /// Reads a JSON body.
 pub(crate) async fn read<T: DeserializeOwned>(body: Incoming) -> Result<T, BodyError> {
-    let collected = Limited::new(body, BODY_LIMIT).collect().await.map_err(|_| BodyError::Cut)?;
+    let collected =
+        Limited::new(body, MAX_BODY_BYTES).collect().await.map_err(|_| BodyError::Truncated)?;
     Ok(serde_json::from_slice(&collected.to_bytes())?)
 }
 
-/// An answer with a JSON body.
+/// A response with a JSON body.
 pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Reply {
-    let body = serde_json::to_vec(value).expect("the messages of the contracts have string keys");
+    let body = serde_json::to_vec(value).expect("messages of the contracts have string keys");
     let mut reply = Response::new(Full::new(Bytes::from(body)));
     *reply.status_mut() = status;
     let content = hyper::header::HeaderValue::from_static("application/json");
@@ -109,7 +110,7 @@
     reply
 }
 
-/// An answer without a body.
+/// A response without a body.
 pub(crate) fn empty(status: StatusCode) -> Reply {
     let mut reply = Response::new(Full::default());
     *reply.status_mut() = status;
--- a/crates/hawthorn-standin/tests/bytes.rs
+++ b/crates/hawthorn-standin/tests/bytes.rs
@@ -1,5 +1,5 @@
-//! Whatever bytes come in, a stand-in answers and goes on, and the tier's
-//! answers are understood or counted as cut.
+//! Arbitrary input: stand-ins answer every request without failing, and answers of the
+//! tier are either parsed or counted as lost connections.
 
 mod support;
 
@@ -32,15 +32,15 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 
-/// The same cases each run.
+/// A test runner with a fixed seed.
 fn runner() -> TestRunner {
     let config = Config { cases: 64, failure_persistence: None, ..Config::default() };
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
 }
 
-/// Sends each drawn path and body on a connection of its own; every one must be
-/// answered, and none as a failure of the stand-in itself.
-fn all_answered(
+/// Sends each generated path and body on a new connection. Every request must be
+/// answered, and none with a server error.
+fn assert_all_answered(
     address: SocketAddr,
     method: &Method,
     runtime: &tokio::runtime::Runtime,
@@ -72,7 +72,7 @@
     let (runtime, target) = started(start)?;
     let paths = proptest::sample::select(vec!["/search", "/run", "/cancel", "/intent", "/"]);
     let requests = (paths.prop_map(str::to_owned), any::<Vec<u8>>());
-    all_answered(target.address(), &Method::POST, &runtime, requests)
+    assert_all_answered(target.address(), &Method::POST, &runtime, requests)
 }
 
 #[test]
@@ -81,13 +81,13 @@
     let (runtime, platform) = started(start)?;
     let requests = ("/(kv|list|watch|leases|hosts|x)/[a-z%0-9?=&/]{0,20}", any::<Vec<u8>>());
     for method in [Method::GET, Method::PUT, Method::POST, Method::DELETE] {
-        all_answered(platform.address(), &method, &runtime, requests.clone())?;
+        assert_all_answered(platform.address(), &method, &runtime, requests.clone())?;
     }
     Ok(())
 }
 
 #[test]
-fn an_inventory_of_any_text_is_read_or_refused() -> TestResult {
+fn any_inventory_text_is_parsed_or_rejected() -> TestResult {
     runner().run(&"(\\[\\[(service|target)\\]\\]\n)?[a-z]{1,8} = [\"0-9a-z/]{0,12}\n", |text| {
         if let Ok(inventory) = TargetInventory::parse(&text) {
             drop(inventory.known_services());
@@ -97,8 +97,8 @@
     Ok(())
 }
 
-/// An address that reads once, answers `bytes` and closes.
-async fn canned(bytes: Vec<u8>) -> Fallible<SocketAddr> {
+/// Starts a server that reads once, answers with `bytes` and closes the connection.
+async fn serve_once(bytes: Vec<u8>) -> Fallible<SocketAddr> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let address = listener.local_addr()?;
     tokio::spawn(async move {
@@ -110,34 +110,34 @@
     Ok(address)
 }
 
-struct HeardCase {
+struct ResponseCase {
     name: &'static str,
     answer: &'static str,
     answered: bool,
 }
 
 #[tokio::test]
-async fn an_entry_host_is_heard_or_counted_as_cut() -> TestResult {
+async fn entry_host_answers_are_parsed_or_counted_as_lost_connections() -> TestResult {
     let cases = [
-        HeardCase {
+        ResponseCase {
             name: "an answer",
             answer: r#"{"request":"1","outcome":"not-run","reason":"queue-full","configuration":{"revision":1,"age_ms":0},"elapsed_ms":1}"#,
             answered: true,
         },
-        HeardCase { name: "half an answer", answer: r#"{"request":"#, answered: false },
-        HeardCase { name: "something else", answer: "[]", answered: false },
+        ResponseCase { name: "a truncated answer", answer: r#"{"request":"#, answered: false },
+        ResponseCase { name: "JSON of another type", answer: "[]", answered: false },
     ];
     let query: SearchQuery = serde_json::from_str(
         r#"{"caller":"bunker-desk","service":"agent-desk","deadline_ms":1000}"#,
     )?;
     for case in cases {
         let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", case.answer.len());
-        let address = canned(format!("{head}{}", case.answer).into_bytes()).await?;
+        let address = serve_once(format!("{head}{}", case.answer).into_bytes()).await?;
         let tier = HttpTier::new(vec![EntryHost { name: "entry-1".to_owned(), address }], 4);
-        let heard = tier.query(0, &query).await;
-        assert_eq!(matches!(heard, TierResponse::Answered(_)), case.answered, "{}", case.name);
+        let response = tier.query(0, &query).await;
+        assert_eq!(matches!(response, TierResponse::Answered(_)), case.answered, "{}", case.name);
     }
-    // Nothing listens on this port of the loopback interface.
+    // No server listens on this loopback port.
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let tier = HttpTier::new(vec![EntryHost { name: "entry-1".to_owned(), address }], 4);
     assert_eq!(tier.query(0, &query).await, TierResponse::NotSent);
