--- a/crates/hawthorn-standin/tests/check.rs
+++ b/crates/hawthorn-standin/tests/check.rs
@@ -1,4 +1,4 @@
-//! The checker finds each planted violation, and nothing in a right history.
+//! The checker reports every planted violation, and none in a valid history.
 
 mod support;
 
@@ -7,7 +7,7 @@
 
 use hawthorn_standin::Corpus;
 use hawthorn_standin::check;
-use hawthorn_standin::check::BrokenPromise;
+use hawthorn_standin::check::ViolationKind;
 use hawthorn_standin::corpus::CorpusOptions;
 use hawthorn_standin::history::HistoryEvent;
 use hawthorn_standin::history::HistoryRecord;
@@ -60,10 +60,10 @@
     })
 }
 
-/// The right answer to [`query_sent`], with the upper half of the keys missing.
+/// The correct answer to [`query_sent`], with the upper half of the keys missing.
 fn half_answer(send: u64) -> CallerAnswer {
     let half = KeyRange::new(0, KEY_SPACE / 2);
-    let rest = KeyRange::new(KEY_SPACE / 2, KEY_SPACE);
+    let missing = KeyRange::new(KEY_SPACE / 2, KEY_SPACE);
     let found = corpus().search(IndexVersion(2), &RangeSet::from(half), TEXT, LIMIT as usize);
     CallerAnswer {
         request: format!("{send:032x}"),
@@ -74,7 +74,7 @@
         coverage: Some(AnswerCoverage {
             fraction: 0.5,
             covered: vec![half],
-            missing: vec![MissingRange { range: rest, reason: MissingReason::Unreachable }],
+            missing: vec![MissingRange { range: missing, reason: MissingReason::Unreachable }],
         }),
         configuration: ConfigStamp { revision: ConfigRevision(3), age_ms: 0 },
         total: found.total,
@@ -137,8 +137,8 @@
     })
 }
 
-fn leaving() -> HistoryEvent {
-    HistoryEvent::TargetLeaving { target: "agent-desk-00".to_owned() }
+fn draining() -> HistoryEvent {
+    HistoryEvent::TargetDraining { target: "agent-desk-00".to_owned() }
 }
 
 fn serving() -> HistoryEvent {
@@ -149,7 +149,7 @@
     HistoryEvent::ConfigSeen { daemon: "entry-1".to_owned(), revision: ConfigRevision(revision) }
 }
 
-fn stop_began() -> HistoryEvent {
+fn stop_started() -> HistoryEvent {
     HistoryEvent::StopStarted { daemon: "entry-1".to_owned() }
 }
 
@@ -158,9 +158,9 @@
 
 struct HistoryCase {
     name: &'static str,
-    /// One event a second.
+    /// Events, one per second.
     events: Vec<HistoryEvent>,
-    broken: Vec<BrokenPromise>,
+    violations: Vec<ViolationKind>,
 }
 
 fn records(events: Vec<HistoryEvent>) -> Vec<HistoryRecord> {
@@ -170,32 +170,32 @@
         .collect()
 }
 
-fn check_all(cases: Vec<HistoryCase>) -> Vec<BrokenPromise> {
+fn check_all(cases: Vec<HistoryCase>) -> Vec<ViolationKind> {
     let options = check::Options { corpora: vec![corpus()], ..check::Options::default() };
     let mut planted = Vec::new();
     for case in cases {
         let found = check::check(&records(case.events), &options);
-        let found: Vec<BrokenPromise> = found.iter().map(|violation| violation.promise).collect();
-        assert_eq!(found, case.broken, "{}", case.name);
+        let found: Vec<ViolationKind> = found.iter().map(|violation| violation.kind).collect();
+        assert_eq!(found, case.violations, "{}", case.name);
         planted.extend(found);
     }
     planted
 }
 
 #[test]
-fn right_histories_pass() -> TestResult {
-    let mut later = vec![leaving()];
+fn valid_histories_have_no_violations() -> TestResult {
+    let mut later = vec![draining()];
     later.extend(std::iter::repeat_n(config(1), 9));
     later.push(serving());
     later.push(run_phase(1, "1-a", WorkPhase::Arrived));
     let cases = vec![
         HistoryCase {
-            name: "an answer that says what it covers",
+            name: "a partial answer with correct coverage",
             events: vec![query_sent(1), answered(1, |_| {})],
-            broken: vec![],
+            violations: vec![],
         },
         HistoryCase {
-            name: "not run, sent again, run once",
+            name: "not run, resent, run once",
             events: vec![
                 once_sent(1, "1-a"),
                 once_answered(1, "1-a", NOT_RUN),
@@ -203,10 +203,10 @@
                 run_phase(2, "1-a", WorkPhase::Started),
                 once_answered(2, "1-a", CallerOutcome::Answer),
             ],
-            broken: vec![],
+            violations: vec![],
         },
         HistoryCase {
-            name: "run once, its answer lost, truly unknown",
+            name: "run once, answer lost, outcome unknown",
             events: vec![
                 once_sent(1, "1-a"),
                 run_phase(1, "1-a", WorkPhase::Started),
@@ -214,49 +214,53 @@
                 once_sent(2, "1-a"),
                 once_answered(2, "1-a", LOST),
             ],
-            broken: vec![],
+            violations: vec![],
         },
         HistoryCase {
-            name: "work within the grace, and after the target serves again",
-            events: vec![leaving(), run_phase(1, "1-a", WorkPhase::Arrived), config(1)],
-            broken: vec![],
+            name: "an attempt within the grace period of a drain",
+            events: vec![draining(), run_phase(1, "1-a", WorkPhase::Arrived), config(1)],
+            violations: vec![],
         },
-        HistoryCase { name: "work after the target serves again", events: later, broken: vec![] },
         HistoryCase {
-            name: "a killed daemon cuts requests off",
+            name: "an attempt after the target serves again",
+            events: later,
+            violations: vec![],
+        },
+        HistoryCase {
+            name: "a killed daemon aborts requests",
             events: vec![
-                stop_began(),
+                stop_started(),
                 HistoryEvent::Started { daemon: "entry-1".to_owned() },
                 query_sent(1),
                 HistoryEvent::Killed { daemon: "entry-1".to_owned() },
                 HistoryEvent::ConnectionLost { send: 1 },
             ],
-            broken: vec![],
+            violations: vec![],
         },
         HistoryCase {
-            name: "an answer made before a change overtaken by one made after",
+            name: "an answer overtaken by one of a newer configuration",
             events: vec![
                 query_sent(1),
                 query_sent(2),
                 answered(2, |answer| answer.configuration.revision = ConfigRevision(4)),
                 answered(1, |_| {}),
             ],
-            broken: vec![],
+            violations: vec![],
         },
     ];
     assert_eq!(check_all(cases), []);
     Ok(())
 }
 
-/// Each case is one thing a caller must never see; the checker is worth nothing
-/// for those that it lets pass, so every promise has at least one.
+/// Guards against a checker that misses a kind of violation: every kind has at least one
+/// case.
 #[test]
-fn planted_violations_are_found() -> TestResult {
+fn planted_violations_are_reported() -> TestResult {
     let mut planted = check_all(answer_cases());
     planted.extend(check_all(run_cases()));
     planted.extend(check_all(fleet_cases()));
-    for promise in BrokenPromise::iter() {
-        assert!(planted.contains(&promise), "{promise} has no planted violation");
+    for kind in ViolationKind::iter() {
+        assert!(planted.contains(&kind), "{kind} has no planted violation");
     }
     Ok(())
 }
@@ -264,25 +268,25 @@
 fn answer_case(
     name: &'static str,
     change: fn(&mut CallerAnswer),
-    broken: Vec<BrokenPromise>,
+    violations: Vec<ViolationKind>,
 ) -> HistoryCase {
-    HistoryCase { name, events: vec![query_sent(1), answered(1, change)], broken }
+    HistoryCase { name, events: vec![query_sent(1), answered(1, change)], violations }
 }
 
 fn answer_cases() -> Vec<HistoryCase> {
-    let overstated = || vec![BrokenPromise::OverstatedCoverage];
+    let overstated = || vec![ViolationKind::OverstatedCoverage];
     vec![
         answer_case(
             "one document of another version",
             |answer| {
                 answer.matches[0].text = answer.matches[0].text.replace("edition-2", "edition-1")
             },
-            vec![BrokenPromise::MixedVersions, BrokenPromise::OverstatedCoverage],
+            vec![ViolationKind::MixedVersions, ViolationKind::OverstatedCoverage],
         ),
         answer_case(
             "no version stated",
             |answer| answer.index_version = None,
-            vec![BrokenPromise::MixedVersions],
+            vec![ViolationKind::MixedVersions],
         ),
         answer_case(
             "a missing shard claimed as covered",
@@ -309,9 +313,9 @@
             overstated(),
         ),
         answer_case("no coverage stated", |answer| answer.coverage = None, overstated()),
-        answer_case("a match lost", |answer| drop(answer.matches.remove(1)), overstated()),
+        answer_case("a missing match", |answer| drop(answer.matches.remove(1)), overstated()),
         answer_case(
-            "a match doubled",
+            "a duplicate match",
             |answer| answer.matches[1] = answer.matches[0].clone(),
             overstated(),
         ),
@@ -319,16 +323,16 @@
         answer_case(
             "another request's id",
             |answer| answer.request_id = Some("q-2".to_owned()),
-            vec![BrokenPromise::CrossedAnswer],
+            vec![ViolationKind::MismatchedAnswer],
         ),
         answer_case(
-            "documents that were not asked for",
+            "documents that do not match the query",
             |answer| {
                 let half = RangeSet::from(KeyRange::new(0, KEY_SPACE / 2));
                 let other = corpus().search(IndexVersion(2), &half, "mv-pemba", LIMIT as usize);
                 answer.matches = other.matches;
             },
-            vec![BrokenPromise::CrossedAnswer, BrokenPromise::OverstatedCoverage],
+            vec![ViolationKind::MismatchedAnswer, ViolationKind::OverstatedCoverage],
         ),
     ]
 }
@@ -336,7 +340,7 @@
 fn run_cases() -> Vec<HistoryCase> {
     vec![
         HistoryCase {
-            name: "an order confirmed twice",
+            name: "a request run twice",
             events: vec![
                 once_sent(1, "1-a"),
                 run_phase(1, "1-a", WorkPhase::Started),
@@ -344,28 +348,28 @@
                 once_sent(2, "1-a"),
                 run_phase(2, "1-a", WorkPhase::Started),
             ],
-            broken: vec![BrokenPromise::DoubledRun],
+            violations: vec![ViolationKind::DuplicateRun],
         },
         HistoryCase {
-            name: "not run said after it ran",
+            name: "answered as not run after it ran",
             events: vec![
                 once_sent(1, "1-a"),
                 run_phase(1, "1-a", WorkPhase::Started),
                 once_answered(1, "1-a", NOT_RUN),
             ],
-            broken: vec![BrokenPromise::FalseNotRun],
+            violations: vec![ViolationKind::FalseNotRun],
         },
         HistoryCase {
-            name: "not run said before it runs",
+            name: "answered as not run before it runs",
             events: vec![
                 once_sent(1, "1-a"),
                 once_answered(1, "1-a", NOT_RUN),
                 run_phase(1, "1-a", WorkPhase::Started),
             ],
-            broken: vec![BrokenPromise::FalseNotRun],
+            violations: vec![ViolationKind::FalseNotRun],
         },
         HistoryCase {
-            name: "not run said of a second send of what ran",
+            name: "a second send answered as not run after the first ran",
             events: vec![
                 once_sent(1, "1-a"),
                 run_phase(1, "1-a", WorkPhase::Started),
@@ -373,37 +377,37 @@
                 once_sent(2, "1-a"),
                 once_answered(2, "1-a", NOT_RUN),
             ],
-            broken: vec![BrokenPromise::FalseNotRun],
+            violations: vec![ViolationKind::FalseNotRun],
         },
     ]
 }
 
 fn fleet_cases() -> Vec<HistoryCase> {
-    let mut late = vec![leaving()];
+    let mut late = vec![draining()];
     late.extend(std::iter::repeat_n(config(1), 6));
     late.push(run_phase(1, "1-a", WorkPhase::Arrived));
     vec![
         HistoryCase {
-            name: "a daemon goes back",
+            name: "a daemon reverts to an older configuration",
             events: vec![config(2), config(1)],
-            broken: vec![BrokenPromise::ConfigWentBack],
+            violations: vec![ViolationKind::ConfigReverted],
         },
         HistoryCase {
-            name: "an answer sent for later is made under an older configuration",
+            name: "an answer with an older configuration than at the time of its request",
             events: vec![config(4), query_sent(1), answered(1, |_| {})],
-            broken: vec![BrokenPromise::ConfigWentBack],
+            violations: vec![ViolationKind::ConfigReverted],
         },
         HistoryCase {
-            name: "an answer is made without any configuration",
+            name: "an answer without configuration",
             events: vec![
                 config(4),
                 query_sent(1),
                 answered(1, |answer| answer.configuration.revision = ConfigRevision(0)),
             ],
-            broken: vec![BrokenPromise::ConfigWentBack],
+            violations: vec![ViolationKind::ConfigReverted],
         },
         HistoryCase {
-            name: "a restarted host that has no configuration yet refuses",
+            name: "a refusal by a restarted host without configuration",
             events: vec![
                 config(4),
                 query_sent(1),
@@ -412,17 +416,17 @@
                     answer.configuration.revision = ConfigRevision(0);
                 }),
             ],
-            broken: vec![],
+            violations: vec![],
         },
         HistoryCase {
-            name: "work seven seconds after a target began to leave",
+            name: "an attempt seven seconds after the start of a drain",
             events: late,
-            broken: vec![BrokenPromise::WorkToLeaving],
+            violations: vec![ViolationKind::WorkToDraining],
         },
         HistoryCase {
-            name: "a planned stop cuts a request off",
-            events: vec![query_sent(1), stop_began(), HistoryEvent::ConnectionLost { send: 1 }],
-            broken: vec![BrokenPromise::RequestCutOff],
+            name: "a planned stop aborts a request",
+            events: vec![query_sent(1), stop_started(), HistoryEvent::ConnectionLost { send: 1 }],
+            violations: vec![ViolationKind::RequestAborted],
         },
     ]
 }
--- a/crates/hawthorn-standin/tests/check_targets.rs
+++ b/crates/hawthorn-standin/tests/check_targets.rs
@@ -1,4 +1,4 @@
-//! What targets record of themselves is what the checker needs.
+//! The checker finds violations in the events that targets record.
 
 mod support;
 
@@ -8,8 +8,8 @@
 use hawthorn_standin::TargetOptions;
 use hawthorn_standin::TargetStandin;
 use hawthorn_standin::check;
-use hawthorn_standin::check::BrokenPromise;
-use hawthorn_standin::check::BrokenSubject;
+use hawthorn_standin::check::ViolationKind;
+use hawthorn_standin::check::ViolationSubject;
 use hawthorn_types::DesiredState;
 use support::Fallible;
 use support::TestResult;
@@ -23,10 +23,10 @@
     Ok(TargetStandin::start(options).await?)
 }
 
-/// Two barges sail to one vessel: an order's answer was lost at the first target
-/// and the order was sent to a second one, under another request of the tier.
+/// Guards against an undetected duplicate run: the answer of the first target is lost,
+/// and the tier sends the request to a second target under another request id.
 #[tokio::test]
-async fn a_run_at_two_targets_is_found_as_doubled() -> TestResult {
+async fn a_run_at_two_targets_is_reported_as_duplicate() -> TestResult {
     let history = History::default();
     let first = target("first", &history).await?;
     let second = target("second", &history).await?;
@@ -37,28 +37,28 @@
     assert_eq!(support::post(second.address(), "/run", &run).await?.status, 200);
     let found = check::check(&history.records(), &check::Options::default());
     assert_eq!(found.len(), 1);
-    assert_eq!(found[0].promise, BrokenPromise::DoubledRun);
-    let run = BrokenSubject::Run { caller: run.caller, caller_request: run.caller_request };
+    assert_eq!(found[0].kind, ViolationKind::DuplicateRun);
+    let run = ViolationSubject::Run { caller: run.caller, caller_request: run.caller_request };
     assert_eq!(found[0].subject, run);
     Ok(())
 }
 
-/// A target that drains is sent work although it has refused it before: each
-/// such send is found, refused or not.
+/// Guards against undetected attempts at a draining target: each one is reported, even
+/// if the target refuses it.
 #[tokio::test]
-async fn work_sent_to_a_draining_target_is_found() -> TestResult {
+async fn work_sent_to_a_draining_target_is_reported() -> TestResult {
     let history = History::default();
-    let target = target("leaving", &history).await?;
-    target.control().set_wanted(DesiredState::Drain);
+    let target = target("draining", &history).await?;
+    target.control().set_desired_state(DesiredState::Drain);
     for attempt in 1..=2 {
         let reply = support::post(target.address(), "/run", &support::run(attempt)).await?;
         assert_eq!(reply.status, 503);
     }
     let options = check::Options { drain_grace: Duration::ZERO, ..check::Options::default() };
     let found = check::check(&history.records(), &options);
-    let found: Vec<BrokenPromise> = found.iter().map(|violation| violation.promise).collect();
-    assert_eq!(found, [BrokenPromise::WorkToLeaving; 2]);
-    let patient = check::Options { drain_grace: Duration::MAX, ..options };
-    assert_eq!(check::check(&history.records(), &patient), []);
+    let found: Vec<ViolationKind> = found.iter().map(|violation| violation.kind).collect();
+    assert_eq!(found, [ViolationKind::WorkToDraining; 2]);
+    let unlimited_grace = check::Options { drain_grace: Duration::MAX, ..options };
+    assert_eq!(check::check(&history.records(), &unlimited_grace), []);
     Ok(())
 }
--- a/crates/hawthorn-standin/tests/deployment.rs
+++ b/crates/hawthorn-standin/tests/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployment gives what the inventory says.
+//! A deployment matches its inventory.
 
 mod support;
 
@@ -54,20 +54,20 @@
 }
 
 #[test]
-fn every_text_to_search_for_is_found() {
-    let whole = RangeSet::from(KeyRange::FULL);
+fn every_query_text_has_matches() {
+    let all_keys = RangeSet::from(KeyRange::FULL);
     for flavour in CorpusFlavour::iter() {
         let options = CorpusOptions { flavour, ..CorpusOptions::default() };
         let corpus = Corpus::generate("any", &options);
         for text in flavour.query_texts() {
-            let found = corpus.search(IndexVersion(1), &whole, &text, 0);
+            let found = corpus.search(IndexVersion(1), &all_keys, &text, 0);
             assert!(found.total > 0, "{flavour}: {text}");
         }
     }
 }
 
 #[tokio::test]
-async fn the_inventory_has_the_agreed_shape() -> TestResult {
+async fn the_inventory_has_the_agreed_format() -> TestResult {
     let mut options = DeploymentOptions::dar_port();
     options.services.truncate(1);
     options.services[0].shards = 1;
@@ -110,8 +110,8 @@
 }
 
 #[tokio::test]
-async fn a_deployment_without_a_zone_is_refused() {
+async fn a_deployment_without_a_zone_is_rejected() {
     let options = DeploymentOptions { zones: Vec::new(), ..DeploymentOptions::dar_port() };
-    let started = StandinDeployment::start(options).await;
-    assert!(matches!(started, Err(Error::NoZone)));
+    let result = StandinDeployment::start(options).await;
+    assert!(matches!(result, Err(Error::NoZone)));
 }
--- a/crates/hawthorn-standin/tests/load.rs
+++ b/crates/hawthorn-standin/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load generator against a tiny fake tier and against stand-ins.
+//! The load generator against a fake tier and against stand-ins.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use futures::future::ready;
 use hawthorn_standin::DeploymentOptions;
 use hawthorn_standin::StandinDeployment;
-use hawthorn_standin::check::BrokenPromise;
+use hawthorn_standin::check::ViolationKind;
 use hawthorn_standin::deployment::ServiceDescription;
 use hawthorn_standin::history::HistoryEvent;
 use hawthorn_standin::load;
@@ -40,8 +40,8 @@
 use support::Fallible;
 use support::TestResult;
 
-/// A deployment small enough for a test.
-fn small() -> DeploymentOptions {
+/// A small deployment for tests.
+fn small_deployment() -> DeploymentOptions {
     let desk = ServiceDescription { shards: 4, ..ServiceDescription::new(support::SERVICE) };
     DeploymentOptions { services: vec![desk], ..DeploymentOptions::dar_port() }
 }
@@ -62,24 +62,24 @@
     }
 }
 
-/// What the fake tier does with every request.
+/// Behavior of the fake tier for every request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum FakeConduct {
+enum FakeBehavior {
     Refuse,
-    ClaimEverything,
-    CrossAnswers,
-    Cut,
+    ClaimFullCoverage,
+    MismatchAnswers,
+    LoseConnection,
     NotSent,
 }
 
 struct FakeTier {
-    conduct: FakeConduct,
+    behavior: FakeBehavior,
     once_ids: Mutex<Vec<String>>,
 }
 
 impl FakeTier {
-    fn new(conduct: FakeConduct) -> Arc<Self> {
-        Arc::new(Self { conduct, once_ids: Mutex::default() })
+    fn new(behavior: FakeBehavior) -> Arc<Self> {
+        Arc::new(Self { behavior, once_ids: Mutex::default() })
     }
 
     fn answer(&self, request_id: Option<String>) -> TierResponse {
@@ -96,18 +96,18 @@
             result: None,
             elapsed_ms: 0,
         };
-        match self.conduct {
-            FakeConduct::Refuse => {}
-            FakeConduct::ClaimEverything => {
+        match self.behavior {
+            FakeBehavior::Refuse => {}
+            FakeBehavior::ClaimFullCoverage => {
                 let covered = vec![KeyRange::FULL];
                 answer.outcome = CallerOutcome::Answer;
                 answer.index_version = Some(IndexVersion(1));
                 answer.coverage =
                     Some(AnswerCoverage { fraction: 1.0, covered, missing: Vec::new() });
             }
-            FakeConduct::CrossAnswers => answer.request_id = Some("another".to_owned()),
-            FakeConduct::Cut => return TierResponse::ConnectionLost,
-            FakeConduct::NotSent => return TierResponse::NotSent,
+            FakeBehavior::MismatchAnswers => answer.request_id = Some("another".to_owned()),
+            FakeBehavior::LoseConnection => return TierResponse::ConnectionLost,
+            FakeBehavior::NotSent => return TierResponse::NotSent,
         }
         TierResponse::Answered(Box::new(answer))
     }
@@ -130,68 +130,69 @@
     }
 }
 
-struct ConductCase {
-    conduct: FakeConduct,
+struct BehaviorCase {
+    behavior: FakeBehavior,
     holds: fn(&LoadReport) -> bool,
-    broken: Option<BrokenPromise>,
+    violation: Option<ViolationKind>,
 }
 
-/// The report of a tier that lies must say so: a load tool that only times
-/// answers would praise a tier that is quick because it searches nothing.
+/// Guards against a report that only measures latency and favors a tier that answers
+/// fast without searching: wrong answers must show in the report.
 #[tokio::test]
-async fn the_conduct_of_a_tier_shows_in_its_report() -> TestResult {
+async fn the_report_reflects_the_behavior_of_the_tier() -> TestResult {
     let cases = [
-        ConductCase {
-            conduct: FakeConduct::Refuse,
+        BehaviorCase {
+            behavior: FakeBehavior::Refuse,
             holds: |report| report.refused.get("queue-full") == Some(&report.offered),
-            broken: None,
+            violation: None,
         },
-        ConductCase {
-            conduct: FakeConduct::ClaimEverything,
+        BehaviorCase {
+            behavior: FakeBehavior::ClaimFullCoverage,
             holds: |report| report.complete == report.offered,
-            broken: Some(BrokenPromise::OverstatedCoverage),
+            violation: Some(ViolationKind::OverstatedCoverage),
         },
-        ConductCase {
-            conduct: FakeConduct::CrossAnswers,
+        BehaviorCase {
+            behavior: FakeBehavior::MismatchAnswers,
             holds: |report| report.answered == 0,
-            broken: Some(BrokenPromise::CrossedAnswer),
+            violation: Some(ViolationKind::MismatchedAnswer),
         },
-        ConductCase {
-            conduct: FakeConduct::Cut,
+        BehaviorCase {
+            behavior: FakeBehavior::LoseConnection,
             holds: |report| report.cut == report.offered,
-            broken: None,
+            violation: None,
         },
-        ConductCase {
-            conduct: FakeConduct::NotSent,
+        BehaviorCase {
+            behavior: FakeBehavior::NotSent,
             holds: |report| report.not_sent == report.offered,
-            broken: None,
+            violation: None,
         },
     ];
     for case in cases {
-        let deployment = StandinDeployment::start(small()).await?;
-        let stage = DeploymentEnvironment::new(&deployment);
+        let deployment = StandinDeployment::start(small_deployment()).await?;
+        let environment = DeploymentEnvironment::new(&deployment);
         let options = options(LoadScenario::Steady, &deployment);
-        let tier = FakeTier::new(case.conduct);
-        let report = load::run("fake", tier, &stage, None, &options).await?;
-        assert!(report.offered > 0 && (case.holds)(&report), "{:?}: {report:?}", case.conduct);
-        let broken: u64 = report.broken.values().sum();
-        let expected = case.broken.map_or(0, |promise| report.broken_count(promise));
-        assert_eq!(broken, expected, "{:?}", case.conduct);
-        assert_eq!(broken > 0, case.broken.is_some(), "{:?}", case.conduct);
+        let tier = FakeTier::new(case.behavior);
+        let report = load::run("fake", tier, &environment, None, &options).await?;
+        assert!(report.offered > 0 && (case.holds)(&report), "{:?}: {report:?}", case.behavior);
+        let violations: u64 = report.broken.values().sum();
+        let expected = case.violation.map_or(0, |kind| report.violation_count(kind));
+        assert_eq!(violations, expected, "{:?}", case.behavior);
+        assert_eq!(violations > 0, case.violation.is_some(), "{:?}", case.behavior);
     }
     Ok(())
 }
 
-/// An order's answer is lost on the way and the caller sends it again: the same
-/// id must go out, or no tier could tell it from a new order.
+/// Guards against a resend under a new id: when an answer is lost, the caller must resend
+/// the request with the same id, or the tier cannot recognize the duplicate.
 #[tokio::test]
-async fn a_lost_request_is_sent_again_unchanged() -> TestResult {
-    let deployment = StandinDeployment::start(small()).await?;
-    let stage = DeploymentEnvironment::new(&deployment);
+async fn a_lost_request_is_resent_unchanged() -> TestResult {
+    let deployment = StandinDeployment::start(small_deployment()).await?;
+    let environment = DeploymentEnvironment::new(&deployment);
     let mut options = options(LoadScenario::Steady, &deployment);
     options.schedule.once_share = 1.0;
-    let tier = FakeTier::new(FakeConduct::Cut);
-    let report = load::run("fake", Arc::clone(&tier) as Arc<dyn QueryTier>, &stage, None, &options);
+    let tier = FakeTier::new(FakeBehavior::LoseConnection);
+    let report =
+        load::run("fake", Arc::clone(&tier) as Arc<dyn QueryTier>, &environment, None, &options);
     let offered = report.await?.offered;
     let once_ids = tier.once_ids.lock().map_err(|_| "a send panicked")?;
     let mut sends: BTreeMap<&String, u64> = BTreeMap::new();
@@ -203,16 +204,16 @@
     Ok(())
 }
 
-/// What a target measures must hold whoever asks: the naive client's answers
-/// break no promise, cost no extra load, and stay within the limits of targets.
+/// The baseline must be valid: the naive client's answers violate no guarantee, and its
+/// attempts stay within the limits of targets.
 #[tokio::test]
-async fn the_naive_client_is_honest_and_within_limits() -> TestResult {
-    let deployment = StandinDeployment::start(small()).await?;
-    let stage = DeploymentEnvironment::new(&deployment);
+async fn the_naive_client_violates_no_guarantee_or_limit() -> TestResult {
+    let deployment = StandinDeployment::start(small_deployment()).await?;
+    let environment = DeploymentEnvironment::new(&deployment);
     let mut options = options(LoadScenario::Steady, &deployment);
     options.schedule.once_share = 0.2;
     let naive = Arc::new(NaiveTier::of_deployment(&deployment, 1));
-    let report = load::run("naive", naive, &stage, None, &options).await?;
+    let report = load::run("naive", naive, &environment, None, &options).await?;
     assert_eq!(report.broken, BTreeMap::new(), "{:?}", report.broken_first);
     assert!(report.offered > 0);
     for target in &deployment.targets {
@@ -225,32 +226,32 @@
 
 #[tokio::test]
 async fn a_shard_without_a_target_shows_as_missing() -> TestResult {
-    let deployment = StandinDeployment::start(small()).await?;
+    let deployment = StandinDeployment::start(small_deployment()).await?;
     let holds = |shards: &[u32]| shards.contains(&0);
     for target in deployment.targets.iter().filter(|target| holds(&target.shards)) {
-        target.standin.control().set_wanted(DesiredState::Drain);
+        target.standin.control().set_desired_state(DesiredState::Drain);
     }
-    let stage = DeploymentEnvironment::new(&deployment);
+    let environment = DeploymentEnvironment::new(&deployment);
     let options = options(LoadScenario::Steady, &deployment);
     let naive = Arc::new(NaiveTier::of_deployment(&deployment, 1));
-    let report = load::run("naive", naive, &stage, None, &options).await?;
+    let report = load::run("naive", naive, &environment, None, &options).await?;
     assert_eq!((report.complete, report.coverage_mean), (0, 0.75));
     assert_eq!(report.broken, BTreeMap::new(), "{:?}", report.broken_first);
     Ok(())
 }
 
 #[tokio::test]
-async fn both_arms_of_a_comparison_get_the_same_schedule() -> TestResult {
-    let deployment = StandinDeployment::start(small()).await?;
-    let stage = DeploymentEnvironment::new(&deployment);
+async fn both_runs_of_a_comparison_use_the_same_schedule() -> TestResult {
+    let deployment = StandinDeployment::start(small_deployment()).await?;
+    let environment = DeploymentEnvironment::new(&deployment);
     let options = options(LoadScenario::Stragglers, &deployment);
-    let tier = FakeTier::new(FakeConduct::Refuse);
+    let tier = FakeTier::new(FakeBehavior::Refuse);
     let naive = Arc::new(NaiveTier::of_deployment(&deployment, 1));
-    let compared = load::compare(tier, naive, &stage, None, &options).await?;
-    assert_eq!(compared.tier.offered, compared.baseline.offered);
-    assert_eq!(compared.tier.answered, 0);
-    assert!(compared.baseline.answered > 0);
-    assert_eq!(compared.baseline.policy, "naive");
+    let comparison = load::compare(tier, naive, &environment, None, &options).await?;
+    assert_eq!(comparison.tier.offered, comparison.baseline.offered);
+    assert_eq!(comparison.tier.answered, 0);
+    assert!(comparison.baseline.answered > 0);
+    assert_eq!(comparison.baseline.policy, "naive");
     Ok(())
 }
 
@@ -260,7 +261,7 @@
 }
 
 impl FakeDaemons {
-    fn note(&self, call: String) -> BoxFuture<'_, ()> {
+    fn record(&self, call: String) -> BoxFuture<'_, ()> {
         if let Ok(mut calls) = self.calls.lock() {
             calls.push(call);
         }
@@ -274,11 +275,11 @@
     }
 
     fn restart<'a>(&'a self, daemon: &'a str) -> BoxFuture<'a, ()> {
-        self.note(format!("restart {daemon}"))
+        self.record(format!("restart {daemon}"))
     }
 
     fn cut_zone(&self, cut: bool) -> BoxFuture<'_, ()> {
-        self.note(format!("cut {cut}"))
+        self.record(format!("cut {cut}"))
     }
 }
 
@@ -289,7 +290,7 @@
 }
 
 #[tokio::test]
-async fn daemons_are_disturbed_as_the_scenario_says() -> TestResult {
+async fn scenarios_apply_their_daemon_faults() -> TestResult {
     let cases = [
         DaemonCase {
             scenario: LoadScenario::RollingRestart,
@@ -300,12 +301,12 @@
         DaemonCase { scenario: LoadScenario::Steady, calls: &[], stops: 0 },
     ];
     for case in cases {
-        let deployment = StandinDeployment::start(small()).await?;
-        let stage = DeploymentEnvironment::new(&deployment);
+        let deployment = StandinDeployment::start(small_deployment()).await?;
+        let environment = DeploymentEnvironment::new(&deployment);
         let options = options(case.scenario, &deployment);
         let daemons = FakeDaemons::default();
-        let tier = FakeTier::new(FakeConduct::Refuse);
-        load::run("fake", tier, &stage, Some(&daemons), &options).await?;
+        let tier = FakeTier::new(FakeBehavior::Refuse);
+        load::run("fake", tier, &environment, Some(&daemons), &options).await?;
         let calls = daemons.calls.lock().map_err(|_| "a call panicked")?;
         assert_eq!(*calls, case.calls, "{}", case.scenario);
         let records = options.history.records();
@@ -317,31 +318,31 @@
 }
 
 #[tokio::test]
-async fn a_scenario_that_stops_daemons_needs_control_of_them() -> TestResult {
-    let deployment = StandinDeployment::start(small()).await?;
-    let stage = DeploymentEnvironment::new(&deployment);
+async fn a_scenario_that_restarts_daemons_requires_daemon_control() -> TestResult {
+    let deployment = StandinDeployment::start(small_deployment()).await?;
+    let environment = DeploymentEnvironment::new(&deployment);
     let options = options(LoadScenario::ZoneCut, &deployment);
-    let tier = FakeTier::new(FakeConduct::Refuse);
-    let ran = load::run("fake", tier, &stage, None, &options).await;
-    assert_eq!(ran.err(), Some(load::run::Error::NeedsDaemons(LoadScenario::ZoneCut)));
+    let tier = FakeTier::new(FakeBehavior::Refuse);
+    let result = load::run("fake", tier, &environment, None, &options).await;
+    assert_eq!(result.err(), Some(load::run::Error::NeedsDaemons(LoadScenario::ZoneCut)));
     Ok(())
 }
 
 #[tokio::test]
-async fn targets_of_another_process_are_reached_by_the_inventory() -> TestResult {
-    let deployment = StandinDeployment::start(small()).await?;
+async fn targets_of_another_process_are_controlled_over_http() -> TestResult {
+    let deployment = StandinDeployment::start(small_deployment()).await?;
     let inventory = TargetInventory::parse(&deployment.inventory_toml())?;
-    let stage = RemoteEnvironment::new(&inventory);
-    stage.begin(LoadScenario::OneSlowTarget).await;
+    let environment = RemoteEnvironment::new(&inventory);
+    environment.begin(LoadScenario::OneSlowTarget).await;
     assert_eq!(slow_factors(&deployment), [10.0, 1.0]);
-    stage.end().await;
+    environment.end().await;
     assert_eq!(slow_factors(&deployment), [1.0, 1.0]);
     let naive = NaiveTier::new(inventory.known_services()?, IndexVersion(1), 1);
-    let heard = naive.query(0, &everything()).await;
-    let TierResponse::Answered(answer) = heard else { return Err("no answer".into()) };
+    let response = naive.query(0, &search_all()).await;
+    let TierResponse::Answered(answer) = response else { return Err("no answer".into()) };
     assert_eq!(answer.coverage.map(|coverage| coverage.fraction), Some(1.0));
-    assert_eq!(stage.attempts(support::SERVICE).await, 4);
-    assert_eq!(stage.shards(support::SERVICE), 4);
+    assert_eq!(environment.attempts(support::SERVICE).await, 4);
+    assert_eq!(environment.shards(support::SERVICE), 4);
     Ok(())
 }
 
@@ -350,7 +351,7 @@
     first.map(|target| target.standin.control().faults().slow_factor).collect()
 }
 
-fn everything() -> SearchQuery {
+fn search_all() -> SearchQuery {
     SearchQuery {
         caller: "bunker-desk".to_owned(),
         service: support::SERVICE.to_owned(),
@@ -364,7 +365,7 @@
 }
 
 #[test]
-fn an_inventory_with_a_malformed_shard_is_refused() -> Fallible<()> {
+fn an_inventory_with_a_malformed_shard_is_rejected() -> Fallible<()> {
     let text = "[[service]]\nname = \"a\"\nshards = 1\nconnections = 1\n\
         [[target]]\nservice = \"a\"\naddress = \"127.0.0.1:1\"\nshards = [\"a/x\"]\n";
     let known = TargetInventory::parse(text)?.known_services();
--- a/crates/hawthorn-standin/tests/load_report.rs
+++ b/crates/hawthorn-standin/tests/load_report.rs
@@ -1,4 +1,4 @@
-//! What a schedule offers and how a report sums it up, without sockets.
+//! Schedules and reports, without sockets.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,8 +6,8 @@
 use hawthorn_standin::load::LoadReport;
 use hawthorn_standin::load::LoadScenario;
 use hawthorn_standin::load::report::Sample;
-use hawthorn_standin::load::report::SampleEnd;
-use hawthorn_standin::load::report::fair_parts;
+use hawthorn_standin::load::report::SampleOutcome;
+use hawthorn_standin::load::report::max_min_fair_shares;
 use hawthorn_standin::load::schedule::ScheduleOptions;
 use hawthorn_standin::load::schedule::schedule;
 use hawthorn_types::RefusalReason;
@@ -26,14 +26,14 @@
 
 struct RateCase {
     scenario: LoadScenario,
-    /// Requests drawn for a capacity of 1000 a second over ten seconds.
+    /// Number of requests at a capacity of 1000 per second over ten seconds.
     drawn: std::ops::Range<usize>,
-    /// Those of the first caller.
+    /// Number of requests of the first caller.
     first: std::ops::Range<usize>,
 }
 
 #[test]
-fn scenarios_offer_their_part_of_the_capacity() {
+fn scenarios_offer_their_share_of_the_capacity() {
     let cases = [
         RateCase { scenario: LoadScenario::Steady, drawn: 3_700..4_300, first: 1_200..1_470 },
         RateCase { scenario: LoadScenario::Burst, drawn: 6_200..7_000, first: 2_000..2_400 },
@@ -56,42 +56,47 @@
 
 struct FairCase {
     total: f64,
-    wanted: &'static [f64],
-    parts: &'static [f64],
+    demands: &'static [f64],
+    shares: &'static [f64],
 }
 
 #[test]
-fn fair_parts_serve_the_modest_first() {
+fn fair_shares_satisfy_small_demands_first() {
     let cases = [
-        FairCase { total: 9.0, wanted: &[1.0, 2.0, 3.0], parts: &[1.0, 2.0, 3.0] },
-        FairCase { total: 9.0, wanted: &[100.0, 2.0, 3.0], parts: &[4.0, 2.0, 3.0] },
-        FairCase { total: 9.0, wanted: &[9.0, 9.0, 9.0], parts: &[3.0, 3.0, 3.0] },
-        FairCase { total: 0.0, wanted: &[1.0, 1.0], parts: &[0.0, 0.0] },
-        FairCase { total: 1.0, wanted: &[], parts: &[] },
+        FairCase { total: 9.0, demands: &[1.0, 2.0, 3.0], shares: &[1.0, 2.0, 3.0] },
+        FairCase { total: 9.0, demands: &[100.0, 2.0, 3.0], shares: &[4.0, 2.0, 3.0] },
+        FairCase { total: 9.0, demands: &[9.0, 9.0, 9.0], shares: &[3.0, 3.0, 3.0] },
+        FairCase { total: 0.0, demands: &[1.0, 1.0], shares: &[0.0, 0.0] },
+        FairCase { total: 1.0, demands: &[], shares: &[] },
     ];
     for case in cases {
-        assert_eq!(fair_parts(case.total, case.wanted), case.parts, "{:?}", case.wanted);
+        assert_eq!(
+            max_min_fair_shares(case.total, case.demands),
+            case.shares,
+            "{:?}",
+            case.demands
+        );
     }
 }
 
 #[test]
-fn a_report_sums_samples_up() {
-    let answered = |coverage: f64| SampleEnd::Answered { coverage };
-    let ends = [
+fn a_report_aggregates_samples() {
+    let answered = |coverage: f64| SampleOutcome::Answered { coverage };
+    let outcomes = [
         (0, answered(1.0)),
         (0, answered(0.5)),
-        (0, SampleEnd::NotRun(RefusalReason::QueueFull)),
-        (1, SampleEnd::Cut),
-        (1, SampleEnd::NotRun(RefusalReason::QueueFull)),
-        (2, SampleEnd::NotOffered),
+        (0, SampleOutcome::NotRun(RefusalReason::QueueFull)),
+        (1, SampleOutcome::ConnectionLost),
+        (1, SampleOutcome::NotRun(RefusalReason::QueueFull)),
+        (2, SampleOutcome::NotOffered),
     ];
     let samples: Vec<Sample> = (1_u64..)
-        .zip(ends)
-        .map(|(number, (caller, end))| Sample {
+        .zip(outcomes)
+        .map(|(number, (caller, outcome))| Sample {
             caller,
             search: true,
             latency: Duration::from_millis(number),
-            end,
+            outcome,
         })
         .collect();
     let report = LoadReport::new("tier", &ScheduleOptions::default(), &samples, 12, 4, &[]);
--- a/crates/hawthorn-standin/tests/support/mod.rs
+++ b/crates/hawthorn-standin/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for the tests of the stand-ins.
+//! HTTP client and fixtures for the tests of the stand-ins.
 #![allow(dead_code, reason = "each test binary uses its own part of this module")]
 
 use std::error::Error;
@@ -32,7 +32,7 @@
 pub type TestResult = Fallible<()>;
 pub type Fallible<T> = Result<T, Box<dyn Error + Send + Sync>>;
 
-/// A status and a body.
+/// Status and body of a response.
 pub struct Reply {
     pub status: u16,
     pub body: Bytes,
@@ -44,7 +44,7 @@
     }
 }
 
-/// One connection.
+/// An HTTP connection.
 pub struct Client {
     sender: SendRequest<Full<Bytes>>,
 }
@@ -83,14 +83,14 @@
     }
 }
 
-/// Sends one request on a connection of its own.
+/// Sends one request on a new connection.
 pub async fn post<T: Serialize>(address: SocketAddr, path: &str, body: &T) -> Fallible<Reply> {
     Client::connect(address).await?.post(path, body).await
 }
 
 pub const SERVICE: &str = "agent-desk";
 
-/// A search of everything at version 1.
+/// A search of all keys at version 1.
 pub fn search(attempt: u64) -> ShardSearch {
     ShardSearch {
         request: format!("{attempt:032x}"),
@@ -121,8 +121,8 @@
     CancelAttempt { request: format!("{attempt:032x}"), attempt }
 }
 
-/// The whole key space at version 1.
-pub fn whole() -> HeldRanges {
+/// The entire key space at version 1.
+pub fn all_ranges() -> HeldRanges {
     HeldRanges {
         service: SERVICE.to_owned(),
         version: IndexVersion(1),
@@ -134,28 +134,28 @@
     Arc::new(Corpus::generate(SERVICE, &CorpusOptions::default()))
 }
 
-/// A target that holds everything.
+/// Options of a target that holds the entire key space.
 pub fn options() -> TargetOptions {
     TargetOptions {
         corpora: vec![corpus()],
-        held: vec![whole()],
+        held: vec![all_ranges()],
         connect_cost: Duration::ZERO,
         ..TargetOptions::default()
     }
 }
 
-/// Waits until `holds`, at most a hundred steps of ten milliseconds.
-pub async fn until(holds: impl Fn() -> bool) -> TestResult {
+/// Waits until `condition` holds, for at most a hundred steps of ten milliseconds.
+pub async fn until(condition: impl Fn() -> bool) -> TestResult {
     for _ in 0..100 {
-        if holds() {
+        if condition() {
             return Ok(());
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    Err("the target did not get there".into())
+    Err("the condition did not hold in time".into())
 }
 
-/// The status of a search's answer, 0 when there was none.
+/// The status of the answer to a search, 0 without an answer.
 pub async fn open_search(address: SocketAddr, attempt: u64) -> u16 {
     match post(address, "/search", &search(attempt)).await {
         Ok(reply) => reply.status,
--- a/crates/hawthorn-standin/tests/target.rs
+++ b/crates/hawthorn-standin/tests/target.rs
@@ -1,4 +1,4 @@
-//! A target's limits hold, its refusals name their cause, and intent is obeyed.
+//! Limits, refusals and intent of a target.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use hawthorn_standin::TargetStandin;
 use hawthorn_standin::history::HistoryEvent;
 use hawthorn_standin::target::ServiceTime;
-use hawthorn_standin::target::StateLie;
+use hawthorn_standin::target::StateOverride;
 use hawthorn_types::ConfigRevision;
 use hawthorn_types::DesiredState;
 use hawthorn_types::IndexVersion;
@@ -22,7 +22,7 @@
 use support::SERVICE;
 use support::TestResult;
 
-/// Service times that never end within a test.
+/// Service times longer than any test.
 fn endless() -> ServiceTime {
     ServiceTime { typical: Duration::from_secs(60), spread: 0.0, ..ServiceTime::default() }
 }
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn refusals_name_their_cause_and_nothing_runs() -> TestResult {
+async fn refusals_report_their_reason_and_nothing_runs() -> TestResult {
     let cases = [
         RefusalCase {
             name: "shedding",
@@ -45,22 +45,22 @@
         },
         RefusalCase {
             name: "draining",
-            prepare: |target| target.control().set_wanted(DesiredState::Drain),
+            prepare: |target| target.control().set_desired_state(DesiredState::Drain),
             status: 503,
             refusal: TargetRefusal::Draining,
         },
         RefusalCase {
-            name: "leaving by itself although intent says serve",
+            name: "draining by itself while the intent is serve",
             prepare: |target| {
                 target.control().set_draining(true);
-                target.control().set_wanted(DesiredState::Serve);
+                target.control().set_desired_state(DesiredState::Serve);
             },
             status: 503,
             refusal: TargetRefusal::Draining,
         },
         RefusalCase {
             name: "standby",
-            prepare: |target| target.control().set_wanted(DesiredState::Standby),
+            prepare: |target| target.control().set_desired_state(DesiredState::Standby),
             status: 503,
             refusal: TargetRefusal::Draining,
         },
@@ -96,9 +96,8 @@
     Ok(())
 }
 
-/// A caller sees refusals although targets look idle: more attempts were sent
-/// than a target has slots and queue for. The limits must hold exactly, or no
-/// test could show that the tier respects them.
+/// A tier that exceeds slots and queue causes refusals at targets that look idle. The
+/// limits must hold exactly, so that tests can show that the tier respects them.
 #[tokio::test]
 async fn slots_then_queue_then_shedding() -> TestResult {
     let target = TargetStandin::start(TargetOptions {
@@ -139,10 +138,10 @@
     Ok(())
 }
 
-/// A hedge's loser keeps its slot until it ends, and the target looks
-/// overloaded: the cancellation must free the slot at once.
+/// A cancelled hedged request must release its slot immediately, or the target looks
+/// overloaded until the request ends.
 #[tokio::test]
-async fn cancellation_frees_the_slot() -> TestResult {
+async fn cancellation_releases_the_slot() -> TestResult {
     let target = TargetStandin::start(TargetOptions {
         slots: 1,
         service_time: endless(),
@@ -165,10 +164,10 @@
     Ok(())
 }
 
-/// A caller hears "not run" of an order that was confirmed: a cancellation or a
-/// deadline ended the run after it began. Once begun, a run must end by itself.
+/// Guards against the answer "not run" to a request that ran, when a cancellation or
+/// deadline ends a started run. A started run must complete.
 #[tokio::test]
-async fn a_run_that_began_is_never_cancelled() -> TestResult {
+async fn a_started_run_is_never_cancelled() -> TestResult {
     let target = TargetStandin::start(support::options()).await?;
     target.control().set_paused(true);
     let address = target.address();
@@ -187,7 +186,7 @@
 }
 
 #[tokio::test]
-async fn a_search_past_its_deadline_gives_its_slot_back() -> TestResult {
+async fn a_search_past_its_deadline_releases_its_slot() -> TestResult {
     let target =
         TargetStandin::start(TargetOptions { service_time: endless(), ..support::options() })
             .await?;
@@ -200,25 +199,25 @@
 }
 
 #[tokio::test]
-async fn state_lags_and_lies() -> TestResult {
+async fn state_lags_and_can_be_overridden() -> TestResult {
     let state_lag = Duration::from_secs(60);
     let target = TargetStandin::start(TargetOptions { state_lag, ..support::options() }).await?;
-    target.control().set_wanted(DesiredState::Drain);
+    target.control().set_desired_state(DesiredState::Drain);
     let mut client = Client::connect(target.address()).await?;
     assert_eq!(client.get("/state").await?.json::<TargetState>()?.phase, TargetPhase::Ready);
-    let lie = StateLie { phase: TargetPhase::Standby, busy: 9 };
-    target.control().set_faults(|faults| faults.state_lie = Some(lie));
+    let reported = StateOverride { phase: TargetPhase::Standby, busy: 9 };
+    target.control().set_faults(|faults| faults.state_override = Some(reported));
     let shown: TargetState = client.get("/state").await?.json()?;
-    assert_eq!((shown.phase, shown.busy), (lie.phase, lie.busy));
+    assert_eq!((shown.phase, shown.busy), (reported.phase, reported.busy));
 
     let state_lag = Duration::from_millis(20);
     let target = TargetStandin::start(TargetOptions { state_lag, ..support::options() }).await?;
-    target.control().set_wanted(DesiredState::Drain);
-    support::until(|| target.control().shown().phase == TargetPhase::Draining).await
+    target.control().set_desired_state(DesiredState::Drain);
+    support::until(|| target.control().reported_state().phase == TargetPhase::Draining).await
 }
 
 #[tokio::test]
-async fn intent_is_obeyed() -> TestResult {
+async fn intent_is_applied() -> TestResult {
     let history = History::default();
     let target =
         TargetStandin::start(TargetOptions { history: history.clone(), ..support::options() })
@@ -239,8 +238,8 @@
     let recorded: Vec<HistoryEvent> =
         history.records().into_iter().map(|record| record.event).collect();
     let name = || target.control().name().to_owned();
-    let leaving = HistoryEvent::TargetLeaving { target: name() };
-    assert_eq!(recorded, [leaving, HistoryEvent::TargetServing { target: name() }]);
+    let draining = HistoryEvent::TargetDraining { target: name() };
+    assert_eq!(recorded, [draining, HistoryEvent::TargetServing { target: name() }]);
     target.control().set_faults(|faults| faults.ignore_intent = true);
     let drain = TargetIntent { wanted: DesiredState::Drain, revision: ConfigRevision(7) };
     support::post(target.address(), "/intent", &drain).await?;
@@ -248,17 +247,17 @@
     Ok(())
 }
 
-/// A target that operators had just brought back drains again by itself. A host
-/// was paused with an order of the older revision in hand, and gave it on waking.
+/// Guards against a paused host that resumes and sends an intent of an older revision: the
+/// target must not drain again after operators have brought it back.
 #[tokio::test]
-async fn an_order_of_an_older_revision_is_ignored() -> TestResult {
-    struct OrderCase {
+async fn an_intent_of_an_older_revision_is_ignored() -> TestResult {
+    struct IntentCase {
         revision: u64,
         wanted: DesiredState,
         phase: TargetPhase,
     }
     let target = TargetStandin::start(support::options()).await?;
-    let case = |revision, wanted, phase| OrderCase { revision, wanted, phase };
+    let case = |revision, wanted, phase| IntentCase { revision, wanted, phase };
     let cases = [
         case(0, DesiredState::Drain, TargetPhase::Draining),
         case(4, DesiredState::Drain, TargetPhase::Draining),
--- a/crates/hawthorn-standin/tests/target_answers.rs
+++ b/crates/hawthorn-standin/tests/target_answers.rs
@@ -1,5 +1,4 @@
-//! A target's answers: right ones, ones that go wrong as told, ones that change
-//! while a search runs.
+//! Answers of a target: correct ones, injected faults, and changes during a search.
 
 mod support;
 
@@ -24,40 +23,39 @@
     let reply = support::post(target.address(), "/search", &support::search(7)).await?;
     assert_eq!(reply.status, 200);
     let answer: ShardAnswer = reply.json()?;
-    let asked = support::search(7);
-    assert_eq!((answer.request, answer.attempt), (asked.request, asked.attempt));
-    assert_eq!((answer.shard, answer.version), (asked.shard, asked.version));
-    let whole = RangeSet::from(KeyRange::FULL);
-    let truth = support::corpus().search(IndexVersion(1), &whole, "", 10);
-    assert_eq!(answer.searched, whole);
-    assert_eq!((answer.total, answer.matches), (truth.total, truth.matches));
+    let request = support::search(7);
+    assert_eq!((answer.request, answer.attempt), (request.request, request.attempt));
+    assert_eq!((answer.shard, answer.version), (request.shard, request.version));
+    let all_keys = RangeSet::from(KeyRange::FULL);
+    let expected = support::corpus().search(IndexVersion(1), &all_keys, "", 10);
+    assert_eq!(answer.searched, all_keys);
+    assert_eq!((answer.total, answer.matches), (expected.total, expected.matches));
     Ok(())
 }
 
 struct AnswerCase {
     name: &'static str,
     fault: fn(&mut TargetFaults),
-    wrong: fn(Fallible<support::Reply>) -> bool,
+    is_faulty: fn(Fallible<support::Reply>) -> bool,
 }
 
-/// A caller is given another caller's order, or waits for an answer that never
-/// comes: the target crossed, garbled, blew up or lost one answer. The next one
-/// must be right again, since each fault is for a number of answers.
+/// A fault affects the given number of answers, here one: the answer is mismatched,
+/// malformed, oversized or lost, and the next one is correct.
 #[tokio::test]
-async fn answers_go_wrong_once_as_told() -> TestResult {
+async fn each_answer_fault_affects_one_answer() -> TestResult {
     let cases = [
         AnswerCase {
-            name: "crossed",
+            name: "mismatched",
             fault: |faults| faults.mismatched_answers = 1,
-            wrong: |reply| {
+            is_faulty: |reply| {
                 let answer = reply.and_then(|reply| reply.json::<ShardAnswer>());
                 answer.is_ok_and(|answer| answer.attempt != 1)
             },
         },
         AnswerCase {
-            name: "garbled",
+            name: "malformed",
             fault: |faults| faults.malformed_answers = 1,
-            wrong: |reply| reply.is_ok_and(|reply| reply.json::<ShardAnswer>().is_err()),
+            is_faulty: |reply| reply.is_ok_and(|reply| reply.json::<ShardAnswer>().is_err()),
         },
         AnswerCase {
             name: "oversized",
@@ -65,19 +63,19 @@
                 faults.oversized_answers = 1;
                 faults.oversized_bytes = 1 << 20;
             },
-            wrong: |reply| reply.is_ok_and(|reply| reply.body.len() > 1 << 20),
+            is_faulty: |reply| reply.is_ok_and(|reply| reply.body.len() > 1 << 20),
         },
         AnswerCase {
             name: "lost",
             fault: |faults| faults.lost_answers = 1,
-            wrong: |reply| reply.is_err(),
+            is_faulty: |reply| reply.is_err(),
         },
     ];
     for case in cases {
         let target = TargetStandin::start(support::options()).await?;
         target.control().set_faults(case.fault);
         let reply = support::post(target.address(), "/search", &support::search(1)).await;
-        assert!((case.wrong)(reply), "{}", case.name);
+        assert!((case.is_faulty)(reply), "{}", case.name);
         let reply = support::post(target.address(), "/search", &support::search(2)).await?;
         assert_eq!(reply.json::<ShardAnswer>()?.attempt, 2, "{}", case.name);
         assert_eq!(target.control().counters().searches, 2, "{}", case.name);
@@ -85,8 +83,8 @@
     Ok(())
 }
 
-/// An order is confirmed twice: the target ran it, the answer was lost, and it
-/// was sent again. The stand-in must run it although nobody hears of it.
+/// Simulates the cause of duplicate runs: the answer to a request is lost and the request
+/// is resent. The stand-in must run it although its answer is lost.
 #[tokio::test]
 async fn runs_can_fail_or_lose_their_answer_after_running() -> TestResult {
     let target = TargetStandin::start(support::options()).await?;
@@ -102,10 +100,10 @@
     Ok(())
 }
 
-/// Half the answers to a search are missing although every target answered: the
-/// shard was split while the search ran. The target must say what it searched.
+/// Guards against undetected partial answers when a shard is split during a search: the
+/// target must report the ranges that it searched.
 #[tokio::test]
-async fn repartition_during_a_search_shows_in_the_answer() -> TestResult {
+async fn repartition_during_a_search_is_reported_in_the_answer() -> TestResult {
     let old = TargetStandin::start(support::options()).await?;
     old.control().set_paused(true);
     let new =
@@ -122,21 +120,22 @@
     let answer = sent.await?.ok_or("the search was not answered")?;
     assert_eq!(answer.searched, RangeSet::from(KeyRange::new(0, KEY_SPACE / 2)));
 
-    let mut rest = support::search(2);
-    rest.range = upper;
-    let moved = support::post(address, "/search", &rest).await?.json::<RefusedAttempt>()?;
+    let mut upper_search = support::search(2);
+    upper_search.range = upper;
+    let moved = support::post(address, "/search", &upper_search).await?.json::<RefusedAttempt>()?;
     assert_eq!(moved.refusal, TargetRefusal::RangeMoved);
-    let found = support::post(new.address(), "/search", &rest).await?.json::<ShardAnswer>()?;
+    let found =
+        support::post(new.address(), "/search", &upper_search).await?.json::<ShardAnswer>()?;
     assert_eq!(found.searched, RangeSet::from(upper));
-    let whole = support::corpus().search(IndexVersion(1), &RangeSet::from(KeyRange::FULL), "", 0);
-    assert_eq!(answer.total + found.total, whole.total);
+    let all = support::corpus().search(IndexVersion(1), &RangeSet::from(KeyRange::FULL), "", 0);
+    assert_eq!(answer.total + found.total, all.total);
     Ok(())
 }
 
-/// A replica is lost in the middle of a search and comes back at its address:
-/// its caller sees a closed connection, never a refusal.
+/// A replica that goes down during a search and returns at the same address: its caller
+/// sees a closed connection, never a refusal.
 #[tokio::test]
-async fn a_lost_target_closes_connections_and_comes_back() -> TestResult {
+async fn a_target_that_is_down_closes_connections_until_it_returns() -> TestResult {
     let target = TargetStandin::start(support::options()).await?;
     target.control().set_paused(true);
     let running = tokio::spawn(support::open_search(target.address(), 1));
