--- a/crates/hawthorn-standin/src/route/operator.rs
+++ b/crates/hawthorn-standin/src/route/operator.rs
@@ -25,7 +25,8 @@
 pub fn scatter_gather(prefix: &str, shards: &[&str], min_fraction: f64) -> Value {
     json!({ "name": format!("r{prefix}"), "host": HOST, "prefix": prefix,
             "routeType": "safe", "timeoutMs": 1500, "targetLatencyMs": 400, "priority": 1,
-            "fanoutServices": shards, "maxAttempts": 2, "topK": 4, "minShardFraction": min_fraction })
+            "fanoutServices": shards, "maxAttempts": 2, "topK": 4,
+            "minShardFraction": min_fraction })
 }
 
 /// Restricts a route to requests from some regions.
