--- a/crates/hawthorn-edge/src/request/race.rs
+++ b/crates/hawthorn-edge/src/request/race.rs
@@ -70,6 +70,7 @@
     #[strum(serialize = "second-attempt")]
     Made,
     /// No other target had capacity.
+    #[strum(serialize = "crowded")]
     NoCapacity,
     /// There is no other target.
     NoTarget,
