--- a/crates/hawthorn-edge/src/process/quarantine.rs
+++ b/crates/hawthorn-edge/src/process/quarantine.rs
@@ -178,7 +178,7 @@
     let (struck, first_answer) = {
         let mut exposure = context.exposure.borrow_mut();
         let answered = exposure.is_answered();
-        (exposure.end(outcome), !answered && exposure.is_answered())
+        (exposure.record_end(outcome), !answered && exposure.is_answered())
     };
     let options = options(host);
     if !options.on {
--- a/crates/hawthorn-edge/src/request/attempt.rs
+++ b/crates/hawthorn-edge/src/request/attempt.rs
@@ -123,7 +123,7 @@
         };
         let now = host_now();
         let Some(result) = result else {
-            self.with_state(|state| state.abandon(sent, now, self.service_time));
+            self.with_state(|state| state.record_abandoned(sent, now, self.service_time));
             return AttemptReply::without_answer(AttemptEnd::Silent);
         };
         if result.is_ok() {
@@ -147,9 +147,9 @@
         }
         let (load, slowdown) = self
             .with_state(|state| {
-                state.end(sent, now, reply.end, self.service_time);
+                state.record_end(sent, now, reply.end, self.service_time);
                 if reply.crashed {
-                    state.crash(now);
+                    state.record_crash(now);
                 }
                 (state.load(now), state.slowdown())
             })
@@ -224,7 +224,7 @@
 
     fn record_start(&self, sent: Duration) -> Option<(Rc<str>, Rc<str>, Rc<str>)> {
         self.with_state(|state| {
-            state.send(sent);
+            state.record_sent(sent);
             let entry = &state.entry;
             (Rc::clone(&entry.id), Rc::clone(&entry.service), Rc::clone(&entry.zone))
         })
--- a/crates/hawthorn-edge/src/request/race.rs
+++ b/crates/hawthorn-edge/src/request/race.rs
@@ -288,7 +288,7 @@
         self.tried.push(key);
         self.attempts += 1;
         self.context.sent.set(self.context.sent.get() + 1);
-        self.context.exposure.borrow_mut().send(extra);
+        self.context.exposure.borrow_mut().record_sent(extra);
         let (host, context) = (Rc::clone(self.host), Rc::clone(self.context));
         self.in_flight.push(AttemptPlan { host, context, key, pool, service_time }.start());
         LaunchResult::Made
--- a/crates/hawthorn-route/src/quarantine/exposure.rs
+++ b/crates/hawthorn-route/src/quarantine/exposure.rs
@@ -41,13 +41,13 @@
     }
 
     /// Records that an attempt was sent.
-    pub fn send(&mut self, extra: bool) {
+    pub fn record_sent(&mut self, extra: bool) {
         self.in_flight += 1;
         self.extra += u32::from(extra);
     }
 
     /// Records the end of an attempt; returns true if it completes a strike.
-    pub fn end(&mut self, outcome: AttemptOutcome) -> bool {
+    pub fn record_end(&mut self, outcome: AttemptOutcome) -> bool {
         self.in_flight = self.in_flight.saturating_sub(1);
         match outcome {
             AttemptOutcome::Answered => self.answered = true,
--- a/crates/hawthorn-route/src/target.rs
+++ b/crates/hawthorn-route/src/target.rs
@@ -102,7 +102,7 @@
     }
 
     /// Records that a request was sent at `now`.
-    pub fn send(&mut self, now: Duration) {
+    pub fn record_sent(&mut self, now: Duration) {
         self.in_flight.push(now);
     }
 
@@ -113,7 +113,13 @@
 
     /// Records the end of a request that was sent at `sent`. `typical` is the typical latency of
     /// such a request.
-    pub fn end(&mut self, sent: Duration, now: Duration, end: AttemptEnd, typical: Duration) {
+    pub fn record_end(
+        &mut self,
+        sent: Duration,
+        now: Duration,
+        end: AttemptEnd,
+        typical: Duration,
+    ) {
         if let Some(index) = self.in_flight.iter().position(|at| *at == sent) {
             self.in_flight.swap_remove(index);
         }
@@ -137,7 +143,7 @@
     }
 
     /// Records that a connection closed while a request was in progress on it.
-    pub fn crash(&mut self, now: Duration) {
+    pub fn record_crash(&mut self, now: Duration) {
         self.crashed = Some(now);
     }
 
@@ -148,7 +154,7 @@
 
     /// Records that this host gave up on a request. The time waited is a lower bound of its
     /// latency.
-    pub fn abandon(&mut self, sent: Duration, now: Duration, typical: Duration) {
+    pub fn record_abandoned(&mut self, sent: Duration, now: Duration, typical: Duration) {
         if let Some(index) = self.in_flight.iter().position(|at| *at == sent) {
             self.in_flight.swap_remove(index);
         }
--- a/crates/hawthorn-route/tests/goodput/fleet.rs
+++ b/crates/hawthorn-route/tests/goodput/fleet.rs
@@ -381,7 +381,7 @@
             return false;
         }
         let host = &mut self.hosts[host_index];
-        host.registry.get_mut(key).expect("the target was just selected").send(now);
+        host.registry.get_mut(key).expect("the target was just selected").record_sent(now);
         let target = host.target_indexes[&key];
         let attempts = &mut self.queries[query].shards[shard];
         attempts.tried.push(key);
@@ -450,9 +450,9 @@
             state.report_load(ReportedLoad { at: now, ..load });
         }
         if end == AttemptEnd::Silent {
-            state.abandon(sent, now, service_time);
+            state.record_abandoned(sent, now, service_time);
         } else {
-            state.end(sent, now, end, service_time);
+            state.record_end(sent, now, end, service_time);
         }
         if end == AttemptEnd::Answered {
             let micros = now.saturating_sub(sent).as_micros() as u64;
--- a/crates/hawthorn-route/tests/quarantine.rs
+++ b/crates/hawthorn-route/tests/quarantine.rs
@@ -45,7 +45,7 @@
     }
 
     fn end(&mut self, identity: &RequestIdentity, outcome: AttemptOutcome, now: Duration) {
-        if self.exposure.end(outcome) {
+        if self.exposure.record_end(outcome) {
             self.table.strike(identity, now, &Options::default());
         }
         if outcome == AttemptOutcome::Answered {
@@ -63,7 +63,7 @@
         self.exposure = Exposure::default();
         let mut sent = 0;
         while sent < max && self.permit(identity, AttemptKind::First, now) == Permit::Send {
-            self.exposure.send(false);
+            self.exposure.record_sent(false);
             self.end(identity, AttemptOutcome::Crashed, now);
             sent += 1;
         }
@@ -82,11 +82,11 @@
     let request = identity("/a", 1);
     for _ in 0..20 {
         assert_eq!(host.permit(&request, AttemptKind::First, at(0)), Permit::Send);
-        host.exposure.send(false);
+        host.exposure.record_sent(false);
     }
     for _ in 0..MAX_UNANSWERED_EXTRA {
         assert_eq!(host.permit(&request, AttemptKind::Extra, at(30)), Permit::Send);
-        host.exposure.send(true);
+        host.exposure.record_sent(true);
     }
     assert_eq!(host.permit(&request, AttemptKind::Extra, at(30)), Permit::Hold);
     host.end(&request, AttemptOutcome::Answered, at(40));
@@ -98,7 +98,7 @@
 fn after_a_crash_one_attempt_is_made_at_a_time() {
     let mut host = Host::default();
     let request = identity("/a", 1);
-    (0..20).for_each(|_| host.exposure.send(false));
+    (0..20).for_each(|_| host.exposure.record_sent(false));
     for crashed in 1..=20 {
         host.end(&request, AttemptOutcome::Crashed, at(5));
         let expected = if crashed < 20 { Permit::Hold } else { Permit::Send };
@@ -108,7 +108,7 @@
     assert_eq!(host.verdict(&request, at(5)), Verdict::Trial);
     for _ in 0..2 {
         assert_eq!(host.permit(&request, AttemptKind::Extra, at(6)), Permit::Send);
-        host.exposure.send(true);
+        host.exposure.record_sent(true);
         assert_eq!(host.permit(&request, AttemptKind::Extra, at(6)), Permit::Hold);
         host.end(&request, AttemptOutcome::Crashed, at(7));
     }
@@ -130,7 +130,7 @@
     assert_eq!(host.verdict(&request, term), Verdict::Refuse(term * 2));
     // An answer after the next term lifts all restrictions.
     host.exposure = Exposure::default();
-    host.exposure.send(false);
+    host.exposure.record_sent(false);
     host.end(&request, AttemptOutcome::Answered, term * 3);
     assert_eq!(host.verdict(&request, term * 3), Verdict::Send);
 }
@@ -157,7 +157,7 @@
                 refused += 1;
                 break;
             }
-            host.exposure.send(crash > 0);
+            host.exposure.record_sent(crash > 0);
             let last = crash == crashes;
             let outcome = if last { AttemptOutcome::Answered } else { AttemptOutcome::Crashed };
             host.end(&request, outcome, now);
@@ -208,7 +208,7 @@
     for number in 0..20_000_u64 {
         let request = identity(&format!("/{number}"), (number % 200) as u8);
         host.exposure = Exposure::default();
-        host.exposure.send(false);
+        host.exposure.record_sent(false);
         host.end(&request, AttemptOutcome::Crashed, at(1 + number));
     }
     assert!(host.table.counts().0 <= 2048, "{} subjects", host.table.counts().0);
@@ -227,7 +227,7 @@
     first.crash_sequentially(&request, 10, at(0));
     let old = first.table.notices(at(0));
     first.exposure = Exposure::default();
-    first.exposure.send(false);
+    first.exposure.record_sent(false);
     first.end(&request, AttemptOutcome::Answered, at(10));
     let new = first.table.notices(at(10));
     for notices in [&new, &old, &new, &old] {
@@ -258,7 +258,7 @@
         let now = at(number);
         let request = identity(&format!("/{number}"), (number % 200) as u8);
         host.exposure = Exposure::default();
-        host.exposure.send(false);
+        host.exposure.record_sent(false);
         host.end(&request, AttemptOutcome::Crashed, now);
         if number.is_multiple_of(20) {
             // Each on a different route, so that the caller is not refused earlier.
--- a/crates/hawthorn-route/tests/quarantine_fleet.rs
+++ b/crates/hawthorn-route/tests/quarantine_fleet.rs
@@ -249,7 +249,7 @@
             if permit != Permit::Send || spared {
                 continue;
             }
-            part.exposure.send(tries > 0);
+            part.exposure.record_sent(tries > 0);
             part.attempts[index] += 1;
             self.sent.push((self.now, part.number));
             self.push(CRASH_DELAY, Event::Crash { part: part_id, target });
@@ -265,7 +265,7 @@
             AttemptOutcome::Other
         };
         let part = &mut self.parts[part_id];
-        let (host, struck) = (part.host, part.exposure.end(outcome));
+        let (host, struck) = (part.host, part.exposure.record_end(outcome));
         self.max_unavailable = self.max_unavailable.max(self.unavailable());
         if struck {
             let now = self.clock();
--- a/crates/hawthorn-route/tests/scatter.rs
+++ b/crates/hawthorn-route/tests/scatter.rs
@@ -181,8 +181,8 @@
         for _ in 0..60 {
             let state = registry.get_mut(local).expect("it was registered");
             let elapsed = service_time + service_time * case.slowdown as u32 / 100;
-            state.send(NOW);
-            state.end(NOW, NOW + elapsed, AttemptEnd::Answered, service_time);
+            state.record_sent(NOW);
+            state.record_end(NOW, NOW + elapsed, AttemptEnd::Answered, service_time);
         }
         let target_latency = Duration::from_millis(case.target_latency_ms);
         let view = support::view(&registry, service_time, target_latency, NOW);
--- a/crates/hawthorn-route/tests/skip.rs
+++ b/crates/hawthorn-route/tests/skip.rs
@@ -135,7 +135,7 @@
         for (index, ages) in case.unanswered.iter().enumerate() {
             let key = registry.of_service("s1")[index];
             let state = registry.get_mut(key).expect("it was registered");
-            ages.iter().for_each(|age| state.send(NOW - Duration::from_millis(*age)));
+            ages.iter().for_each(|age| state.record_sent(NOW - Duration::from_millis(*age)));
         }
         assert_eq!(skipped(&registry, 3, 2), case.skipped, "{}", case.name);
     }
--- a/crates/hawthorn-route/tests/targets.rs
+++ b/crates/hawthorn-route/tests/targets.rs
@@ -49,25 +49,28 @@
         Case {
             name: "earlier request unanswered",
             zone: "east",
-            impair: |state| state.send(ms(900)),
+            impair: |state| state.record_sent(ms(900)),
         },
         Case {
             name: "connection failed",
             zone: "east",
-            impair: |state| state.end(ms(990), ms(995), AttemptEnd::NotSent, SERVICE_TIME),
+            impair: |state| state.record_end(ms(990), ms(995), AttemptEnd::NotSent, SERVICE_TIME),
         },
         Case {
             name: "slow",
             zone: "east",
             impair: |state| {
-                (0..20).for_each(|_| state.end(ms(0), ms(150), AttemptEnd::Answered, SERVICE_TIME))
+                (0..20).for_each(|_| {
+                    state.record_end(ms(0), ms(150), AttemptEnd::Answered, SERVICE_TIME)
+                })
             },
         },
         Case {
             name: "failing requests",
             zone: "east",
             impair: |state| {
-                (0..5).for_each(|_| state.end(ms(0), ms(5), AttemptEnd::Failed, SERVICE_TIME))
+                (0..5)
+                    .for_each(|_| state.record_end(ms(0), ms(5), AttemptEnd::Failed, SERVICE_TIME))
             },
         },
         Case {
@@ -192,7 +195,7 @@
     registry.put(entry("a", "east"), 5, ms(0));
     let key = registry.of_service("s")[0];
     let state = registry.get_mut(key).expect("it was registered");
-    state.end(ms(0), ms(1), AttemptEnd::Misdirected, SERVICE_TIME);
+    state.record_end(ms(0), ms(1), AttemptEnd::Misdirected, SERVICE_TIME);
     assert!(score(registry.get(key).expect("it is known"), ms(2)).is_none());
     registry.remove("a", 6, ms(10));
     assert_eq!(registry.sweep(ms(60_000), ms(3000)), [key]);
@@ -331,22 +334,22 @@
         Case {
             name: "the other crashed",
             targets: 2,
-            impair: |state| state.crash(ms(900)),
+            impair: |state| state.record_crash(ms(900)),
             last: true,
         },
         Case {
             name: "the other crashed and answered since",
             targets: 2,
             impair: |state| {
-                state.crash(ms(900));
-                state.end(ms(910), ms(920), AttemptEnd::Answered, SERVICE_TIME);
+                state.record_crash(ms(900));
+                state.record_end(ms(910), ms(920), AttemptEnd::Answered, SERVICE_TIME);
             },
             last: false,
         },
         Case {
             name: "connection to the other failed",
             targets: 2,
-            impair: |state| state.end(ms(990), ms(995), AttemptEnd::NotSent, SERVICE_TIME),
+            impair: |state| state.record_end(ms(990), ms(995), AttemptEnd::NotSent, SERVICE_TIME),
             last: true,
         },
         Case {
@@ -358,7 +361,7 @@
         Case {
             name: "one of two others crashed",
             targets: 3,
-            impair: |state| state.crash(ms(900)),
+            impair: |state| state.record_crash(ms(900)),
             last: false,
         },
     ];
