--- a/crates/hawthorn-edge/src/request/answer.rs
+++ b/crates/hawthorn-edge/src/request/answer.rs
@@ -15,10 +15,10 @@
 use crate::request::attempt::TargetAnswer;
 use crate::request::context;
 use crate::request::context::RequestContext;
-use crate::request::passing::PassedBody;
+use crate::request::forward::ForwardedBody;
 
 /// The body of an answer: held in memory, or streamed from the target.
-pub(crate) type AnswerBody = Either<Full<Bytes>, PassedBody>;
+pub(crate) type AnswerBody = Either<Full<Bytes>, ForwardedBody>;
 
 /// An answer, with its outcome for the log and the metrics.
 #[derive(Debug)]
@@ -92,7 +92,7 @@
     }
 
     /// The answer of a single target, forwarded.
-    pub(crate) fn passed(context: &Rc<RequestContext>, answer: TargetAnswer) -> Self {
+    pub(crate) fn forwarded(context: &Rc<RequestContext>, answer: TargetAnswer) -> Self {
         let outcome = if answer.status.is_success() { "answered" } else { "target-failed" };
         let mut headers = answer.headers;
         context::strip_connection(&mut headers);
@@ -100,7 +100,7 @@
         let body = match answer.remaining {
             None => Either::Left(Full::new(answer.body)),
             Some(remaining) => {
-                Either::Right(PassedBody::new(answer.body, remaining, Rc::clone(context)))
+                Either::Right(ForwardedBody::new(answer.body, remaining, Rc::clone(context)))
             }
         };
         let mut response = Response::new(body);
--- a/crates/hawthorn-edge/src/request/passing.rs
+++ b/crates/hawthorn-edge/src/request/forward.rs
@@ -1,4 +1,4 @@
-//! Streaming of an answer that is too long to hold in memory.
+//! Streaming of a forwarded answer that is too long to hold in memory.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -28,14 +28,14 @@
 /// length is reached, so that the caller does not mistake the answer for a complete one. If the
 /// caller disconnects, the body is dropped, which cancels the work at the target.
 #[derive(Debug)]
-pub(crate) struct PassedBody {
+pub(crate) struct ForwardedBody {
     buffered: Option<Bytes>,
     remaining: RemainingBody,
     context: Rc<RequestContext>,
     deadline_timer: Pin<Box<Sleep>>,
 }
 
-impl PassedBody {
+impl ForwardedBody {
     pub(crate) fn new(
         buffered: Bytes,
         remaining: RemainingBody,
@@ -58,7 +58,7 @@
     }
 }
 
-impl Body for PassedBody {
+impl Body for ForwardedBody {
     type Data = Bytes;
     type Error = Error;
 
--- a/crates/hawthorn-edge/src/request/serve.rs
+++ b/crates/hawthorn-edge/src/request/serve.rs
@@ -252,7 +252,7 @@
     let race = AttemptRace::new(host, context, service).run();
     match timeout(context.time_left(host_now()), race).await {
         Ok(RaceEnd::Answered(answer) | RaceEnd::Failed(answer)) => {
-            CallerAnswer::passed(context, answer)
+            CallerAnswer::forwarded(context, answer)
         }
         Ok(RaceEnd::NotRun(reason)) => CallerAnswer::refused(reason),
         Ok(RaceEnd::Unknown) => CallerAnswer::not_known(),
