--- a/crates/hawthorn-edge/src/version/reachability.rs
+++ b/crates/hawthorn-edge/src/version/reachability.rs
@@ -48,8 +48,8 @@
     /// The zones that are suspected to be unreachable.
     pub fn suspected_zones(&self, now: Duration) -> Vec<String> {
         let zones = self.zones.borrow();
-        let doubtful = zones.iter().filter(|(_, reachability)| reachability.is_suspected(now));
-        doubtful.map(|(zone, _)| zone.clone()).collect()
+        let suspected = zones.iter().filter(|(_, reachability)| reachability.is_suspected(now));
+        suspected.map(|(zone, _)| zone.clone()).collect()
     }
 
     /// A random target of a zone, to probe its reachability.
