--- a/crates/hawthorn-decide/examples/owners.rs
+++ b/crates/hawthorn-decide/examples/owners.rs
@@ -35,7 +35,7 @@
         ("static shares", Policy::Shares { fronts: FRONTS, slots: 1, options }, 0),
         ("direct subsets", Policy::Subsets { fronts: FRONTS, options }, 0),
         ("credits until idle", credits(false), 0),
-        ("credits called back", credits(true), 0),
+        ("credits recalled", credits(true), 0),
     ]
 }
 
--- a/crates/hawthorn-decide/src/lib.rs
+++ b/crates/hawthorn-decide/src/lib.rs
@@ -1,9 +1,11 @@
 //! Overload decisions of an owner: admission, queueing, replica selection, hedging, and shifting
 //! traffic between targets. The crate has no sockets, no clock and no threads.
 //!
-//! An *owner* is the process that holds the lease on a target and is the only one that sends to
-//! it. A *front* is the process that receives a caller's query and splits it into *pieces*, one
-//! for each shard. An *attempt* is one transmission of a piece to a target.
+//! An *owner* is the process that sends all attempts to a target. It is selected by rendezvous
+//! hashing over the hosts of the target's zone; when the hosts change, a handover protocol divides
+//! the target's slots between the former and the new owner. A *front* is the process that receives
+//! a caller's query and splits it into *pieces*, one for each shard. An *attempt* is one
+//! transmission of a piece to a target.
 //!
 //! [`owner::OwnerState`] is the entry point: a state machine that takes events and returns
 //! actions. Each of the other modules holds one decision and its limits.
--- a/crates/hawthorn-edge/src/process/events.rs
+++ b/crates/hawthorn-edge/src/process/events.rs
@@ -1,5 +1,5 @@
 //! Numbered log events of a host that routes requests. The catalogue for operators is
-//! docs/operators/events.md.
+//! docs/operators/events-route.md.
 
 use strum::Display;
 use strum::EnumIter;
