--- a/crates/hawthorn-edge/src/process/quarantine.rs
+++ b/crates/hawthorn-edge/src/process/quarantine.rs
@@ -279,14 +279,14 @@
         return None;
     }
     state.last_sync.set(Some(now));
-    Some(encode(&QuarantineMessage::Ask))
+    Some(encode(&QuarantineMessage::RequestNotices))
 }
 
 /// Handles a peer's message and returns the replies.
 pub(crate) fn receive(host: &Rc<RouteHost>, from: SocketAddr, payload: &[u8]) -> Vec<Vec<u8>> {
     let now = host_now();
     match postcard::from_bytes(payload) {
-        Ok(QuarantineMessage::Ask) => {
+        Ok(QuarantineMessage::RequestNotices) => {
             let notices = host.quarantine.table.borrow().notices(now);
             let messages = gossip::messages(notices, &mut rand::rng());
             messages.iter().map(encode).collect()
--- a/crates/hawthorn-route/src/quarantine/gossip.rs
+++ b/crates/hawthorn-route/src/quarantine/gossip.rs
@@ -19,7 +19,7 @@
 const OTHER_ZONE_RECEIVERS: usize = 3;
 /// The maximum number of notices in one message, so that it fits into a datagram.
 pub const MAX_NOTICES: usize = 16;
-/// The maximum number of messages in reply to one [`QuarantineMessage::Ask`].
+/// The maximum number of messages in reply to one [`QuarantineMessage::RequestNotices`].
 pub const MAX_MESSAGES: usize = 16;
 
 /// A message between hosts about quarantined requests.
@@ -28,7 +28,7 @@
     /// The sender's records of some subjects.
     Notices(Vec<Notice>),
     /// Requests all confirmed records.
-    Ask,
+    RequestNotices,
 }
 
 /// Selects the receivers of a change among the hosts of the own zone and of other zones.
--- a/crates/hawthorn-route/tests/quarantine_fleet.rs
+++ b/crates/hawthorn-route/tests/quarantine_fleet.rs
@@ -190,7 +190,7 @@
             Event::Heartbeat { host } => self.heartbeat(host),
             Event::Digest { from, to, digest } => {
                 if digest != 0 && digest != self.hosts[to].digest() {
-                    self.send_message(to, from, &QuarantineMessage::Ask);
+                    self.send_message(to, from, &QuarantineMessage::RequestNotices);
                 }
             }
         }
@@ -309,7 +309,7 @@
     fn deliver(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let now = self.clock();
         match postcard::from_bytes(bytes).expect("it was encoded") {
-            QuarantineMessage::Ask => {
+            QuarantineMessage::RequestNotices => {
                 let notices = self.hosts[to].notices(now);
                 for message in gossip::messages(notices, &mut self.rng) {
                     self.send_message(to, from, &message);
