--- a/crates/hawthorn-edge/src/connection/message.rs
+++ b/crates/hawthorn-edge/src/connection/message.rs
@@ -13,7 +13,7 @@
 pub struct RequestDeadlines {
     /// When the request's deadline passes.
     pub deadline_us: u64,
-    /// When the target latency passes: later parts are worth less to the caller.
+    /// When the soft deadline passes: later parts are worth less to the caller.
     pub soft_deadline_us: u64,
 }
 
@@ -48,7 +48,7 @@
     pub prior_attempts: u8,
     /// Time until the deadline when the request was sent, in microseconds.
     pub time_left_us: u64,
-    /// Time until the target latency passes when the request was sent, in microseconds.
+    /// Time until the soft deadline when the request was sent, in microseconds.
     pub soft_time_left_us: u64,
     /// Both deadlines by the receiver's clock, if the sender knows its offset.
     pub deadlines: Option<RequestDeadlines>,
@@ -82,7 +82,7 @@
         missing: u16,
         /// Queue load reported with the parts.
         load: PeerLoad,
-        /// Parts that may still arrive, if the peer is asked for them.
+        /// Parts that may still arrive, and that the peer returns on request.
         remainder: Option<Remainder>,
     },
     /// Nothing was sent: the peer does not have that version of the routes.
--- a/crates/hawthorn-edge/src/connection/peer.rs
+++ b/crates/hawthorn-edge/src/connection/peer.rs
@@ -124,7 +124,7 @@
 }
 
 impl PeerLinks {
-    /// Whether the peer failed to answer within [`SUSPECT_DURATION`].
+    /// Whether the peer failed to answer a call during the last [`SUSPECT_DURATION`].
     pub(crate) fn is_suspect(&self, address: SocketAddr) -> bool {
         let suspects = self.suspects.borrow();
         suspects.get(&address).is_some_and(|at| at.elapsed() < SUSPECT_DURATION)
@@ -173,7 +173,7 @@
         Ok(client)
     }
 
-    /// Asks a peer to gather shards; dropping the future cancels the call at the peer.
+    /// Sends a peer a request to gather shards; dropping the future cancels the call at the peer.
     pub(crate) async fn gather(
         &self,
         endpoint: &PeerEndpoint,
@@ -202,7 +202,7 @@
         Ok(timed.reply)
     }
 
-    /// Asks a peer for more parts of a query that it is gathering.
+    /// Requests from a peer more parts of a query that it is gathering.
     pub(crate) async fn remainder(
         &self,
         endpoint: &PeerEndpoint,
@@ -241,8 +241,8 @@
         self.last_answers.borrow_mut().insert(address, Instant::now());
     }
 
-    /// Asks a peer for changes of the store's items after a revision; the peer waits up to
-    /// `wait` for one.
+    /// Requests from a peer the changes of the store's items after a revision; the peer waits up
+    /// to `wait` for one.
     pub(crate) async fn catalog_update(
         &self,
         endpoint: &PeerEndpoint,
--- a/crates/hawthorn-edge/src/process/catalog.rs
+++ b/crates/hawthorn-edge/src/process/catalog.rs
@@ -63,8 +63,8 @@
     }
 }
 
-/// Applies a target's entry. An unreadable entry removes the target that it named before,
-/// except that one with only an invalid cold duration changes nothing.
+/// Applies a target's entry. An unreadable entry removes its target. An entry whose only fault
+/// is an invalid cold duration is ignored.
 fn apply_entry(host: &RouteHost, id: &str, item: &MirrorItem) {
     let Some(value) = &item.value else {
         remove(host, id, item.revision);
--- a/crates/hawthorn-edge/src/process/loop_clock.rs
+++ b/crates/hawthorn-edge/src/process/loop_clock.rs
@@ -1,7 +1,7 @@
 //! Time for which the event loop has been busy without a break.
 //!
-//! Failure: a host without processor time reads requests long after they arrived, and passes
-//! deadlines to targets that have passed for callers. What is read in one turn of the loop
+//! Failure: a host without processor time reads requests long after they arrived, and sends
+//! targets deadlines that are later than the callers'. What is read in one turn of the loop
 //! arrived at the earliest when the loop was last idle.
 
 use std::sync::atomic::AtomicU64;
--- a/crates/hawthorn-edge/src/process/metrics.rs
+++ b/crates/hawthorn-edge/src/process/metrics.rs
@@ -23,7 +23,7 @@
 const LATENCY_BOUNDS: [f64; 12] =
     [0.005, 0.01, 0.02, 0.03, 0.05, 0.075, 0.1, 0.15, 0.25, 0.5, 1.0, 3.0];
 
-/// Bucket bounds of the histogram of send-time deviations, in seconds.
+/// Bucket bounds of the histogram of deviations from the send deadline, in seconds.
 const DEPARTURE_BOUNDS: [f64; 8] = [0.001, 0.002, 0.004, 0.008, 0.016, 0.032, 0.064, 0.128];
 
 /// All instruments of a host that routes requests.
@@ -102,10 +102,10 @@
         self.latency.record(elapsed.as_secs_f64(), &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Records the deviation of an answer's send time from its scheduled time `due`.
-    pub fn count_departure(&self, due: Duration, now: Duration) {
-        let (side, deviation) = match now.checked_sub(due) {
-            None => ("early", due - now),
+    /// Records the deviation of an answer's send time `now` from its send deadline.
+    pub fn count_departure(&self, send_deadline: Duration, now: Duration) {
+        let (side, deviation) = match now.checked_sub(send_deadline) {
+            None => ("early", send_deadline - now),
             Some(late) => ("late", late),
         };
         self.departure.record(deviation.as_secs_f64(), &[KeyValue::new("side", side)]);
--- a/crates/hawthorn-edge/src/process/store_sync.rs
+++ b/crates/hawthorn-edge/src/process/store_sync.rs
@@ -54,7 +54,8 @@
 /// Consecutive checks that show a newer revision without a result from the watch, after which
 /// the watch is considered lost.
 const MAX_MISSED_CHECKS: u32 = 2;
-/// A peer that the store has not confirmed for this long, two checks, is not used as a source.
+/// A peer that the store has not confirmed for this long, over two checks, is not used as a
+/// source.
 /// With the read that follows, an update is applied within 3 s even if all watchers of a zone
 /// lose the store at the same time.
 const MAX_CONFIRMED_AGE: Duration = Duration::from_millis(1800);
@@ -63,8 +64,8 @@
 /// overload a recovering store.
 const MIN_NON_WATCHER_PAUSE_S: f64 = 1.5;
 const MAX_NON_WATCHER_PAUSE_S: f64 = 2.5;
-/// Delay before a host that learns of a newer revision from heartbeats asks the sender, so that
-/// its own source can deliver the update first.
+/// Delay before a host that learns of a newer revision from a heartbeat requests it from the
+/// sender, so that its own source can deliver the update first.
 const CATCH_UP_DELAY: Duration = Duration::from_millis(250);
 
 /// Interval at which a bulk message is retried while the link has no capacity for it.
@@ -89,8 +90,8 @@
 /// Keeps the mirror up to date until the process exits.
 pub(crate) async fn follow(host: Rc<RouteHost>, client: StoreClient) {
     let mut reachable = true;
-    // A first read from the store costs little if it may be seconds old; a snapshot from a peer
-    // would load the peer's link.
+    // The first read is a serializable one, which costs little; a snapshot from a peer would load
+    // the peer's link.
     poll_store(&host, &client, &mut reachable, true).await;
     loop {
         match select_source(&host) {
@@ -121,7 +122,7 @@
     }
 }
 
-/// Whether this host's source is the store, and not a watcher of its zone.
+/// Whether this host reads from the store itself, and not from a watcher of its zone.
 pub(crate) fn watches_store(host: &RouteHost) -> bool {
     matches!(select_source(host), UpdateSource::Store { .. })
 }
@@ -134,7 +135,7 @@
 ) {
     let after = host.mirror.borrow().as_of();
     let read = if after == 0 {
-        // The watch that follows returns at once what a recent read lacks.
+        // The watch that follows returns at once the changes that a stale read lacks.
         read_all(client, ReadMode::Serializable).await.map(|all| (all, true))
     } else {
         match watch(host, client, after).await {
@@ -266,7 +267,7 @@
                 sleep(delay).await;
                 break update;
             }
-            // The peer asks again when its wait is over.
+            // The peer sends another request when its wait is over.
             None if now + BULK_POLL_INTERVAL > until => {
                 break MirrorUpdate { as_of: after, ..MirrorUpdate::default() };
             }
@@ -351,9 +352,9 @@
     }
 }
 
-/// Reads all items. The pages are not a consistent snapshot, and recent reads may be out of
-/// order; the lowest revision is returned, so that the watch delivers again whatever a page may
-/// lack.
+/// Reads all items. The pages are not a consistent snapshot, and a serializable read may be older
+/// than the one before it; the lowest revision is returned, so that the watch delivers the changes
+/// that a page may lack.
 async fn read_all(client: &StoreClient, mode: ReadMode) -> Result<StoreItems, ReadError> {
     let mut all = StoreItems { items: Vec::new(), more: true, as_of: u64::MAX };
     while all.more {
--- a/crates/hawthorn-edge/src/request/context.rs
+++ b/crates/hawthorn-edge/src/request/context.rs
@@ -47,7 +47,7 @@
     /// When the request arrived, which may be before it was read.
     pub(crate) started: Duration,
     /// When the answer must be sent to reach the caller within the target latency.
-    pub(crate) send_by: Duration,
+    pub(crate) send_deadline: Duration,
     /// The deadline of the request: the caller's, or the route's timeout if that is earlier.
     pub(crate) deadline: Duration,
     /// Cancelled when the caller disconnects.
--- a/crates/hawthorn-edge/src/request/delegate.rs
+++ b/crates/hawthorn-edge/src/request/delegate.rs
@@ -51,18 +51,18 @@
 use crate::request::context::RequestContext;
 use crate::request::gather;
 use crate::request::gather::PeerEnd;
-use crate::request::gather::PeerPart;
+use crate::request::gather::PeerShards;
 use crate::request::request_log::DelegationRecord;
 use crate::request::request_log::RequestLog;
 
-/// Time by which a peer replies before the target latency passes: the network delay between
-/// zones and the processing of the reply. Used for the first request to a peer, before its
+/// Time by which a peer replies before the soft deadline: the network delay between zones and
+/// the processing of the reply. Used for the first request to a peer, before its
 /// clock offset is known.
 pub(crate) const REPLY_MARGIN: Duration = Duration::from_millis(5);
 /// Time to process a reply: the runtime's timers have a resolution of one millisecond.
 const REPLY_PROCESSING_TIME: Duration = Duration::from_millis(1);
 
-/// Maximum number of peers that are asked for the same shards in sequence while none has sent
+/// Maximum number of peers that are tried in sequence for the same shards while none has sent
 /// an attempt. A third failure in a row is unlikely to be caused by a single host.
 const MAX_PEERS: usize = 2;
 /// Timeout of a ping: several network delays between zones, plus the time for which a host may
@@ -73,7 +73,7 @@
 const SHARD_COST: Duration = Duration::from_micros(180);
 /// Share of a host's processor time that one query may use if no peer gathers its shards.
 const LOCAL_GATHER_SHARE: f64 = 0.33;
-/// Tolerated delay of a reply after the target latency has passed.
+/// Tolerated delay of a reply after the soft deadline.
 const REPLY_GRACE: Duration = Duration::from_millis(10);
 
 /// Shards that are delegated to one peer.
@@ -83,7 +83,7 @@
     pub(crate) zone: Rc<str>,
     /// Indices into the route's list of shards.
     pub(crate) shards: Vec<u16>,
-    /// Number of peers asked before.
+    /// Number of peers tried before.
     pub(crate) peers_tried: usize,
     /// Number of these that may have sent a first attempt.
     pub(crate) prior_attempts: u8,
@@ -112,7 +112,7 @@
     /// Delegates the same shards to another peer of their zone, or else to one in this host's
     /// zone.
     pub(crate) fn retry(&self, host: &RouteHost, route: &RouteRule) -> Option<Self> {
-        self.sibling(host, route).or_else(|| self.in_own_zone(host, route))
+        self.another_peer(host, route).or_else(|| self.in_own_zone(host, route))
     }
 
     /// Delegates the same shards to a gatherer of this host's zone, as their own zone may be
@@ -124,14 +124,14 @@
     pub(crate) fn in_own_zone(&self, host: &RouteHost, route: &RouteRule) -> Option<Self> {
         let own = host.routing.settings.host.zone.as_str();
         if host.routing.is_gatherer.get() || *self.zone == *own {
-            return self.sibling(host, route);
+            return self.another_peer(host, route);
         }
         let peer = select_peer(host, own, route)?;
         Some(Self { peer, zone: Rc::from(own), peers_tried: 0, ..self.clone() })
     }
 
     /// Delegates the same shards to another peer of their zone.
-    fn sibling(&self, host: &RouteHost, route: &RouteRule) -> Option<Self> {
+    fn another_peer(&self, host: &RouteHost, route: &RouteRule) -> Option<Self> {
         if self.peers_tried + 1 >= MAX_PEERS {
             return None;
         }
@@ -153,14 +153,14 @@
         peers.extend(peer.map(|peer| (Rc::from(zone), peer)));
         peer.is_some()
     };
-    let parts = if host.routing.is_gatherer.get() {
+    let groups = if host.routing.is_gatherer.get() {
         scatter_plan.delegate(has_host, &options)
     } else {
         scatter_plan.delegate_all(&zones(host), has_host, &options)
     };
-    let delegated = |part: ZoneShards| {
-        let peer = *peers.get(&part.zone)?;
-        let ZoneShards { zone, shards } = part;
+    let delegated = |group: ZoneShards| {
+        let peer = *peers.get(&group.zone)?;
+        let ZoneShards { zone, shards } = group;
         Some(DelegatedShards {
             peer,
             zone,
@@ -170,7 +170,7 @@
             max_skipped: 0,
         })
     };
-    parts.into_iter().filter_map(delegated).collect()
+    groups.into_iter().filter_map(delegated).collect()
 }
 
 /// The reachable zones of the fleet, starting with this host's.
@@ -212,14 +212,14 @@
     peers.get(index).copied()
 }
 
-/// Time until the target latency passes as sent to a peer. If the peer's clock offset is
-/// unknown, it is reduced by the network delay of the reply.
+/// Time until the soft deadline as sent to a peer. If the peer's clock offset is unknown, it is
+/// reduced by the network delay of the reply.
 fn soft_time_left_us(soft_time_left: Duration, offset_known: bool) -> u64 {
     let margin = if offset_known { Duration::ZERO } else { REPLY_MARGIN };
     soft_time_left.saturating_sub(margin).as_micros() as u64
 }
 
-/// Asks a peer to gather its shards.
+/// Sends a peer the request to gather its shards.
 pub(crate) async fn request_gather(
     host: &RouteHost,
     context: &RequestContext,
@@ -237,14 +237,15 @@
         .collect();
     // The conversion uses the lowest possible peer time, which allows for the network delay of
     // the reply. The peer subtracts its own scheduling delay, which depends on its size.
-    let soft_time_left_here = soft_time_left.saturating_sub(REPLY_PROCESSING_TIME);
-    let to_peer_time = |span| host.links.to_peer_time(delegated.peer, now + span);
-    let deadlines = to_peer_time(left).zip(to_peer_time(soft_time_left_here)).map(
-        |(deadline, target_latency)| RequestDeadlines {
-            deadline_us: deadline.as_micros() as u64,
-            soft_deadline_us: target_latency.as_micros() as u64,
-        },
-    );
+    let reply_time_left = soft_time_left.saturating_sub(REPLY_PROCESSING_TIME);
+    let to_peer_time = |time_left| host.links.to_peer_time(delegated.peer, now + time_left);
+    let deadlines =
+        to_peer_time(left).zip(to_peer_time(reply_time_left)).map(|(deadline, soft_deadline)| {
+            RequestDeadlines {
+                deadline_us: deadline.as_micros() as u64,
+                soft_deadline_us: soft_deadline.as_micros() as u64,
+            }
+        });
     let message = GatherRequest {
         format: FORMAT,
         method: context.method.to_string(),
@@ -306,7 +307,7 @@
     reply
 }
 
-/// Asks a peer for the parts that had not arrived when it replied.
+/// Requests from a peer the parts that had not arrived when it replied.
 pub(crate) async fn request_remainder(
     host: &RouteHost,
     context: &RequestContext,
@@ -342,7 +343,7 @@
 /// Returns if a peer does not answer a ping; never returns otherwise.
 ///
 /// Failure: a peer is stalled or lost power, or its network path drops packets, and a query
-/// delegated to it is lost. Without a ping reply, another peer is asked while there is time. A
+/// delegated to it is lost. Without a ping reply, another peer is tried while there is time. A
 /// peer answers a ping before it starts on the request sent just before. A peer that stalls
 /// later, after it made attempts, is not replaced, as the attempts of two peers could exceed
 /// the route's maximum.
@@ -357,8 +358,8 @@
 /// Returns if a peer's reply is overdue and the peer does not answer a ping.
 ///
 /// Failure: a peer stalls with a query, or its network path starts to drop packets, and the
-/// caller waits until its deadline. A reply is due when the target latency passes; it is later
-/// only if the answer needs parts that have not arrived, and then the peer still answers pings.
+/// caller waits until its deadline. A reply is due at the soft deadline; it is later only if the
+/// answer needs parts that have not arrived, and then the peer still answers pings.
 async fn peer_overdue(host: &RouteHost, peer: SocketAddr, due: Duration) {
     sleep(due).await;
     no_ping_reply(host, peer).await;
@@ -396,7 +397,7 @@
     if reply.is_closed() {
         return;
     }
-    if let Err((refusal, reply)) = gather_for_peer(&host, message, reply).await {
+    if let Err((refusal, reply)) = serve_gather(&host, message, reply).await {
         // The peer may have disconnected.
         let _gone = reply.send(refusal);
     }
@@ -423,13 +424,13 @@
 }
 
 /// Gathers and replies; if nothing was sent, returns the reason and the sender.
-async fn gather_for_peer(
+async fn serve_gather(
     host: &Rc<RouteHost>,
     message: GatherRequest,
     reply: oneshot::Sender<GatherReply>,
 ) -> Result<(), (GatherReply, oneshot::Sender<GatherReply>)> {
     let started = host_now();
-    let Some(span) = local_deadlines(host, &message, started) else {
+    let Some(deadlines) = local_deadlines(host, &message, started) else {
         edge_event!(
             Level::Warn,
             EdgeEvent::PeerMessageBroken,
@@ -440,7 +441,7 @@
         );
         return Err((GatherReply::Unreadable, reply));
     };
-    let LocalDeadlines { deadline, soft_deadline } = span;
+    let LocalDeadlines { deadline, soft_deadline } = deadlines;
     let Some(table) = host.routing.table_of(message.version) else {
         return Err((GatherReply::OtherVersion, reply));
     };
@@ -486,7 +487,7 @@
         attempt_id: message.attempt_id,
         route: Rc::clone(route),
         started,
-        send_by: soft_deadline,
+        send_deadline: soft_deadline,
         deadline,
         abandoned: CancellationToken::new(),
         answered: CancellationToken::new(),
@@ -499,8 +500,10 @@
     let cancel_guard = CancelOnDrop(Rc::clone(&context));
     let (max_missing, max_skipped) =
         (usize::from(message.max_missing), usize::from(message.max_skipped));
-    let part = PeerPart { shards: &message.shards, max_missing, max_skipped, soft_deadline };
-    if gather::part_of(host, &context, rule, &part, reply).await == PeerEnd::Replied {
+    let peer_shards =
+        PeerShards { shards: &message.shards, max_missing, max_skipped, soft_deadline };
+    if gather::gather_for_peer(host, &context, rule, &peer_shards, reply).await == PeerEnd::Replied
+    {
         context.answered.cancel();
     }
     drop(cancel_guard);
--- a/crates/hawthorn-edge/src/request/gather.rs
+++ b/crates/hawthorn-edge/src/request/gather.rs
@@ -40,16 +40,16 @@
     Left,
 }
 
-/// The part of a peer's query that this host gathers.
+/// The shards of a peer's query that this host gathers.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PeerPart<'a> {
+pub(crate) struct PeerShards<'a> {
     /// Indices into the route's list of shards.
     pub(crate) shards: &'a [u16],
     /// Number of shards that may be missing from the complete answer.
     pub(crate) max_missing: usize,
     /// Maximum number of `shards` that may be skipped if their parts cannot arrive in time.
     pub(crate) max_skipped: usize,
-    /// When the target latency passes.
+    /// The query's soft deadline.
     pub(crate) soft_deadline: Duration,
 }
 
@@ -61,7 +61,7 @@
     version: u64,
     admission: Admission,
 ) -> CallerAnswer {
-    let soft_deadline = context.send_by;
+    let soft_deadline = context.send_deadline;
     let (shards, min_share) = (rule.shards.len(), rule.min_share);
     let plan = GatherPlan { version, soft_deadline, shards, min_share };
     let mut run = GatherRun::new(host, context, rule, plan);
@@ -119,25 +119,24 @@
     answer
 }
 
-/// Gathers some shards of a peer's query until the target latency passes, and longer if more
-/// parts are missing than the peer's answer may lack.
+/// Gathers some shards of a peer's query until its soft deadline, and longer if more parts are
+/// missing than may be missing from the peer's answer.
 ///
-/// Handles overload of many shards, when few parts arrive within the target latency. Queries
-/// given up then would be repeated by callers and lengthen the queues; waiting serves them late
-/// instead.
-pub(crate) async fn part_of(
+/// Handles overload of many shards, when few parts arrive by the soft deadline. Queries given up
+/// then would be repeated by callers and lengthen the queues; waiting serves them late instead.
+pub(crate) async fn gather_for_peer(
     host: &Rc<RouteHost>,
     context: &Rc<RequestContext>,
     rule: &GatherRule,
-    part: &PeerPart<'_>,
+    peer_shards: &PeerShards<'_>,
     mut reply: oneshot::Sender<GatherReply>,
 ) -> PeerEnd {
-    let PeerPart { shards, max_missing, max_skipped, soft_deadline } = *part;
-    let wanted = shards.len();
-    let needed = wanted.saturating_sub(max_missing);
-    let min_share = needed as f64 / wanted.max(1) as f64;
+    let PeerShards { shards, max_missing, max_skipped, soft_deadline } = *peer_shards;
+    let requested = shards.len();
+    let needed = requested.saturating_sub(max_missing);
+    let min_share = needed as f64 / requested.max(1) as f64;
     // Shards of a peer's query are never delegated again.
-    let plan = GatherPlan { version: 0, soft_deadline, shards: wanted, min_share };
+    let plan = GatherPlan { version: 0, soft_deadline, shards: requested, min_share };
     let mut run = GatherRun::new(host, context, rule, plan);
     run.race_with_skips(shards, max_skipped, |_| None);
     let policy = host.routing.policy.get();
@@ -145,13 +144,13 @@
         let now = host_now();
         let soft_time_left = soft_deadline.saturating_sub(now);
         let left = context.time_left(now).saturating_sub(delegate::REPLY_MARGIN);
-        let due = needed == 0 || !policy.gathering.beyond_aim;
-        let dispensable = due && soft_time_left.is_zero();
+        let ends_at_soft_deadline = needed == 0 || !policy.gathering.beyond_aim;
+        let has_ended = ends_at_soft_deadline && soft_time_left.is_zero();
         let step = run.state.step(soft_time_left, &policy.gathering);
         if step == GatherStep::Fail && run.race_skipped() {
             continue;
         }
-        if step != GatherStep::Wait || dispensable || left.is_zero() {
+        if step != GatherStep::Wait || has_ended || left.is_zero() {
             break;
         }
         let wait = if soft_time_left.is_zero() { left } else { soft_time_left.min(left) };
@@ -165,8 +164,8 @@
     let missing = run.state.shards - run.state.parts;
     let holds_remainder = policy.gathering.beyond_aim && run.awaited() > 0;
     let mut held = holds_remainder.then(|| host.remainders.hold());
-    let promised = run.awaited();
-    let parts = u16::try_from(promised).unwrap_or(u16::MAX);
+    let outstanding = run.awaited();
+    let parts = u16::try_from(outstanding).unwrap_or(u16::MAX);
     let remainder = held.as_ref().map(|held| Remainder { token: held.token, parts });
     run.record_load();
     if reply.send(run.reply(missing, remainder)).is_err() {
@@ -174,12 +173,12 @@
     }
     let Some(held) = &mut held else { return PeerEnd::Replied };
     match wait_for_request(&mut run, held).await {
-        Some(requested) => reply_remainder(context, run, promised, requested).await,
+        Some(requested) => reply_remainder(context, run, outstanding, requested).await,
         None => PeerEnd::Replied,
     }
 }
 
-/// Waits until the peer asks for the remainder; `None` if it does not.
+/// Waits until the peer requests the remainder; `None` if it does not.
 async fn wait_for_request(
     run: &mut GatherRun<'_>,
     held: &mut HeldRemainder,
@@ -199,7 +198,7 @@
 async fn reply_remainder(
     context: &RequestContext,
     mut run: GatherRun<'_>,
-    promised: usize,
+    outstanding: usize,
     requested: RemainderRequest,
 ) -> PeerEnd {
     let RemainderRequest { needed, mut reply } = requested;
@@ -215,7 +214,7 @@
             () = sleep(left) => {}
         }
     }
-    let missing = promised.saturating_sub(run.receipts.len());
+    let missing = outstanding.saturating_sub(run.receipts.len());
     match reply.send(run.reply(missing, None)) {
         Ok(()) => PeerEnd::Replied,
         Err(_) => PeerEnd::Left,
--- a/crates/hawthorn-edge/src/request/parts.rs
+++ b/crates/hawthorn-edge/src/request/parts.rs
@@ -54,7 +54,7 @@
 pub(super) struct GatherPlan {
     /// Version of the routes, for peers.
     pub(super) version: u64,
-    /// When the target latency passes.
+    /// The query's soft deadline.
     pub(super) soft_deadline: Duration,
     /// Number of shards to gather.
     pub(super) shards: usize,
@@ -78,7 +78,7 @@
     awaited: Vec<&'a str>,
     /// Those of `local_shards` that ended without a part, and why.
     lost: Vec<(&'a str, &'static str)>,
-    /// Shards that were skipped, and may still be asked for.
+    /// Shards that were skipped, and may still be requested.
     pub(super) skipped: Vec<u16>,
     /// Parts that peers may still deliver.
     held: Vec<HeldShards>,
@@ -114,34 +114,34 @@
     }
 
     /// Starts gathering all shards, here or by peers, except those whose parts cannot arrive in
-    /// time. Each part of the query may skip its share of the number that the answer may lack.
+    /// time. The number of shards that may be skipped is divided among this host and the peers.
     ///
     /// The shard in `tried` has already answered and is skipped.
     pub(super) fn begin(&mut self, scatter_plan: &scatter::ScatterPlan, tried: Option<u16>) {
         let mut delegated = delegate::plan(self.host, scatter_plan, &self.context.route);
-        for part in &mut delegated {
-            part.shards.retain(|shard_index| Some(*shard_index) != tried);
+        for group in &mut delegated {
+            group.shards.retain(|shard_index| Some(*shard_index) != tried);
         }
-        delegated.retain(|part| !part.shards.is_empty());
+        delegated.retain(|group| !group.shards.is_empty());
         let is_delegated =
-            |shard_index: &u16| delegated.iter().any(|part| part.shards.contains(shard_index));
+            |shard_index: &u16| delegated.iter().any(|group| group.shards.contains(shard_index));
         let all = 0..scatter_plan.sources.len() as u16;
-        let here: Vec<u16> = all
+        let local: Vec<u16> = all
             .filter(|shard_index| Some(*shard_index) != tried && !is_delegated(shard_index))
             .collect();
         let max_missing = scatter_plan.max_missing_left(self.state.max_missing());
-        let there = delegated.iter().map(|part| part.shards.len());
-        let sizes: Vec<usize> = std::iter::once(here.len()).chain(there).collect();
+        let delegated_sizes = delegated.iter().map(|group| group.shards.len());
+        let sizes: Vec<usize> = std::iter::once(local.len()).chain(delegated_sizes).collect();
         let mut shares = skip::apportion(max_missing, &sizes).into_iter();
-        self.race_with_skips(&here, shares.next().unwrap_or(0), |shard_index| {
+        self.race_with_skips(&local, shares.next().unwrap_or(0), |shard_index| {
             scatter_plan.target(shard_index)
         });
         let mut load = self.context.load.borrow_mut();
         load.shards = self.state.shards;
         load.max_missing = max_missing - self.skipped.len();
         drop(load);
-        for (part, max_skipped) in delegated.into_iter().zip(shares) {
-            self.delegate(DelegatedShards { max_skipped, ..part });
+        for (group, max_skipped) in delegated.into_iter().zip(shares) {
+            self.delegate(DelegatedShards { max_skipped, ..group });
         }
     }
 
@@ -232,22 +232,22 @@
         !skipped.is_empty()
     }
 
-    /// Asks peers for the remainder of their parts, because those received are not enough;
+    /// Requests the remainder of their parts from peers, because those received are not enough;
     /// false if there is none.
     pub(super) fn request_remainders(&mut self) -> bool {
         let held = std::mem::take(&mut self.held);
         let requested = !held.is_empty();
         let needed = self.state.shards - self.state.max_missing() - self.state.parts;
         let (host, context) = (self.host, self.context);
-        for part in held {
-            let remaining = usize::from(part.remainder.parts);
+        for held in held {
+            let remaining = usize::from(held.remainder.parts);
             self.state.lost -= remaining;
-            let asking = async move {
+            let request = async move {
                 let reply =
-                    delegate::request_remainder(host, context, &part, needed.min(remaining)).await;
-                GatherEvent::Remainder(part, reply)
+                    delegate::request_remainder(host, context, &held, needed.min(remaining)).await;
+                GatherEvent::Remainder(held, reply)
             };
-            self.events.push(asking.boxed_local());
+            self.events.push(request.boxed_local());
         }
         requested
     }
@@ -257,7 +257,7 @@
         self.awaited.len()
     }
 
-    /// Takes the received parts into a reply.
+    /// Moves the received parts into a reply.
     pub(super) fn reply(&mut self, missing: usize, remainder: Option<Remainder>) -> GatherReply {
         let receipts = self.receipts.drain(..);
         let receipts = receipts.map(|receipt| receipt.as_bytes().to_vec()).collect();
@@ -288,7 +288,7 @@
         // The peer may send attempts before its reply arrives.
         context.sent.set(context.sent.get() + delegated.shards.len());
         let max_missing = self.state.max_missing();
-        let requested = async move {
+        let request = async move {
             let reply = delegate::request_gather(
                 host,
                 context,
@@ -300,7 +300,7 @@
             .await;
             GatherEvent::Delegated(delegated, reply)
         };
-        self.events.push(requested.boxed_local());
+        self.events.push(request.boxed_local());
     }
 
     /// Records the queueing delays at the local shards, how many shards were skipped, and which
@@ -374,8 +374,8 @@
         self.state.parts += receipts.len();
         self.state.lost += usize::from(missing);
         self.records.add(&records);
-        let signed = receipts.iter().filter_map(|bytes| HeaderValue::from_bytes(bytes).ok());
-        self.receipts.extend(signed);
+        let receipts = receipts.iter().filter_map(|bytes| HeaderValue::from_bytes(bytes).ok());
+        self.receipts.extend(receipts);
         match remainder {
             // The remainder is later subtracted from the missing parts, so it must not exceed
             // them.
@@ -395,10 +395,10 @@
     }
 
     /// Delegates shards for which nothing was sent to another peer, or else gathers them here.
-    fn redelegate(&mut self, delegated: &DelegatedShards, again: Option<DelegatedShards>) {
+    fn redelegate(&mut self, delegated: &DelegatedShards, next: Option<DelegatedShards>) {
         self.context.sent.set(self.context.sent.get() - delegated.shards.len());
-        match again {
-            Some(again) => self.delegate(again),
+        match next {
+            Some(next) => self.delegate(next),
             None => self.race_locally(&delegated.shards, usize::from(delegated.prior_attempts)),
         }
     }
@@ -419,7 +419,7 @@
             }
             Err(PeerError::Unresponsive) => {
                 match delegated.after_unresponsive(self.host, &self.context.route) {
-                    Some(again) => self.delegate(again),
+                    Some(next) => self.delegate(next),
                     None => self
                         .race_locally(&delegated.shards, usize::from(delegated.prior_attempts) + 1),
                 }
--- a/crates/hawthorn-edge/src/request/race.rs
+++ b/crates/hawthorn-edge/src/request/race.rs
@@ -143,11 +143,11 @@
     pub(crate) async fn run(mut self) -> RaceEnd {
         let started = host_now();
         // Attempts of another host count as the first, so this one is a retry.
-        let again = self.attempts > 0;
-        if !again {
+        let is_retry = self.attempts > 0;
+        if !is_retry {
             self.host.routing.earn(self.service, started);
         }
-        let reason = if again { AttemptReason::Retry } else { AttemptReason::First };
+        let reason = if is_retry { AttemptReason::Retry } else { AttemptReason::First };
         if self.attempts >= self.context.route.max_attempts {
             return self.finish();
         }
@@ -187,7 +187,7 @@
     fn hedge(&mut self, started: Duration) {
         let now = host_now();
         let has_capacity = self.has_capacity(now);
-        if !has_capacity && self.context.send_by > now + hedge::CAPACITY_POLL_INTERVAL {
+        if !has_capacity && self.context.send_deadline > now + hedge::CAPACITY_POLL_INTERVAL {
             // Checked again later: a pause or a queue at a target may end soon.
             self.no_capacity = true;
             return;
--- a/crates/hawthorn-edge/src/request/remainder.rs
+++ b/crates/hawthorn-edge/src/request/remainder.rs
@@ -1,8 +1,8 @@
 //! Parts of a peer's query that had not arrived when it was replied to.
 //!
-//! Handles slow shards in several zones: each zone's gatherer lacks no more parts than the
-//! answer may lack, but together they lack more. The peer then asks for the remainder, which is
-//! discarded after a short time if it does not.
+//! Handles slow shards in several zones: each zone's gatherer misses no more parts than may be
+//! missing from the answer, but together they miss more. The peer then requests the remainders.
+//! A gatherer discards a remainder that is not requested within a short time.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -14,7 +14,7 @@
 
 use crate::connection::message::GatherReply;
 
-/// Time within which a peer asks for the remainder: two network delays between zones, and the
+/// Time within which a peer requests the remainder: two network delays between zones, and the
 /// scheduling delay of its decision.
 pub(crate) const HOLD_TIME: Duration = Duration::from_millis(30);
 
--- a/crates/hawthorn-edge/src/request/request_log.rs
+++ b/crates/hawthorn-edge/src/request/request_log.rs
@@ -21,6 +21,7 @@
     pub(crate) service: Rc<str>,
     pub(crate) target: Rc<str>,
     pub(crate) zone: Rc<str>,
+    /// Time from the start of the request until the attempt was sent.
     pub(crate) after: Duration,
     pub(crate) elapsed: Duration,
     pub(crate) end: AttemptEnd,
@@ -60,8 +61,8 @@
     pub(crate) status: u16,
     pub(crate) elapsed: Duration,
     pub(crate) left: Duration,
-    /// Milliseconds between the end of the request and its scheduled send time; negative if it
-    /// was late.
+    /// Milliseconds from the end of the request until its send deadline; negative if it ended
+    /// later.
     pub(crate) early_ms: f64,
     /// Round-trip time to the caller, if the kernel measured it.
     pub(crate) round_trip: Option<Duration>,
--- a/crates/hawthorn-edge/src/request/serve.rs
+++ b/crates/hawthorn-edge/src/request/serve.rs
@@ -47,8 +47,8 @@
 /// Maximum total size of callers' bodies in memory, above which the host refuses: an eighth of
 /// the memory of a host with 256 MB.
 const MAX_BODY_BYTES: usize = 32 << 20;
-/// Time by which a request's deadline is before the end of the caller's wait, so that the
-/// answer still arrives.
+/// Margin between a request's deadline and the end of its caller's wait, in which the answer
+/// travels to the caller.
 const END_MARGIN: Duration = Duration::from_millis(4);
 
 /// Counts a caller's body while it is in memory.
@@ -131,14 +131,15 @@
         Ok(Err(_)) => return CallerAnswer::unreadable(),
         Ok(Ok(body)) => body.to_bytes(),
     };
-    let _held = BodyBytesGuard::new(Rc::clone(host), body.len());
+    let _guard = BodyBytesGuard::new(Rc::clone(host), body.len());
     context::strip_connection(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
     head.headers.remove(header::EXPECT);
     let started = arrival.arrived;
     let departure = host.routing.policy.get().departure;
     let lag = host.lag.borrow().lag_within(departure.late_share);
-    let send_by = send_deadline::send_deadline(arrival, route.target_latency, lag, &departure);
+    let send_deadline =
+        send_deadline::send_deadline(arrival, route.target_latency, lag, &departure);
     let fingerprint = context::fingerprint(&head.method, &head.headers, &head.uri, &body);
     let context = Rc::new(RequestContext {
         identity: RequestIdentity::new(fingerprint, caller, &route.name),
@@ -151,7 +152,7 @@
         attempt_id: caller_headers.attempt_id,
         route: Rc::clone(route),
         started,
-        send_by,
+        send_deadline,
         deadline: started + wait.saturating_sub(END_MARGIN),
         abandoned: CancellationToken::new(),
         answered: CancellationToken::new(),
@@ -191,10 +192,12 @@
     }
     match &route.destination {
         RouteDestination::Single(service) => single(host, context, service).await,
-        RouteDestination::Weighted(parts) => match host.routing.select_weighted(&route, parts) {
-            Some(chosen) => single(host, context, &parts[chosen].service).await,
-            None => CallerAnswer::refused(RefusalReason::NoTarget),
-        },
+        RouteDestination::Weighted(services) => {
+            match host.routing.select_weighted(&route, services) {
+                Some(index) => single(host, context, &services[index].service).await,
+                None => CallerAnswer::refused(RefusalReason::NoTarget),
+            }
+        }
         RouteDestination::Gather(rule) => {
             let Some(permit) = AdmissionPermit::acquire(host, context) else {
                 return CallerAnswer::refused(RefusalReason::HostFull);
@@ -282,15 +285,15 @@
         status: answer.response.status().as_u16(),
         elapsed,
         left: context.time_left(now),
-        early_ms: signed_millis(context.send_by, now),
-        round_trip: arrival.rtt.map(|path| path.round_trip),
+        early_ms: signed_millis(context.send_deadline, now),
+        round_trip: arrival.rtt.map(|rtt| rtt.round_trip),
         parts: answer.parts,
         skipped: context.skipped.get(),
     };
     if answer.response.status().is_success() {
-        host.metrics.count_departure(context.send_by, now);
+        host.metrics.count_departure(context.send_deadline, now);
     }
-    let on_time = answer.outcome == "answered" && now <= context.send_by;
+    let on_time = answer.outcome == "answered" && now <= context.send_deadline;
     context.request_log.borrow().write(&summary, on_time);
 }
 
--- a/crates/hawthorn-edge/src/version/reachability.rs
+++ b/crates/hawthorn-edge/src/version/reachability.rs
@@ -156,7 +156,9 @@
         };
         match &route.destination {
             RouteDestination::Single(service) => has_target(service),
-            RouteDestination::Weighted(parts) => parts.iter().any(|part| has_target(&part.service)),
+            RouteDestination::Weighted(services) => {
+                services.iter().any(|weighted| has_target(&weighted.service))
+            }
             RouteDestination::Gather(rule) => {
                 let scatter_plan = self.with_view(route, unreachable, now, |view, rng| {
                     scatter::plan(view, rule, rng, &self.policy.get().placing)
--- a/crates/hawthorn-edge/src/version/state.rs
+++ b/crates/hawthorn-edge/src/version/state.rs
@@ -157,7 +157,7 @@
         self.tables.borrow().iter().find(|table| table.version() == version).cloned()
     }
 
-    /// Applies a version, at once or when the zone's gatherers have it; see [`rollout`].
+    /// Applies a version, at once or after a delay; see [`rollout`].
     pub fn accept(&self, table: RouteTable) {
         let has_version = !self.tables.borrow().is_empty();
         let options = self.policy.get().rollout;
@@ -294,8 +294,12 @@
     }
 
     /// Selects the service of a weighted route for the next request.
-    pub fn select_weighted(&self, route: &RouteRule, parts: &[WeightedService]) -> Option<usize> {
-        self.round_robins.borrow_mut().entry(route.name.clone()).or_default().select(parts)
+    pub fn select_weighted(
+        &self,
+        route: &RouteRule,
+        services: &[WeightedService],
+    ) -> Option<usize> {
+        self.round_robins.borrow_mut().entry(route.name.clone()).or_default().select(services)
     }
 
     /// The target of a service that is expected to answer first, except those already tried.
--- a/crates/hawthorn-route/benches/query.rs
+++ b/crates/hawthorn-route/benches/query.rs
@@ -47,11 +47,11 @@
         let view = support::view(&registry, service_time, target_latency, NOW);
         let mut rng = StdRng::seed_from_u64(1);
         let options = placement::Options::default();
-        criterion.bench_function(&format!("spread of {count} shards"), |bench| {
+        criterion.bench_function(&format!("plan over {count} shards"), |bench| {
             bench.iter(|| black_box(scatter::plan(view, &rule, &mut rng, &options)));
         });
         let plan = scatter::plan(view, &rule, &mut rng, &options);
-        criterion.bench_function(&format!("hand over of {count} shards"), |bench| {
+        criterion.bench_function(&format!("delegation of {count} shards"), |bench| {
             bench.iter(|| black_box(plan.delegate(|_| true, &scatter::Options::default())));
         });
         let body: Vec<u8> = (0..160_u32).map(|byte| (byte * 37) as u8).collect();
@@ -63,7 +63,7 @@
             });
         });
         let waits = vec![Duration::from_millis(3); count];
-        criterion.bench_function(&format!("door for {count} shards"), |bench| {
+        criterion.bench_function(&format!("admission of a query over {count} shards"), |bench| {
             let mut query_admission = QueryAdmission::default();
             let waits = waits.clone();
             let load = QueryLoad { waits, shards: count, max_missing: 2, ..QueryLoad::default() };
--- a/crates/hawthorn-route/src/admission.rs
+++ b/crates/hawthorn-route/src/admission.rs
@@ -29,8 +29,8 @@
     /// Minimum window, however long the queues are.
     pub least_window: f64,
     /// A query is delayed by a standing queue if the slowest shard that it needs has a queueing
-    /// delay above this share of the target latency. The service time and a hedge use up the
-    /// rest.
+    /// delay above this share of the target latency. The service time and a hedge need the
+    /// remaining time.
     pub standing_share: f64,
     /// Share of the window that is available to less urgent queries while their admission rate
     /// is at least `fair_share` of the urgent ones' rate. Below it they may use the full window.
--- a/crates/hawthorn-route/src/gatherers.rs
+++ b/crates/hawthorn-route/src/gatherers.rs
@@ -10,7 +10,7 @@
 /// Queries per second that a host of [`DEFAULT_CAPACITY`] gathers. At this rate each target of
 /// its zone reports its load ten times a second, about as often as the load changes.
 const QUERY_RATE: f64 = 10.0;
-/// A quarter of a core, in thousandths of a core.
+/// Capacity assumed for a host that reports none: a quarter of a core, in thousandths of a core.
 const DEFAULT_CAPACITY: f64 = 250.0;
 /// Minimum number of gatherers of a zone: one may be down while another restarts.
 const MIN_GATHERERS: usize = 3;
--- a/crates/hawthorn-route/src/hedge.rs
+++ b/crates/hawthorn-route/src/hedge.rs
@@ -65,8 +65,8 @@
 }
 
 /// Maximum queue per slot at which a target has capacity for a hedge. The hedge then starts
-/// within one and a half service times, a third of the time that remains after the first attempt
-/// was late if the target latency is eight service times.
+/// within one and a half service times. With a target latency of eight service times, this is a
+/// third of the time left when the first attempt is late.
 const MAX_QUEUE_PER_SLOT: f64 = 1.5;
 
 /// Interval at which capacity is checked again while no target has any: about one service time,
--- a/crates/hawthorn-route/src/mirror.rs
+++ b/crates/hawthorn-route/src/mirror.rs
@@ -147,7 +147,7 @@
 
 /// Orders the live hosts of a zone by their preference as watchers of the store and as sources
 /// for the others. Hosts that always gather come last, as sending updates to all others takes
-/// processor time from their queries; the rest is ordered by capacity, greatest first.
+/// processor time from their queries; the others are ordered by capacity, greatest first.
 pub fn rank(hosts: &[ZoneHost]) -> Vec<u64> {
     let always_gathering = gatherers::choose(hosts, 0.0);
     let mut ranked = hosts.to_vec();
--- a/crates/hawthorn-route/src/registry.rs
+++ b/crates/hawthorn-route/src/registry.rs
@@ -205,11 +205,11 @@
         self.evacuations.apply(zone, evacuated, revision)
     }
 
-    /// Treats a zone's targets as cold where they are limited while cold, each for the time
-    /// that `cold_start` gives for its service.
+    /// Treats the targets of a zone as cold, each for the time that `cold_start` returns for its
+    /// service. Targets of services without a limit for cold targets do not change.
     ///
-    /// Failure: a zone's targets are cold when its evacuation ends, and their updated entries
-    /// arrive after the end of the evacuation does.
+    /// Failure: a zone's targets are cold when its evacuation ends, and receive requests without
+    /// a limit until the entries that report them as cold arrive.
     pub fn presume_cold(
         &mut self,
         zone: &str,
--- a/crates/hawthorn-route/src/scatter.rs
+++ b/crates/hawthorn-route/src/scatter.rs
@@ -44,8 +44,8 @@
 /// The best source of one shard's part.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ShardSource {
-    /// A target that this host asks itself: it is in this host's zone, or no target in another
-    /// zone is available.
+    /// A target to which this host sends the request itself: it is in this host's zone, or no
+    /// target in another zone is available.
     Direct(TargetKey),
     /// The best target, and all zones other than this host's that have an available target.
     Remote(TargetKey, ZoneNames),
@@ -177,21 +177,21 @@
         options: &Options,
     ) -> Vec<ZoneShards> {
         let mut delegated = self.delegate(&mut has_host, options);
-        let is_delegated = |shard: &u16| delegated.iter().any(|part| part.shards.contains(shard));
+        let is_delegated = |shard: &u16| delegated.iter().any(|group| group.shards.contains(shard));
         let available =
             (0_u16..).zip(&self.sources).filter(|(_, source)| **source != ShardSource::Unavailable);
-        let rest: Vec<u16> =
+        let remaining: Vec<u16> =
             available.map(|(shard, _)| shard).filter(|shard| !is_delegated(shard)).collect();
-        if rest.len() < options.least_shards || !options.on {
+        if remaining.len() < options.least_shards || !options.on {
             return delegated;
         }
         let Some(zone) = zones.iter().find(|zone| has_host(zone)) else { return delegated };
-        match delegated.iter_mut().find(|part| part.zone == *zone) {
-            Some(part) => {
-                part.shards.extend(rest);
-                part.shards.sort_unstable();
+        match delegated.iter_mut().find(|group| group.zone == *zone) {
+            Some(group) => {
+                group.shards.extend(remaining);
+                group.shards.sort_unstable();
             }
-            None => delegated.push(ZoneShards { zone: Rc::clone(zone), shards: rest }),
+            None => delegated.push(ZoneShards { zone: Rc::clone(zone), shards: remaining }),
         }
         delegated
     }
@@ -207,8 +207,8 @@
 /// The zone in which most of the shards have a target; among equals, the one with the best
 /// target of most shards.
 ///
-/// If each shard has a target in every zone and one zone is evacuated or slow, its queries are
-/// thus divided among the other zones by the load of their targets.
+/// If each shard has a target in every zone, the queries of an evacuated or slow zone are thus
+/// divided among the other zones by the load of their targets.
 fn busiest_zone(remote: &[(u16, &ZoneNames)]) -> Option<Rc<str>> {
     let mut counts: HashMap<&Rc<str>, (usize, usize)> = HashMap::new();
     for (_, zones) in remote {
--- a/crates/hawthorn-route/src/skip.rs
+++ b/crates/hawthorn-route/src/skip.rs
@@ -52,8 +52,8 @@
     too_slow.into_iter().map(|(_, index)| index).collect()
 }
 
-/// Queueing delay and service time of a part; `None` if no target is available, or if one is not
-/// known to have a queue.
+/// Queueing delay and service time of a part; `None` if no target is available, or if any
+/// available target has no known queue.
 fn expected_latency(view: PlacementView<'_>, shard: &str) -> Option<Duration> {
     let wait = view.queue_wait(shard)?;
     (!wait.is_zero()).then(|| view.service_time + wait)
--- a/crates/hawthorn-route/src/target.rs
+++ b/crates/hawthorn-route/src/target.rs
@@ -12,8 +12,9 @@
 /// How long a reported queue is assumed to last: a full queue of a dozen requests on two slots
 /// drains in about twice that time.
 const QUEUE_VALIDITY: Duration = Duration::from_millis(300);
-/// Weight of the newest sample in the moving averages of slowdown and failure rate. Ten answers
-/// reflect a target that became slow, within about a second of its share of the traffic.
+/// Weight of the newest sample in the moving averages of slowdown and failure rate. The averages
+/// reflect a target that became slow after ten answers, about a second of its share of the
+/// traffic.
 const SAMPLE_WEIGHT: f64 = 0.15;
 /// Backoff after the first failure; doubles with each further one.
 const MIN_BACKOFF: Duration = Duration::from_millis(150);
--- a/crates/hawthorn-route/tests/evacuation.rs
+++ b/crates/hawthorn-route/tests/evacuation.rs
@@ -196,9 +196,9 @@
         let plan = scatter::plan(view, &rule, &mut rng, &placement::Options::default());
         assert!(plan.can_answer(&rule));
         assert!(plan.sources.iter().all(|source| matches!(source, ShardSource::Remote(..))));
-        let parts = plan.delegate(|_| true, &scatter::Options::default());
-        for part in parts {
-            let index = ["west", "south"].iter().position(|zone| **zone == *part.zone);
+        let groups = plan.delegate(|_| true, &scatter::Options::default());
+        for group in groups {
+            let index = ["west", "south"].iter().position(|zone| **zone == *group.zone);
             queries[index.expect("no shard is delegated to the evacuated zone")] += 1;
         }
     }
--- a/crates/hawthorn-route/tests/quarantine_fleet.rs
+++ b/crates/hawthorn-route/tests/quarantine_fleet.rs
@@ -30,8 +30,8 @@
 /// How long a crashed target is down.
 const DOWNTIME: u64 = 3_000_000;
 const SHARDS: usize = 20;
-/// The number of hosts that share the shards of one query.
-const PARTS: usize = 4;
+/// The number of hosts among which the shards of one query are divided.
+const GROUPS: usize = 4;
 const MAX_ATTEMPTS: usize = 2;
 const LOSS: f64 = 0.1;
 
@@ -44,12 +44,12 @@
     },
     /// An attempt crashes its target.
     Crash {
-        part: usize,
+        group: usize,
         target: usize,
     },
-    /// A part sends the attempts that are permitted.
+    /// The host of a group of shards sends the attempts that are permitted.
     Poll {
-        part: usize,
+        group: usize,
     },
     Gossip {
         host: usize,
@@ -70,7 +70,7 @@
     },
 }
 
-struct Part {
+struct ShardGroup {
     host: usize,
     number: usize,
     shards: Vec<usize>,
@@ -92,7 +92,7 @@
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     sequence: u64,
     now: u64,
-    parts: Vec<Part>,
+    groups: Vec<ShardGroup>,
     /// The time from which each target is up, shard by shard.
     up_at: Vec<u64>,
     /// The time and try number of each crash.
@@ -128,7 +128,7 @@
             events: BinaryHeap::new(),
             sequence: 0,
             now: 0,
-            parts: Vec::new(),
+            groups: Vec::new(),
             up_at: vec![0; shards * replicas],
             crashes: Vec::new(),
             sent: Vec::new(),
@@ -183,8 +183,8 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Try { host, number } => self.begin(host, number),
-            Event::Poll { part } => self.poll(part),
-            Event::Crash { part, target } => self.crash(part, target),
+            Event::Poll { group } => self.poll(group),
+            Event::Crash { group, target } => self.crash(group, target),
             Event::Gossip { host } => self.gossip(host),
             Event::Deliver { from, to, bytes } => self.deliver(from, to, &bytes),
             Event::Heartbeat { host } => self.heartbeat(host),
@@ -203,76 +203,82 @@
         let chunk_size = match verdict {
             Verdict::Refuse(_) => return,
             Verdict::Trial => self.shards,
-            Verdict::Send => self.shards.div_ceil(PARTS),
+            Verdict::Send => self.shards.div_ceil(GROUPS),
         };
         for (index, chunk) in shards.chunks(chunk_size).enumerate() {
-            // Hosts in a partitioned zone receive no parts from peers.
+            // Hosts in a partitioned zone receive no shards from peers.
             let peer = (host + index) % self.hosts.len();
             let host = if self.partitioned == Some(self.zone(peer)) { host } else { peer };
             let attempts = vec![0; chunk.len()];
             let exposure = Exposure::default();
-            self.parts.push(Part { host, number, shards: chunk.to_vec(), attempts, exposure });
-            let part = self.parts.len() - 1;
-            self.push(if index == 0 { 0 } else { OTHER_ZONE_DELAY }, Event::Poll { part });
+            self.groups.push(ShardGroup {
+                host,
+                number,
+                shards: chunk.to_vec(),
+                attempts,
+                exposure,
+            });
+            let group = self.groups.len() - 1;
+            self.push(if index == 0 { 0 } else { OTHER_ZONE_DELAY }, Event::Poll { group });
         }
     }
 
     /// Sends all attempts that are permitted now.
-    fn poll(&mut self, part_id: usize) {
+    fn poll(&mut self, group_id: usize) {
         let now = self.clock();
-        for index in 0..self.parts[part_id].shards.len() {
-            let part = &mut self.parts[part_id];
-            let (shard, tries) = (part.shards[index], part.attempts[index]);
+        for index in 0..self.groups[group_id].shards.len() {
+            let group = &mut self.groups[group_id];
+            let (shard, tries) = (group.shards[index], group.attempts[index]);
             let replicas = shard * self.replicas..(shard + 1) * self.replicas;
             let mut up = replicas.filter(|target| self.up_at[*target] <= self.now);
             let target = up.next();
             let is_last = up.next().is_none();
             let Some(target) = target.filter(|_| tries < MAX_ATTEMPTS) else { continue };
             // A further attempt at the shard waits until those in flight have ended.
-            if tries > 0 && part.exposure.in_flight() > 0 {
+            if tries > 0 && group.exposure.in_flight() > 0 {
                 continue;
             }
             let kind = if tries == 0 { AttemptKind::First } else { AttemptKind::Extra };
-            let table = &self.hosts[part.host];
+            let table = &self.hosts[group.host];
             let options = Options::default();
             let permit =
-                quarantine::decide(table, &crashing(1), &part.exposure, kind, now, &options);
-            let spared = self.protects_last_target
+                quarantine::decide(table, &crashing(1), &group.exposure, kind, now, &options);
+            let is_protected = self.protects_last_target
                 && is_last
                 && quarantine::protects_last_target(
                     table,
                     &crashing(1),
-                    &part.exposure,
+                    &group.exposure,
                     now,
                     &options,
                 );
-            if permit != Permit::Send || spared {
+            if permit != Permit::Send || is_protected {
                 continue;
             }
-            part.exposure.record_sent(tries > 0);
-            part.attempts[index] += 1;
-            self.sent.push((self.now, part.number));
-            self.push(CRASH_DELAY, Event::Crash { part: part_id, target });
+            group.exposure.record_sent(tries > 0);
+            group.attempts[index] += 1;
+            self.sent.push((self.now, group.number));
+            self.push(CRASH_DELAY, Event::Crash { group: group_id, target });
         }
     }
 
-    fn crash(&mut self, part_id: usize, target: usize) {
+    fn crash(&mut self, group_id: usize, target: usize) {
         let outcome = if self.up_at[target] <= self.now {
             self.up_at[target] = self.now + DOWNTIME;
-            self.crashes.push((self.now, self.parts[part_id].number));
+            self.crashes.push((self.now, self.groups[group_id].number));
             AttemptOutcome::Crashed
         } else {
             AttemptOutcome::Other
         };
-        let part = &mut self.parts[part_id];
-        let (host, struck) = (part.host, part.exposure.record_end(outcome));
+        let group = &mut self.groups[group_id];
+        let (host, struck) = (group.host, group.exposure.record_end(outcome));
         self.max_unavailable = self.max_unavailable.max(self.unavailable());
         if struck {
             let now = self.clock();
             self.hosts[host].strike(&crashing(1), now, &Options::default());
             self.schedule_gossip(host);
         }
-        self.push(0, Event::Poll { part: part_id });
+        self.push(0, Event::Poll { group: group_id });
     }
 
     fn schedule_gossip(&mut self, host: usize) {
--- a/crates/hawthorn-route/tests/rollout.rs
+++ b/crates/hawthorn-route/tests/rollout.rs
@@ -61,9 +61,9 @@
         let now = ms(step * 10);
         hosts.iter_mut().for_each(|host| host.run(now, &options));
         for _ in 0..2 {
-            let front = &hosts[rng.random_range(3..hosts.len())];
+            let host = &hosts[rng.random_range(3..hosts.len())];
             let gatherer = &hosts[rng.random_range(0..3)];
-            let version = front.in_force.last().expect("each host has a version");
+            let version = host.in_force.last().expect("each host has a version");
             total += 1;
             let known = gatherer.in_force.iter().rev().take(kept);
             refused += usize::from(!known.into_iter().any(|known| known == version));
--- a/crates/hawthorn-route/tests/scatter.rs
+++ b/crates/hawthorn-route/tests/scatter.rs
@@ -53,7 +53,7 @@
     scatter::plan(view, rule, &mut rng, &placement::Options::default())
 }
 
-fn part(zone: &str, shards: &[u16]) -> ZoneShards {
+fn group(zone: &str, shards: &[u16]) -> ZoneShards {
     ZoneShards { zone: zone.into(), shards: shards.to_vec() }
 }
 
@@ -66,7 +66,7 @@
         shards: &'static [&'static [&'static str]],
         unreachable: &'static [&'static str],
         hosts: &'static [&'static str],
-        parts: Vec<ZoneShards>,
+        groups: Vec<ZoneShards>,
         unavailable: usize,
     }
     const EAST: &[&str] = &["east"];
@@ -81,7 +81,7 @@
             shards: &[EAST, WITH_LOCAL, EAST],
             unreachable: &[],
             hosts: &["west"],
-            parts: vec![],
+            groups: vec![],
             unavailable: 0,
         },
         Case {
@@ -89,7 +89,7 @@
             shards: &[WEST, EAST, WEST, WEST],
             unreachable: &[],
             hosts: &["west"],
-            parts: vec![part("west", &[0, 2, 3])],
+            groups: vec![group("west", &[0, 2, 3])],
             unavailable: 0,
         },
         Case {
@@ -97,7 +97,7 @@
             shards: &[WEST, EAST, WEST],
             unreachable: &[],
             hosts: &["west"],
-            parts: vec![],
+            groups: vec![],
             unavailable: 0,
         },
         Case {
@@ -105,7 +105,7 @@
             shards: &[WEST, WEST, WEST],
             unreachable: &[],
             hosts: &[],
-            parts: vec![],
+            groups: vec![],
             unavailable: 0,
         },
         Case {
@@ -113,7 +113,7 @@
             shards: &[WEST, BOTH, SOUTH, SOUTH, BOTH],
             unreachable: &[],
             hosts: &["west", "south"],
-            parts: vec![part("south", &[1, 2, 3, 4])],
+            groups: vec![group("south", &[1, 2, 3, 4])],
             unavailable: 0,
         },
         Case {
@@ -121,7 +121,7 @@
             shards: &[WEST, WEST, WEST, SOUTH, SOUTH, SOUTH, SOUTH],
             unreachable: &[],
             hosts: &["west", "south"],
-            parts: vec![part("south", &[3, 4, 5, 6]), part("west", &[0, 1, 2])],
+            groups: vec![group("south", &[3, 4, 5, 6]), group("west", &[0, 1, 2])],
             unavailable: 0,
         },
         Case {
@@ -129,7 +129,7 @@
             shards: &[WEST, WEST, WEST, BOTH, BOTH, BOTH],
             unreachable: &["west"],
             hosts: &["west", "south"],
-            parts: vec![part("south", &[3, 4, 5])],
+            groups: vec![group("south", &[3, 4, 5])],
             unavailable: 3,
         },
         Case {
@@ -137,7 +137,7 @@
             shards: &[EAST, NONE],
             unreachable: &[],
             hosts: &[],
-            parts: vec![],
+            groups: vec![],
             unavailable: 1,
         },
     ];
@@ -147,8 +147,8 @@
             case.unreachable.iter().map(|zone| (*zone).to_owned()).collect();
         let rule = rule(case.shards.len(), 0.5);
         let plan = plan_from_east(&registry, &rule, &unreachable_zones);
-        let parts = plan.delegate(|zone| case.hosts.contains(&zone), &scatter::Options::default());
-        assert_eq!(parts, case.parts, "{}", case.name);
+        let groups = plan.delegate(|zone| case.hosts.contains(&zone), &scatter::Options::default());
+        assert_eq!(groups, case.groups, "{}", case.name);
         let unavailable =
             plan.sources.iter().filter(|source| **source == ShardSource::Unavailable).count();
         assert_eq!(unavailable, case.unavailable, "{}", case.name);
@@ -207,7 +207,7 @@
         name: &'static str,
         shards: &'static [&'static [&'static str]],
         hosts: &'static [&'static str],
-        parts: Vec<ZoneShards>,
+        groups: Vec<ZoneShards>,
     }
     const EAST: &[&str] = &["east"];
     const WEST: &[&str] = &["west"];
@@ -220,41 +220,41 @@
             name: "few remote",
             shards: FEW_REMOTE,
             hosts: &["east", "west"],
-            parts: vec![part("east", &[0, 1, 2, 3])],
+            groups: vec![group("east", &[0, 1, 2, 3])],
         },
         Case {
             name: "few remote, no local host",
             shards: FEW_REMOTE,
             hosts: &["west"],
-            parts: vec![part("west", &[0, 1, 2, 3])],
+            groups: vec![group("west", &[0, 1, 2, 3])],
         },
-        Case { name: "no hosts", shards: FEW_REMOTE, hosts: &[], parts: vec![] },
+        Case { name: "no hosts", shards: FEW_REMOTE, hosts: &[], groups: vec![] },
         Case {
             name: "enough remote",
             shards: MANY_REMOTE,
             hosts: &["east", "west", "south"],
-            parts: vec![part("west", &[1, 3, 5]), part("east", &[0, 2, 4, 6])],
+            groups: vec![group("west", &[1, 3, 5]), group("east", &[0, 2, 4, 6])],
         },
         Case {
             name: "enough remote, no local host",
             shards: MANY_REMOTE,
             hosts: &["west"],
-            parts: vec![part("west", &[0, 1, 2, 3, 4, 5, 6])],
+            groups: vec![group("west", &[0, 1, 2, 3, 4, 5, 6])],
         },
         Case {
             name: "all remote",
             shards: &[WEST, WEST, WEST],
             hosts: &["east", "west"],
-            parts: vec![part("west", &[0, 1, 2])],
+            groups: vec![group("west", &[0, 1, 2])],
         },
     ];
     let zones: Vec<Rc<str>> = vec!["east".into(), "west".into(), "south".into()];
-    for Case { name, shards, hosts, parts } in cases {
+    for Case { name, shards, hosts, groups } in cases {
         let registry = registry(shards);
         let plan = plan_from_east(&registry, &rule(shards.len(), 0.5), &[]);
         let options = scatter::Options::default();
         let delegated = plan.delegate_all(&zones, |zone| hosts.contains(&zone), &options);
-        assert_eq!(delegated, parts, "{name}");
+        assert_eq!(delegated, groups, "{name}");
     }
 }
 
@@ -295,8 +295,8 @@
     let rule = rule(90, 0.9);
     let plan = scatter::plan(view, &rule, &mut rng, &placement::Options::default());
     assert!(plan.can_answer(&rule));
-    let parts = plan.delegate(|_| true, &scatter::Options::default());
-    assert_eq!(parts, []);
+    let groups = plan.delegate(|_| true, &scatter::Options::default());
+    assert_eq!(groups, []);
     assert_eq!(rng.drawn, 270);
 }
 
