--- a/crates/hawthorn-daemon/src/connection/peer.rs
+++ b/crates/hawthorn-daemon/src/connection/peer.rs
@@ -191,9 +191,9 @@
     }
 }
 
-/// Context of a call whose answer is useful only within `left`.
-pub fn call_context(left: Duration) -> context::Context {
+/// Context of a call whose answer is useful only within `remaining`.
+pub fn call_context(remaining: Duration) -> context::Context {
     let mut context = context::current();
-    context.deadline = Instant::now() + left;
+    context.deadline = Instant::now() + remaining;
     context
 }
--- a/crates/hawthorn-daemon/src/owner/attempt.rs
+++ b/crates/hawthorn-daemon/src/owner/attempt.rs
@@ -54,8 +54,8 @@
 pub(crate) async fn search(pool: Arc<TargetPool>, search: ShardSearch) -> AttemptCompletion {
     let attempt = AttemptId(search.attempt);
     let body = serde_json::to_vec(&search).expect("a search has no key that is not a string");
-    let left = Duration::from_millis(search.deadline_ms);
-    let answer = match pool.exchange(Method::POST, "/search", body, left).await {
+    let timeout = Duration::from_millis(search.deadline_ms);
+    let answer = match pool.exchange(Method::POST, "/search", body, timeout).await {
         Ok(answer) => answer,
         Err(error) => return AttemptCompletion::without_answer(attempt, failure(&error)),
     };
@@ -93,8 +93,8 @@
 pub(crate) async fn run(pool: Arc<TargetPool>, run: TargetRun) -> AttemptCompletion {
     let attempt = AttemptId(run.attempt);
     let body = serde_json::to_vec(&run).expect("a run has no key that is not a string");
-    let left = Duration::from_millis(run.deadline_ms);
-    let answer = match pool.exchange(Method::POST, "/run", body, left).await {
+    let timeout = Duration::from_millis(run.deadline_ms);
+    let answer = match pool.exchange(Method::POST, "/run", body, timeout).await {
         Ok(answer) => answer,
         Err(error) => return AttemptCompletion::without_answer(attempt, failure(&error)),
     };
--- a/crates/hawthorn-daemon/src/owner/observe.rs
+++ b/crates/hawthorn-daemon/src/owner/observe.rs
@@ -76,7 +76,7 @@
         }
         target.reachable = reachable;
         if target.usage.wanted == DesiredState::Off {
-            // A target that is switched off may come and go; this is not an event.
+            // Whether a target that is switched off is reachable does not matter and is not logged.
             return;
         }
         if reachable {
--- a/crates/hawthorn-daemon/src/owner/relay.rs
+++ b/crates/hawthorn-daemon/src/owner/relay.rs
@@ -189,8 +189,8 @@
         let Some(OpenBatch::Search(search)) = self.table.batches.get(&open.batch) else {
             return None;
         };
-        let left = self.left(open.deadline).checked_sub(RELAY_RESERVE)?;
-        if search.batch.hop == BatchHop::Owner || left.is_zero() {
+        let remaining = self.remaining(open.deadline).checked_sub(RELAY_RESERVE)?;
+        if search.batch.hop == BatchHop::Owner || remaining.is_zero() {
             return None;
         }
         let config = self.config.as_ref()?;
@@ -201,7 +201,7 @@
             .find(|other| other.holds(&open.shard, open.version, &self.relays.links.views))?
             .peer;
         let batch = SearchBatch {
-            left_us: u64::try_from(left.as_micros()).unwrap_or(u64::MAX),
+            left_us: u64::try_from(remaining.as_micros()).unwrap_or(u64::MAX),
             hop: BatchHop::Owner,
             // No view is needed with the answer: fronts receive views directly.
             view: u64::MAX,
--- a/crates/hawthorn-daemon/src/owner/worker.rs
+++ b/crates/hawthorn-daemon/src/owner/worker.rs
@@ -175,7 +175,7 @@
     pub(super) view: watch::Sender<Arc<OwnerView>>,
     pub(super) gauges: watch::Sender<OwnerGauges>,
     pub(super) busy: watch::Sender<Arc<HashSet<u16>>>,
-    /// Bucket of every target owned so far, including targets given up since: attempts still in
+    /// Bucket of every target owned so far, including targets no longer owned: attempts still in
     /// flight at these keep the bucket busy.
     pub(super) buckets: HashMap<TargetKey, u16>,
     pub(super) config: Option<Arc<ConfigInForce>>,
@@ -248,7 +248,7 @@
         self.started + Duration::from_micros(at.0)
     }
 
-    pub(super) fn left(&self, deadline: TickTime) -> Duration {
+    pub(super) fn remaining(&self, deadline: TickTime) -> Duration {
         deadline.since(self.now())
     }
 
@@ -341,11 +341,11 @@
         target: TargetKey,
         deadline: TickTime,
     ) -> bool {
-        let left = self.left(deadline);
+        let remaining = self.remaining(deadline);
         let Some(owned) = self.targets.get(&target) else { return false };
         let Some(open) = self.table.pieces.get(&piece) else { return false };
         let Some(batch) = self.table.batches.get_mut(&open.batch) else { return false };
-        let deadline_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX).max(1);
+        let deadline_ms = u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX).max(1);
         let request = batch.request().to_owned();
         let pool = Arc::clone(&owned.pool);
         let exchange = match batch {
@@ -367,7 +367,7 @@
                 // the machine and its monotonic clock were paused. The caller may have given up and
                 // acted by other means, or the claim may have expired, so nothing is sent.
                 let not_after = Duration::from_millis(run.batch.not_after_ms);
-                if left.is_zero() || unix_now() >= not_after {
+                if remaining.is_zero() || unix_now() >= not_after {
                     return false;
                 }
                 let target_run = TargetRun {
--- a/crates/hawthorn-daemon/src/process/daemon.rs
+++ b/crates/hawthorn-daemon/src/process/daemon.rs
@@ -52,7 +52,7 @@
 const STORE_CHANNEL_CAPACITY: usize = 4;
 
 /// Approximate interval of the load balancer's readiness probes. A stop waits this long before it
-/// closes the listener, so that no new connection is under way.
+/// closes the listener, by when the load balancer has stopped opening connections.
 const READINESS_PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time to flush datagrams and handover messages after the departure is announced.
@@ -397,8 +397,9 @@
     /// Finishes requests in flight, closes connections and ends all threads. Returns whether
     /// everything finished within the grace period of the settings.
     ///
-    /// Order: readiness is withdrawn while callers are still served; the listener closes once no
-    /// request is open; batches of other hosts finish; then the departure is announced.
+    /// Readiness is withdrawn while callers are still served. Once no request of a caller and no
+    /// batch of another host is open, or the grace period is over, the listener closes and the
+    /// departure is announced.
     pub fn finish(mut self) -> bool {
         let grace = self.settings.stop.grace;
         let probe_wait = READINESS_PROBE_INTERVAL.min(grace / 2);
--- a/crates/hawthorn-daemon/src/process/metrics.rs
+++ b/crates/hawthorn-daemon/src/process/metrics.rs
@@ -18,7 +18,7 @@
 use opentelemetry::metrics::Histogram;
 use strum::IntoEnumIterator;
 
-/// Upper bounds of the latency histogram in seconds, densest around the 50 ms objective.
+/// Upper bounds of the latency histogram in seconds, densest around the target latency of 50 ms.
 const LATENCY_BOUNDS: [f64; 14] =
     [0.001, 0.002, 0.005, 0.01, 0.015, 0.02, 0.03, 0.05, 0.075, 0.1, 0.2, 0.5, 1.0, 5.0];
 
--- a/crates/hawthorn-daemon/src/process/refresh.rs
+++ b/crates/hawthorn-daemon/src/process/refresh.rs
@@ -114,8 +114,8 @@
     front.links.retain(|address| fleet.is_reachable(address));
 }
 
-/// Time for which an owner is not asked again after a timeout. An owner that receives requests but
-/// whose answers are lost would otherwise delay every query by the full timeout.
+/// Time after a timeout during which no view is requested from the owner. An owner that receives
+/// requests but whose answers are lost would otherwise delay every query by the full timeout.
 const TIMEOUT_BACKOFF: Duration = Duration::from_secs(5);
 
 /// Fetches the views of owners that have none yet, concurrently.
--- a/crates/hawthorn-daemon/src/request/once.rs
+++ b/crates/hawthorn-daemon/src/request/once.rs
@@ -177,14 +177,16 @@
             tokio::time::sleep(DISPATCH_BACKOFF).await;
         }
         for host in owners(front, checked) {
-            let left = checked.deadline.saturating_sub(front.now()).saturating_sub(ANSWER_RESERVE);
-            if left.is_zero() {
+            let remaining =
+                checked.deadline.saturating_sub(front.now()).saturating_sub(ANSWER_RESERVE);
+            if remaining.is_zero() {
                 return OnceOutcome::NotRun(RefusalReason::DeadlinePast);
             }
             let Ok(permit) = grant.dispatch(Instant::now(), unix_now()) else {
                 return OnceOutcome::NotRun(RefusalReason::DeadlinePast);
             };
-            match send_to_owner(front, checked, request, host, left, permit.expires_at()).await {
+            match send_to_owner(front, checked, request, host, remaining, permit.expires_at()).await
+            {
                 Ok(OnceOutcome::NotRun(reason)) => last_reason = reason,
                 Ok(outcome) => return outcome,
                 Err(PeerError::NotSent(_)) => last_reason = RefusalReason::OwnerUnreachable,
@@ -207,8 +209,8 @@
 /// no owner is refused at once instead of being delayed further.
 const DISPATCH_ROUNDS: u32 = 3;
 
-/// Maximum clock difference between two hosts at which an owner does not take a new request for one
-/// that its caller has given up. Beyond it, the request is refused as not run, which costs only a
+/// Clock difference between two hosts that is tolerated. With a larger one, an owner may mistake a
+/// new request for one that its caller has given up, and refuses it as not run, which costs only a
 /// retry.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(1);
 
@@ -238,10 +240,10 @@
     checked: &CheckedOnce,
     request: RequestId,
     host: HostKey,
-    left: Duration,
+    remaining: Duration,
     expires_at: Duration,
 ) -> Result<OnceOutcome, PeerError> {
-    let not_after = expires_at.min(unix_now() + left + MAX_CLOCK_SKEW);
+    let not_after = expires_at.min(unix_now() + remaining + MAX_CLOCK_SKEW);
     let batch = OnceBatch {
         request,
         caller: checked.once.caller.clone(),
@@ -249,7 +251,7 @@
         shard: checked.config.catalog.shard(checked.shard).name.clone(),
         key: checked.once.key,
         body: checked.once.body.clone(),
-        left_us: u64::try_from(left.as_micros()).unwrap_or(u64::MAX),
+        left_us: u64::try_from(remaining.as_micros()).unwrap_or(u64::MAX),
         not_after_ms: u64::try_from(not_after.as_millis()).unwrap_or(u64::MAX),
     };
     let fleet = front.fleet_view();
@@ -260,6 +262,6 @@
         return Err(PeerError::NotSent("the host is gone".into()));
     };
     let client = front.links.client(peer).await?;
-    let context = peer::call_context(left);
+    let context = peer::call_context(remaining);
     client.run(context, batch).await.map_err(|error| front.links.classify_error(peer, error))
 }
--- a/crates/hawthorn-daemon/src/request/query.rs
+++ b/crates/hawthorn-daemon/src/request/query.rs
@@ -305,8 +305,8 @@
     send: &BatchSend,
 ) -> SearchBatch {
     let catalog = &checked.config.catalog;
-    let left = checked.deadline.saturating_sub(front.now());
-    let left = left.saturating_sub(front.options.track.answer_reserve);
+    let remaining = checked.deadline.saturating_sub(front.now());
+    let remaining = remaining.saturating_sub(front.options.track.answer_reserve);
     let fleet = front.fleet_view();
     let view = fleet.hosts.get(&send.host).map_or(0, |host| front.views.generation_of(host.id));
     let pieces = send.pieces.iter().map(|piece| BatchPiece {
@@ -321,7 +321,7 @@
         urgency: checked.query.urgency,
         text: checked.query.text.clone(),
         limit: checked.query.limit,
-        left_us: u64::try_from(left.as_micros()).unwrap_or(u64::MAX),
+        left_us: u64::try_from(remaining.as_micros()).unwrap_or(u64::MAX),
         hop: BatchHop::Front,
         view,
         pieces: pieces.collect(),
--- a/crates/hawthorn-decide/src/admit.rs
+++ b/crates/hawthorn-decide/src/admit.rs
@@ -22,7 +22,7 @@
     /// Upper bound of the retry-after time. 2 s: a target can start or recover within it.
     pub max_retry_after: Duration,
     /// Service time assumed for a shard before its first answers. 5 ms: the service time of
-    /// present targets.
+    /// typical targets.
     pub initial_service_time: Duration,
 }
 
--- a/crates/hawthorn-decide/src/message.rs
+++ b/crates/hawthorn-decide/src/message.rs
@@ -149,7 +149,7 @@
     },
 }
 
-/// An action for the daemon to carry out.
+/// An action for the daemon to execute.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnerAction {
     /// Send an attempt. Its end, of whichever kind, is to be reported with `complete`.
--- a/crates/hawthorn-decide/src/owner/mod.rs
+++ b/crates/hawthorn-decide/src/owner/mod.rs
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
     /// Maximum unfinished pieces, queued or in flight, over all shards. 65,536: half a second of
-    /// the shard requests that a daemon of the large fleet receives.
+    /// the shard requests that a daemon of a large fleet receives.
     pub piece_limit: usize,
     /// Limits of the shard queues.
     pub queue: queue::Options,
@@ -248,16 +248,16 @@
     /// Takes a token from the budget for extra attempts for a relay to another zone's owner (see
     /// [`crate::relay`]); returns false if the budget is spent.
     pub fn spend_relay(&mut self, reason: RetryReason) -> bool {
-        let paid = match reason {
+        let spent = match reason {
             RetryReason::Hedge => self.budget.spend_hedge(),
             _ => self.budget.spend_retry(),
         };
-        if paid {
+        if spent {
             self.counters.count_retried(reason);
         } else {
             self.counters.hedges_without_budget += 1;
         }
-        paid
+        spent
     }
 
     /// Counters and gauges.
--- a/crates/hawthorn-decide/src/relay.rs
+++ b/crates/hawthorn-decide/src/relay.rs
@@ -39,7 +39,7 @@
 }
 
 /// Time from the arrival of a piece to its relay, given the 90th percentile of its shard's service
-/// time in this zone and the usual service time in the other zone (each zero if unknown).
+/// time in this zone and the typical service time in the other zone (each zero if unknown).
 pub fn delay(p90: Duration, other_zone: Duration, options: &Options) -> Duration {
     let own = match p90.is_zero() {
         true => options.unknown_delay,
--- a/crates/hawthorn-decide/src/shift.rs
+++ b/crates/hawthorn-decide/src/shift.rs
@@ -2,8 +2,8 @@
 //! are ejected (outlier ejection) and return after a successful probe, draining ones get no new
 //! work.
 //!
-//! Decisions rest on the owner's own attempts. Reports of the target or the platform can only take
-//! work away (the target drains or is cold); they never restore traffic by themselves.
+//! Decisions are based on the owner's own attempts. Reports of the target or the platform can only
+//! take work away (the target drains or is cold); they never restore traffic by themselves.
 
 use std::time::Duration;
 
--- a/crates/hawthorn-decide/tests/support/load.rs
+++ b/crates/hawthorn-decide/tests/support/load.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::MILLI;
-use super::PIECES_A_QUERY;
+use super::PIECES_PER_QUERY;
 use super::SECOND;
 use hawthorn_types::caller::UrgencyClass;
 
@@ -136,8 +136,8 @@
     piece: u64,
     attempt_number: u32,
 ) -> f64 {
-    let query = &queries[(piece / PIECES_A_QUERY) as usize];
-    let step = piece % PIECES_A_QUERY;
+    let query = &queries[(piece / PIECES_PER_QUERY) as usize];
+    let step = piece % PIECES_PER_QUERY;
     let stream =
         query.number ^ (step << 8 | u64::from(attempt_number)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ stream);
--- a/crates/hawthorn-decide/tests/support/mod.rs
+++ b/crates/hawthorn-decide/tests/support/mod.rs
@@ -109,7 +109,7 @@
 }
 
 /// Range of piece keys reserved for each query.
-const PIECES_A_QUERY: u64 = 1 << 10;
+const PIECES_PER_QUERY: u64 = 1 << 10;
 
 impl Simulation {
     pub fn new(site: Site, policy: Policy, seed: u64) -> Self {
@@ -319,7 +319,7 @@
         self.queries[index].open = shards.len() as u32;
         for (step, shard) in shards.iter().enumerate() {
             let piece = QueuedPiece {
-                piece: PieceKey(index as u64 * PIECES_A_QUERY + step as u64),
+                piece: PieceKey(index as u64 * PIECES_PER_QUERY + step as u64),
                 caller: CallerKey(query.caller),
                 urgency: query.urgency,
                 shard: *shard,
@@ -339,7 +339,7 @@
     fn on_baseline_query(&mut self, index: usize, query: &QueryRecord) {
         self.queries[index].open = query.shards.len() as u32;
         for (step, shard) in query.shards.iter().enumerate() {
-            let piece = index as u64 * PIECES_A_QUERY + step as u64;
+            let piece = index as u64 * PIECES_PER_QUERY + step as u64;
             let Some(baseline) = &mut self.baseline else { return };
             let target = baseline.choose(*shard, &self.site);
             self.push(query.deadline, Event::Deadline { piece });
@@ -408,7 +408,7 @@
         {
             return;
         }
-        let query = &mut self.queries[(piece / PIECES_A_QUERY) as usize];
+        let query = &mut self.queries[(piece / PIECES_PER_QUERY) as usize];
         query.open -= 1;
         query.answered += u32::from(answered);
         query.end = query.end.max(self.now);
--- a/crates/hawthorn-fleet/src/handover/bucket.rs
+++ b/crates/hawthorn-fleet/src/handover/bucket.rs
@@ -5,7 +5,8 @@
 use super::SlotShare;
 use crate::message::MemberId;
 
-/// Ownership state of a bucket: remote, acquiring, owned, yielding, draining, remote.
+/// Ownership state of a bucket, which usually passes through remote, acquiring, owned, yielding,
+/// draining and remote again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BucketState {
     /// Another host owns it; no request of it runs here.
@@ -17,7 +18,7 @@
         /// Until when another host's ownership request counts; in the past if there is none.
         contested: Duration,
     },
-    /// Another host owns it; front ends that don't know yet are still served.
+    /// Another host owns it; fronts that don't know yet are still served.
     Yielding {
         /// The new owner.
         to: Option<MemberId>,
--- a/crates/hawthorn-fleet/src/handover/mod.rs
+++ b/crates/hawthorn-fleet/src/handover/mod.rs
@@ -7,12 +7,19 @@
 //! dead for a fixed window. Each owner is expected to limit its connections to half, whatever its
 //! share, so that a target's connection limit holds even while there are two owners.
 //!
-//! | seen by the former owner | its share | seen by the new owner | its share |
-//! |---|---|---|---|
-//! | a request by the new owner | half | the former, live | none until it acknowledges half |
-//! | the new owner, in its view | half, then none | the former, at half | half until it releases |
-//! | no host of its zone, or a minority | half | the former, dead | half for the window, then all |
-//! | its pause or refuted death | none until the runner-up is at half | the former, left | all |
+//! | the former owner sees | its share |
+//! |---|---|
+//! | a request by the new owner | half |
+//! | the new owner, in its view | half, then none |
+//! | no host of its zone, or a minority | half |
+//! | its own pause or refuted death | none until the runner-up is at half |
+//!
+//! | the new owner sees | its share |
+//! |---|---|
+//! | the former owner live | none until the former owner acknowledges half |
+//! | the former owner at half | half until the former owner releases |
+//! | the former owner dead | half for the window, then all |
+//! | that the former owner left | all |
 
 mod action;
 mod bucket;
@@ -131,7 +138,7 @@
             }
             // The previous owner may still be at half, and the next one will be, so nothing is left
             // for this host. It waits until the previous one has certainly stopped yielding,
-            // because the next one asks only this host.
+            // because the next one sends its request only to this host.
             BucketState::Acquiring(_) => {
                 self.counters.yielded += 1;
                 BucketState::Draining { to, until: now + self.options.yield_window }
--- a/crates/hawthorn-fleet/src/handover/options.rs
+++ b/crates/hawthorn-fleet/src/handover/options.rs
@@ -13,7 +13,7 @@
     /// isolated host needs to detect its isolation (600 ms of silence) plus the longest request
     /// that it may still run.
     pub dead_window: Duration,
-    /// How long a former owner continues at half for front ends that don't know yet. Gossip reaches
+    /// How long a former owner continues at half for fronts that don't know yet. Gossip reaches
     /// all hosts of a zone of 160 within this time.
     pub yield_window: Duration,
     /// Interval between requests to release.
--- a/crates/hawthorn-fleet/src/lib.rs
+++ b/crates/hawthorn-fleet/src/lib.rs
@@ -16,7 +16,7 @@
 //!
 //! For each datagram: `table.receive`. At `table.next_wake` and `handover.next_wake`, whichever is
 //! earlier: `table.tick`, `handover.observe` with `table.zone_view`, `handover.tick`,
-//! `propagation.set_zone` with `table.active_hosts` of the own zone, `propagation.tick`. After each
+//! `propagation.set_zone` with `table.active_hosts` of its own zone, `propagation.tick`. After each
 //! of these: `table.set_digest` with `propagation.digest`, then poll the actions of all three until
 //! none is left. A process that may have been paused does this before it grants any slot, because
 //! its shares date from before the pause.
@@ -26,7 +26,7 @@
 //! | `DigestReceived` | `propagation.receive_digest` |
 //! | `HandoverReceived` | `handover.observe`, then `handover.receive` |
 //! | `ProcessPaused`, `DeathRefuted` | `handover.reacquire` |
-//! | `ViewChanged` | `handover.observe`, and front ends choose owners again |
+//! | `ViewChanged` | `handover.observe`, and fronts choose owners again |
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms)]
 
--- a/crates/hawthorn-fleet/src/member/mod.rs
+++ b/crates/hawthorn-fleet/src/member/mod.rs
@@ -90,7 +90,7 @@
     arena: MemberArena,
     zones: ZoneTable,
     gossip: GossipQueue,
-    /// Members of the own zone, in the order of this round's pings.
+    /// Members of this daemon's zone, in the order of this round's pings.
     ring: Vec<HostKey>,
     ring_next: usize,
     next_zone: usize,
@@ -320,7 +320,8 @@
         silent && self.arena.iter().any(|record| record.key != self.me && expects_traffic(record))
     }
 
-    /// The view of the own zone, for [`Handover::observe`](crate::handover::Handover::observe).
+    /// The view of this daemon's zone, for
+    /// [`Handover::observe`](crate::handover::Handover::observe).
     pub fn zone_view(&self, now: Duration) -> ZoneView {
         let hosts = self
             .arena
@@ -359,7 +360,7 @@
     }
 
     fn record_of_self(&self) -> &MemberRecord {
-        self.arena.get(self.me).expect("the own record is never removed")
+        self.arena.get(self.me).expect("this host's record is never removed")
     }
 
     fn header(&self, now: Duration) -> SenderHeader {
--- a/crates/hawthorn-fleet/src/member/options.rs
+++ b/crates/hawthorn-fleet/src/member/options.rs
@@ -7,8 +7,8 @@
 pub struct Options {
     /// A hash of the fleet's name; datagrams of other fleets are rejected.
     pub fleet: u32,
-    /// Interval between pings to members of the own zone. Every member is pinged about once in this
-    /// interval, regardless of the size of the zone.
+    /// Interval between a daemon's pings to members of its own zone. Every member is pinged about
+    /// once in this interval, regardless of the size of the zone.
     pub heartbeat: Duration,
     /// Time without an ack after which relays are asked to ping. Many round trips within a zone (1
     /// ms), so that a busy member has time to answer.
@@ -29,14 +29,14 @@
     pub isolated_suspicion_timeout: Duration,
     /// Maximum interval between a daemon's pings to members of other zones.
     pub cross_zone_interval: Duration,
-    /// Interval between pings of all daemons of the own zone to each other zone, as far as one ping
-    /// per heartbeat allows. An eighth of the zone timeout, so that a zone is lost only after eight
-    /// lost pings.
+    /// Interval between the pings that all daemons of a zone together send to each other zone, as
+    /// far as one ping per heartbeat allows. An eighth of the zone timeout, so that a zone is lost
+    /// only after eight lost pings.
     pub zone_ping_interval: Duration,
     /// Silence after which a zone is lost. Extended in a fleet of many zones with few hosts.
     pub zone_timeout: Duration,
-    /// Interval between pings to one dead member of the own zone, or one seed address without a
-    /// live member, so that the sides of a partition rejoin.
+    /// Interval between a daemon's pings to one dead member of its own zone, or to one seed address
+    /// without a live member, so that the sides of a partition rejoin.
     pub rejoin_interval: Duration,
     /// Interval between requests for a page of a member list that differs. While pages contain
     /// changes, the next one is requested immediately.
--- a/crates/hawthorn-fleet/src/member/probe.rs
+++ b/crates/hawthorn-fleet/src/member/probe.rs
@@ -37,7 +37,7 @@
     sent: Duration,
     /// How often it was retried, directly and through relays.
     retries: u32,
-    /// Whether a failure makes the target suspect: true for members of the own zone.
+    /// Whether a failure makes the target suspect: true for members of this daemon's zone.
     suspect_on_failure: bool,
 }
 
@@ -239,9 +239,9 @@
         }
     }
 
-    /// Pings one dead member of the own zone, including the verdict if other members share it.
-    /// Failure: two sides of a partitioned zone consider each other dead and would never rejoin. A
-    /// live member refutes, and both lists converge.
+    /// Pings one dead member of this daemon's zone, including the verdict if other members share
+    /// it. Failure: the sides of a partitioned zone consider each other dead and would never
+    /// rejoin. A live member refutes, and both lists converge.
     fn ping_dead(&mut self, now: Duration) {
         let dead: Vec<(SocketAddr, Option<MemberUpdate>)> = self
             .arena
--- a/crates/hawthorn-fleet/src/member/send.rs
+++ b/crates/hawthorn-fleet/src/member/send.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Pushes this host's record to a few members of the own zone and one of another.
+    /// Pushes this host's record to a few members of this daemon's zone and one of another.
     pub(super) fn push_update(&mut self, now: Duration) {
         let own = self.own_update();
         let zone = self.my_zone;
--- a/crates/hawthorn-fleet/src/member/sync.rs
+++ b/crates/hawthorn-fleet/src/member/sync.rs
@@ -15,7 +15,7 @@
 /// Time after which an unanswered request for a page is repeated, to another peer.
 const SYNC_RETRY: Duration = Duration::from_millis(500);
 
-/// Addresses contacted at once while no other member is known.
+/// Number of addresses contacted at the same time while no other member is known.
 const SEEDS_WHEN_ALONE: usize = 3;
 
 /// Interval between attempts while no other member is known.
@@ -25,7 +25,7 @@
 const STARTUP_RETRY: Duration = Duration::from_millis(100);
 const STARTUP_PERIOD: Duration = Duration::from_secs(2);
 
-/// Changes in a page that justify requesting the next one immediately.
+/// Number of changes in a page from which the next one is requested immediately.
 const MIN_REPAIR_CHANGES: usize = 1;
 
 /// A transfer of the full list from one peer.
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Asks a live member, preferably of the own zone, for its list.
+    /// Asks a live member, preferably of this daemon's zone, for its list.
     fn request_sync(&mut self, now: Duration, after: u64) {
         let zone = self.my_zone;
         let mut picked = self.pick(1, |record| record.zone == zone);
--- a/crates/hawthorn-fleet/src/member/zone.rs
+++ b/crates/hawthorn-fleet/src/member/zone.rs
@@ -1,5 +1,5 @@
-//! When each availability zone was last heard from, by this daemon or by another member of its own
-//! zone.
+//! When a datagram was last received from each availability zone, by this daemon or by another
+//! member of its own zone.
 
 use std::time::Duration;
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Merges the ages reported by another daemon of the own zone.
+    /// Merges the ages reported by another daemon of the same zone.
     pub(crate) fn merge_ages(&mut self, now: Duration, ages: &[ZoneAge]) {
         for age in ages {
             let at = now.saturating_sub(Duration::from_millis(u64::from(age.age_ms)));
@@ -114,7 +114,7 @@
     /// are omitted.
     pub(crate) fn ages(&self, now: Duration, turn: u64) -> SmallVec<[ZoneAge; 4]> {
         let parts = self.zones.len().div_ceil(MAX_ZONES_SENT).max(1);
-        // Hashed, because only every second datagram may go to the own zone.
+        // Hashed, because only every second datagram may go to this daemon's zone.
         let hash = xxh3_64(&turn.to_le_bytes()) % parts as u64;
         let part = usize::try_from(hash).unwrap_or_default();
         self.zones
--- a/crates/hawthorn-fleet/src/message.rs
+++ b/crates/hawthorn-fleet/src/message.rs
@@ -247,7 +247,7 @@
     pub sender: SenderHeader,
     /// The purpose.
     pub body: FleetBody,
-    /// Zones that the sender has heard from; sent only within its own zone.
+    /// When anything was last received from some of the zones. Sent only within the sender's zone.
     pub zones: SmallVec<[ZoneAge; 4]>,
 }
 
--- a/crates/hawthorn-fleet/src/propagation/mod.rs
+++ b/crates/hawthorn-fleet/src/propagation/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! Two daemons of each zone, selected by rendezvous hashing, watch the store. All others learn of a
 //! revision from heartbeats, pushed immediately by each daemon that adopts it, and pull the
-//! document from a peer that has it. A revision never goes back.
+//! document from a peer that has it. The revision in force never decreases.
 //!
 //! Only the pair of revision and edit is handled here; the daemon fetches and checks the document
 //! itself.
@@ -169,7 +169,7 @@
         self.start_pull(now);
     }
 
-    /// Sets the hosts of the own zone that may watch the store, and which one this is.
+    /// Sets the hosts of this daemon's zone that may watch the store, and which one this is.
     pub fn set_zone(
         &mut self,
         zone: &str,
@@ -316,7 +316,7 @@
         now.saturating_sub(since)
     }
 
-    /// The store, or a peer that asked it at `at`, has nothing newer.
+    /// Records that at `at` the store, directly or through a peer, had nothing newer.
     fn confirm(&mut self, at: Duration) {
         if self.in_force.is_none() {
             return;
--- a/crates/hawthorn-fleet/tests/member.rs
+++ b/crates/hawthorn-fleet/tests/member.rs
@@ -59,7 +59,7 @@
     Ok(())
 }
 
-/// Guards against front ends that keep sending to a zone that lost power at once, where no member
+/// Guards against fronts that keep sending to a zone that lost power at once, where no member
 /// is left to declare its hosts dead.
 #[test]
 fn a_failed_zone_is_lost_everywhere_within_bounds() -> TestResult {
@@ -86,7 +86,7 @@
     Ok(())
 }
 
-/// Guards against front ends that leave out healthy zones: with many zones of few hosts, each pair
+/// Guards against fronts that leave out healthy zones: with many zones of few hosts, each pair
 /// of zones exchanges few datagrams.
 #[test]
 fn many_small_zones_do_not_lose_each_other() -> TestResult {
--- a/crates/hawthorn-plan/src/admit.rs
+++ b/crates/hawthorn-plan/src/admit.rs
@@ -1,7 +1,7 @@
 //! Admission control for queries, before any shard request is sent.
 //!
 //! A query that cannot be answered in time would waste up to 270 shard
-//! requests. Refused here it costs none, and `not run` holds by construction.
+//! requests. A query refused here costs none, and certainly did not run.
 
 use std::time::Duration;
 
@@ -63,7 +63,7 @@
     Stopping,
 }
 
-/// A query that asks for admission.
+/// A query to admit or refuse.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest {
     /// The caller.
--- a/crates/hawthorn-plan/src/budget.rs
+++ b/crates/hawthorn-plan/src/budget.rs
@@ -20,8 +20,8 @@
 
 /// Extra pieces that one front may still send, shared by all its queries.
 ///
-/// Prevents retry storms: when an owner or a zone fails while the rest is near
-/// its limit, every query falls back at once, the remaining targets shed load,
+/// Prevents retry storms: when an owner or a zone fails while the others are near
+/// their limit, every query falls back at once, the remaining targets shed load,
 /// and their refusals cause further fallbacks. Extra pieces are therefore
 /// limited to a fixed ratio of first attempts, plus a burst that covers the loss
 /// of one owner.
--- a/crates/hawthorn-plan/src/cover.rs
+++ b/crates/hawthorn-plan/src/cover.rs
@@ -15,15 +15,15 @@
 /// only when nothing is missing.
 pub fn cover(requested: KeyRange, searched: &RangeSet, reasons: &[MissingRange]) -> AnswerCoverage {
     let covered = searched.clip(requested);
-    let mut rest = RangeSet::from(requested).difference(&covered);
+    let mut remaining = RangeSet::from(requested).difference(&covered);
     let mut missing = Vec::new();
     for given_up in reasons {
-        for &range in rest.clip(given_up.range).ranges() {
+        for &range in remaining.clip(given_up.range).ranges() {
             missing.push(MissingRange { range, reason: given_up.reason });
         }
-        rest.remove(given_up.range);
+        remaining.remove(given_up.range);
     }
-    missing.extend(rest.ranges().iter().map(|&range| without_reason(range)));
+    missing.extend(remaining.ranges().iter().map(|&range| without_reason(range)));
     missing.sort_by_key(|part| part.range);
     AnswerCoverage {
         fraction: fraction(requested, &covered, missing.is_empty()),
--- a/crates/hawthorn-plan/src/load.rs
+++ b/crates/hawthorn-plan/src/load.rs
@@ -9,7 +9,7 @@
 use crate::window::QueryFeedback;
 
 /// Weight of the newest query in the moving average of query times, as a divisor:
-/// the average recovers from a slow period within some tens of queries.
+/// the average recovers from a slow period within a few tens of queries.
 const SMOOTHING: u32 = 16;
 
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/hawthorn-plan/src/plan/missing.rs
+++ b/crates/hawthorn-plan/src/plan/missing.rs
@@ -14,19 +14,19 @@
 
 /// Adds `range` to the missing ranges, split where the reason changes.
 pub(super) fn explain(input: &PlanInput<'_>, plan: &mut QueryPlan, range: KeyRange) {
-    let mut rest = RangeSet::from(range);
+    let mut remaining = RangeSet::from(range);
     for shard in input.table.candidates(range) {
         let part = shard.range.intersect(range);
         if part.is_empty() {
             continue;
         }
         let reason = reason(input, shard);
-        for &range in rest.clip(part).ranges() {
+        for &range in remaining.clip(part).ranges() {
             plan.missing.push(MissingRange { range, reason });
         }
-        rest.remove(part);
+        remaining.remove(part);
     }
-    let unassigned = rest.ranges().iter();
+    let unassigned = remaining.ranges().iter();
     plan.missing
         .extend(unassigned.map(|&range| MissingRange { range, reason: MissingReason::NoReplica }));
     plan.missing.sort_by_key(|missing| missing.range);
--- a/crates/hawthorn-plan/src/plan/mod.rs
+++ b/crates/hawthorn-plan/src/plan/mod.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// An owner that was already asked to search a shard for this query.
+/// An owner to which this query has already sent a piece of a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TriedOwner {
     /// The shard.
@@ -89,7 +89,7 @@
     pub version: VersionChoice,
     /// Owners that cannot be reached.
     pub lost: &'a [HostKey],
-    /// Owners that were already asked for a shard.
+    /// Owners already tried, by shard.
     pub tried: &'a [TriedOwner],
     /// Versions reported by owners since the table was built, ordered by shard
     /// and host.
@@ -242,7 +242,7 @@
     if gap.is_empty() {
         return;
     }
-    let mut rest = RangeSet::from(gap);
+    let mut remaining = RangeSet::from(gap);
     if let Some(version) = plan.version {
         for shard in input.table.moved() {
             let held = shard.held.clip(gap);
@@ -250,15 +250,15 @@
                 continue;
             };
             for &part in held.ranges() {
-                for &range in rest.clip(part).ranges() {
+                for &range in remaining.clip(part).ranges() {
                     let piece = PlannedPiece { shard: shard.shard, zone: option.zone, range };
                     plan.push(option.owner, piece);
                 }
-                rest.remove(part);
+                remaining.remove(part);
             }
         }
     }
-    for &range in rest.ranges() {
+    for &range in remaining.ranges() {
         explain(input, plan, range);
     }
 }
--- a/crates/hawthorn-plan/src/track/answer.rs
+++ b/crates/hawthorn-plan/src/track/answer.rs
@@ -77,10 +77,10 @@
     /// Replans immediately when an owner has retired the version of a large share of
     /// the query.
     ///
-    /// A version is retired on all targets at about the same time. Asking another
-    /// zone for the old version piece by piece would cost as much as a replan, and
-    /// would most likely find it retired there, too. The other zone is asked first
-    /// when few pieces are affected or the newer version would cover less.
+    /// A version is retired on all targets at about the same time. Requesting
+    /// the old version piece by piece from another zone would cost as much as a
+    /// replan, and would most likely find it retired there, too. The other zone is
+    /// tried first when few pieces are affected or the newer version would cover less.
     fn replan_if_widely_retired(
         &mut self,
         piece_ids: &[PieceId],
@@ -190,14 +190,15 @@
             versions.iter().copied().filter(|version| Some(*version) != self.version).collect();
         let shard = self.requested_shard(id, host);
         let reported = ReportedVersions { shard, host, versions: held };
-        let position = self.reported.binary_search_by_key(&(shard, host), |it| (it.shard, it.host));
+        let position =
+            self.reported.binary_search_by_key(&(shard, host), |entry| (entry.shard, entry.host));
         match position {
             Ok(index) => self.reported[index] = reported,
             Err(index) => self.reported.insert(index, reported),
         }
     }
 
-    /// The shard for which `host` was asked to search the piece.
+    /// The shard for which the piece was last sent to `host`.
     fn requested_shard(&self, id: PieceId, host: HostKey) -> hawthorn_types::ShardKey {
         let piece = &self.pieces[id.0 as usize];
         let last_request = piece.tried.iter().rev().find(|tried| tried.host == host);
--- a/crates/hawthorn-plan/src/track/piece.rs
+++ b/crates/hawthorn-plan/src/track/piece.rs
@@ -10,7 +10,7 @@
 use super::action::PieceId;
 use crate::plan::TriedOwner;
 
-/// Owners that were asked for one piece.
+/// Owners to which one piece was sent.
 pub(super) type TriedOwners = SmallVec<[TriedOwner; 4]>;
 
 /// One piece, across all its attempts.
@@ -18,7 +18,7 @@
 pub(super) struct PieceRecord {
     pub(super) shard: ShardKey,
     pub(super) range: KeyRange,
-    /// Owners that were asked, including the current one.
+    /// Owners to which it was sent, including the current one.
     pub(super) tried: TriedOwners,
     /// Attempts for these keys, including those of the pieces it was split from.
     pub(super) attempts: u32,
--- a/crates/hawthorn-plan/src/track/recover.rs
+++ b/crates/hawthorn-plan/src/track/recover.rs
@@ -116,7 +116,7 @@
         }
         let range = piece.range;
         let plan = self.plan(range, VersionChoice::Exactly(version), &piece.tried, context);
-        // Answers for parts of a piece could not be told apart from the first attempt.
+        // Answers for parts of a piece could not be distinguished from the first attempt's answer.
         let Some((host, planned)) = single_piece(&plan, range) else {
             return;
         };
--- a/crates/hawthorn-plan/src/window.rs
+++ b/crates/hawthorn-plan/src/window.rs
@@ -23,7 +23,7 @@
     /// Upper bound.
     pub max: f64,
     /// A longer wait of a piece for a slot indicates a standing queue. Half of the
-    /// 99th percentile target for complete answers.
+    /// target latency of complete answers, a 99th percentile.
     pub standing_wait: Duration,
     /// Factor by which a standing queue or a rejection shrinks the window.
     pub decrease_factor: f64,
--- a/crates/hawthorn-store/src/claim/client.rs
+++ b/crates/hawthorn-store/src/claim/client.rs
@@ -29,7 +29,8 @@
 
 /// Write intervals after which a full bucket has written its pending claims.
 const QUEUE_FULL_INTERVALS: u32 = 4;
-/// Attempts to remove an uncertain claim after which the same id may be sent again.
+/// Release delays, each followed by an attempt to remove an uncertain claim, after which the same
+/// id may be sent again.
 const UNCERTAIN_RELEASE_DELAYS: u32 = 4;
 
 /// Claims requests for one host. Clones share the bucket tasks and counters.
--- a/crates/hawthorn-types/src/range.rs
+++ b/crates/hawthorn-types/src/range.rs
@@ -149,11 +149,11 @@
 
     /// The keys of `self` that are not in `other`.
     pub fn difference(&self, other: &Self) -> Self {
-        let mut rest = self.clone();
+        let mut remaining = self.clone();
         for &range in &other.ranges {
-            rest.remove(range);
+            remaining.remove(range);
         }
-        rest
+        remaining
     }
 
     /// The keys of `self` that lie inside `window`.
