--- a/crates/hawthorn-report/src/line.rs
+++ b/crates/hawthorn-report/src/line.rs
@@ -41,7 +41,7 @@
 /// A host writes `SECONDS LEVEL E630 request-ended: key=value ...`. A log collector may
 /// prepend its own time and the host's name.
 pub fn read<'a>(text: &'a str, host: &'a str) -> Option<LogLine<'a>> {
-    // The level `ERROR` has the same first letter as the event number.
+    // ` E` also begins the level `ERROR`; only an event number continues with a digit.
     let numbered = |(at, _): &(usize, _)| text[at + 2..].starts_with(|c: char| c.is_ascii_digit());
     let (at, _) = text.match_indices(" E").find(numbered)?;
     let (before, event) = (&text[..at], &text[at + 2..]);
--- a/crates/hawthorn-report/src/timeline.rs
+++ b/crates/hawthorn-report/src/timeline.rs
@@ -74,7 +74,7 @@
     pub annotations: Vec<RunAnnotation>,
     /// Ends of attempts by target.
     pub targets: BTreeMap<String, TargetAttempts>,
-    /// Number of answers without a part, by shard and reason.
+    /// Number of answers that lack a shard, by shard and reason.
     pub missing: BTreeMap<(String, String), usize>,
     /// Number of lines by event.
     pub events: BTreeMap<(u16, String), usize>,
--- a/crates/hawthorn-standin/src/history.rs
+++ b/crates/hawthorn-standin/src/history.rs
@@ -125,13 +125,13 @@
     pub request: String,
     /// The attempt.
     pub attempt: u64,
-    /// What the attempt asks for.
+    /// The requested work.
     pub kind: WorkKind,
     /// The phase it reached.
     pub phase: WorkPhase,
 }
 
-/// What an attempt asks for.
+/// The work that an attempt requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkKind {
     /// An idempotent search at one version.
--- a/crates/hawthorn-standin/src/load/scenario.rs
+++ b/crates/hawthorn-standin/src/load/scenario.rs
@@ -61,7 +61,8 @@
         }
     }
 
-    /// The maximum of [`load`](Self::load) over time.
+    /// The maximum of [`load`](Self::load) over time: its value at time zero, when a burst
+    /// starts.
     pub(super) fn peak(self, caller: usize, callers: usize) -> f64 {
         self.load(caller, callers, Duration::ZERO)
     }
--- a/crates/hawthorn-standin/src/route/store.rs
+++ b/crates/hawthorn-standin/src/route/store.rs
@@ -213,14 +213,14 @@
 fn page(request: &WireRequest, shared: &Shared) -> Value {
     let state = shared.state.lock().expect("no holder of the lock panics");
     let after = request.query("after").unwrap_or_default().replace("%2F", "/");
-    let rest: Vec<Value> = state
+    let remaining: Vec<Value> = state
         .items
         .iter()
         .filter(|(key, _)| key.as_str() > after.as_str())
         .map(|(key, (revision, value))| encode_item(key, *revision, value))
         .collect();
-    let more = rest.len() > PAGE_ITEMS;
-    let items: Vec<Value> = rest.into_iter().take(PAGE_ITEMS).collect();
+    let more = remaining.len() > PAGE_ITEMS;
+    let items: Vec<Value> = remaining.into_iter().take(PAGE_ITEMS).collect();
     json!({ "items": items, "hasMore": more, "asOf": state.revision })
 }
 
--- a/crates/hawthorn-standin/tests/support/mod.rs
+++ b/crates/hawthorn-standin/tests/support/mod.rs
@@ -156,7 +156,7 @@
 }
 
 /// The status of the answer to a search, 0 without an answer.
-pub async fn open_search(address: SocketAddr, attempt: u64) -> u16 {
+pub async fn search_status(address: SocketAddr, attempt: u64) -> u16 {
     match post(address, "/search", &search(attempt)).await {
         Ok(reply) => reply.status,
         Err(_) => 0,
--- a/crates/hawthorn-standin/tests/target.rs
+++ b/crates/hawthorn-standin/tests/target.rs
@@ -108,7 +108,7 @@
     })
     .await?;
     for attempt in 0..5 {
-        tokio::spawn(support::open_search(target.address(), attempt));
+        tokio::spawn(support::search_status(target.address(), attempt));
     }
     support::until(|| target.control().counters().waiting == 3).await?;
     let reply = support::post(target.address(), "/search", &support::search(9)).await?;
@@ -148,9 +148,9 @@
         ..support::options()
     })
     .await?;
-    let running = tokio::spawn(support::open_search(target.address(), 1));
+    let running = tokio::spawn(support::search_status(target.address(), 1));
     support::until(|| target.control().counters().busy == 1).await?;
-    let waiting = tokio::spawn(support::open_search(target.address(), 2));
+    let waiting = tokio::spawn(support::search_status(target.address(), 2));
     support::until(|| target.control().counters().waiting == 1).await?;
     for attempt in [2, 1] {
         let reply = support::post(target.address(), "/cancel", &support::cancel(attempt)).await?;
--- a/crates/hawthorn-standin/tests/target_answers.rs
+++ b/crates/hawthorn-standin/tests/target_answers.rs
@@ -138,14 +138,14 @@
 async fn a_target_that_is_down_closes_connections_until_it_returns() -> TestResult {
     let target = TargetStandin::start(support::options()).await?;
     target.control().set_paused(true);
-    let running = tokio::spawn(support::open_search(target.address(), 1));
+    let running = tokio::spawn(support::search_status(target.address(), 1));
     support::until(|| target.control().counters().busy == 1).await?;
     target.control().set_down(true);
     assert_eq!(running.await?, 0);
-    assert_eq!(support::open_search(target.address(), 2).await, 0);
+    assert_eq!(support::search_status(target.address(), 2).await, 0);
     target.control().set_down(false);
     target.control().set_paused(false);
-    assert_eq!(support::open_search(target.address(), 3).await, 200);
+    assert_eq!(support::search_status(target.address(), 3).await, 200);
     Ok(())
 }
 
--- a/examples/tier-cost/change.rs
+++ b/examples/tier-cost/change.rs
@@ -17,7 +17,7 @@
 const DEFAULT_SIZES: [usize; 1] = [8];
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// By then, daemons that watched the store during start-up have stopped their watches.
+/// Time until daemons that watched the store only during start-up have ended their watches.
 const SETTLE_TIME: Duration = Duration::from_secs(11);
 const IDLE_TIME: Duration = Duration::from_secs(10);
 /// Pauses between changes are spread evenly below this value, so that changes do not
--- a/examples/tier-cost/control.rs
+++ b/examples/tier-cost/control.rs
@@ -16,7 +16,7 @@
 use crate::system;
 
 const DEFAULT_SIZES: [usize; 2] = [8, 64];
-/// By then, daemons that watched the store during start-up have stopped their watches.
+/// Time until daemons that watched the store only during start-up have ended their watches.
 const SETTLE_TIME: Duration = Duration::from_secs(11);
 const MEASURED_TIME: Duration = Duration::from_secs(12);
 const MIB: f64 = 1_048_576.0;
--- a/examples/tier-load/main.rs
+++ b/examples/tier-load/main.rs
@@ -238,7 +238,7 @@
     deployment: &StandinDeployment,
     daemons: &LocalDaemons,
 ) -> Outcome<String> {
-    let stage = DeploymentEnvironment::new(deployment);
+    let environment = DeploymentEnvironment::new(deployment);
     let tier = Arc::new(HttpTier::new(daemons.hosts(), ENTRY_CONNECTIONS));
     let mut output = if arguments.json { String::new() } else { table_header() };
     let scenarios = match arguments.scenario.is_empty() {
@@ -250,14 +250,15 @@
         let naive = Arc::new(NaiveTier::of_deployment(deployment, arguments.seed));
         let control: Option<&dyn DaemonControl> = Some(daemons);
         let since = deployment.history().now();
-        let compared =
-            load::compare(Arc::clone(&tier) as Arc<_>, naive, &stage, control, &options).await?;
+        let comparison =
+            load::compare(Arc::clone(&tier) as Arc<_>, naive, &environment, control, &options)
+                .await?;
         if !arguments.json {
             output.push_str(&missing(deployment, daemons, since));
         }
         match arguments.json {
-            true => output.push_str(&format!("{}\n", serde_json::to_string(&compared)?)),
-            false => output.push_str(&format!("{}{}", compared.tier, compared.baseline)),
+            true => output.push_str(&format!("{}\n", serde_json::to_string(&comparison)?)),
+            false => output.push_str(&format!("{}{}", comparison.tier, comparison.baseline)),
         }
     }
     Ok(output)
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -149,7 +149,7 @@
         request_id: None,
     };
     let body = serde_json::to_vec(&query).expect("a query has only string keys");
-    let (_, bytes) = http::call(at, Method::POST, "/v1/query", body, http::PAGE_TIMEOUT).await?;
+    let (_, bytes) = http::call(at, Method::POST, "/v1/query", body, http::DEFAULT_TIMEOUT).await?;
     serde_json::from_slice(&bytes).map_err(fail)
 }
 
--- a/src/examine.rs
+++ b/src/examine.rs
@@ -144,7 +144,7 @@
 
 /// Runs `status`.
 pub(crate) fn status(options: &StatusOptions) -> Result<CommandExit, CommandError> {
-    let call = http::call(options.at, Method::GET, "/v1/status", Vec::new(), http::PAGE_TIMEOUT);
+    let call = http::call(options.at, Method::GET, "/v1/status", Vec::new(), http::DEFAULT_TIMEOUT);
     let (_, bytes) = http::runtime()?.block_on(call)?;
     if options.json {
         println!("{}", String::from_utf8_lossy(&bytes));
@@ -206,7 +206,7 @@
 /// Runs `explain`.
 pub(crate) fn explain(options: &ExplainOptions) -> Result<CommandExit, CommandError> {
     let path = format!("/v1/explain?target={}", options.target);
-    let call = http::call(options.at, Method::GET, &path, Vec::new(), http::PAGE_TIMEOUT);
+    let call = http::call(options.at, Method::GET, &path, Vec::new(), http::DEFAULT_TIMEOUT);
     let (status, bytes) = http::runtime()?.block_on(call)?;
     print!("{}", String::from_utf8_lossy(&bytes));
     Ok(if status == StatusCode::OK { CommandExit::Success } else { CommandExit::Refused })
--- a/src/http.rs
+++ b/src/http.rs
@@ -20,8 +20,8 @@
 /// Time beyond the request's deadline for which the client waits for an answer.
 pub(crate) const ANSWER_GRACE: Duration = Duration::from_secs(2);
 
-/// Timeout of a call without a deadline of its own.
-pub(crate) const PAGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of a call whose command has no deadline option.
+pub(crate) const DEFAULT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Creates the async runtime of one command.
 pub(crate) fn runtime() -> Result<Runtime, CommandError> {
--- a/tests/bad_answers.rs
+++ b/tests/bad_answers.rs
@@ -34,12 +34,12 @@
     let labels = |what, reason| format!("reason=\"{reason}\",what=\"{what}\"");
     let cases = [
         BadAnswerCase {
-            name: "crossed",
+            name: "mismatched",
             fault: |faults| faults.mismatched_answers = BAD_ANSWERS,
             labels: labels("crossed-answers", ""),
         },
         BadAnswerCase {
-            name: "over the limit",
+            name: "oversized",
             fault: |faults| {
                 faults.oversized_answers = BAD_ANSWERS;
                 faults.oversized_bytes = OVERSIZED;
@@ -47,7 +47,7 @@
             labels: labels("missing", "answer-too-large"),
         },
         BadAnswerCase {
-            name: "garbled",
+            name: "malformed",
             fault: |faults| faults.malformed_answers = BAD_ANSWERS,
             labels: labels("missing", "bad-answer"),
         },
--- a/tests/host_crashes.rs
+++ b/tests/host_crashes.rs
@@ -111,9 +111,9 @@
     }
 }
 
-fn set_held_back(fleet: &TestFleet, held_back: bool) {
+fn set_targets_paused(fleet: &TestFleet, paused: bool) {
     for target in &fleet.deployment.targets {
-        target.standin.control().set_paused(held_back);
+        target.standin.control().set_paused(paused);
     }
 }
 
@@ -136,7 +136,7 @@
 async fn a_request_whose_host_crashes_does_not_run_twice() -> TestResult {
     for victim in [VictimRole::Owner, VictimRole::Front] {
         let fleet = TestFleet::start(FleetOptions::small()).await?;
-        set_held_back(&fleet, true);
+        set_targets_paused(&fleet, true);
         let request = fleet.once("agent-desk", KeyRange::part(REMOTE_SHARD, SHARDS).start);
         let scenario = async {
             let owner = running_host(&fleet).await?;
@@ -150,7 +150,7 @@
         let (result, killed) = tokio::join!(fleet.send_once(0, request.clone()), scenario);
         let killed = killed?;
         assert!(is_uncertain(&result), "{victim:?}: {result:?}");
-        set_held_back(&fleet, false);
+        set_targets_paused(&fleet, false);
         for index in (0..fleet.daemons.len()).filter(|&index| index != killed) {
             let retry = fleet.send_once(index, request.clone()).await?;
             let is_owner_lost = retry.outcome == CallerOutcome::Unknown(UnknownReason::OwnerLost);
--- a/tests/intent.rs
+++ b/tests/intent.rs
@@ -166,8 +166,8 @@
 }
 
 /// Failure: hardware that operators switched off to save power raises alarms, or answers lack its
-/// shards. A spare target is off on purpose: it leaves without an incomplete answer, then loses
-/// power, and no host reports drift, an alarm, a lost target or a shard without a replica.
+/// shards. A spare target is off on purpose: no answer is incomplete while it leaves, and once it
+/// has lost power no host reports drift, an alarm, a lost target or a shard without a replica.
 #[tokio::test]
 async fn a_spare_target_is_off_without_alarms_or_missing_shards() -> TestResult {
     let fleet = start().await?;
@@ -195,9 +195,9 @@
     check_invariants(&fleet)
 }
 
-/// Failure: rules drain a shard's serving target and start its spare replica. If the first left at
-/// once, every answer would lack the shard while the spare loads. It must serve until the spare is
-/// warm, then receive no new work, and no request in flight may be interrupted.
+/// Failure: rules drain a shard's serving target and start its spare replica. If the drained target
+/// left at once, every answer would lack the shard while the spare loads. It must serve until the
+/// spare is warm, then receive no new work, and no request in flight may be interrupted.
 #[tokio::test]
 async fn a_drained_target_leaves_after_its_replacement_is_warm() -> TestResult {
     let fleet = start().await?;
--- a/tests/route.rs
+++ b/tests/route.rs
@@ -85,7 +85,7 @@
     let slow = TargetFault::Slow(Duration::from_millis(50));
     let cases = [
         Case {
-            name: "full",
+            name: "rejected",
             fault: TargetFault::Rejected,
             idempotent: (200, 503),
             non_idempotent: 503,
@@ -141,7 +141,7 @@
             non_idempotent_runs: 1,
         },
         Case {
-            name: "mute",
+            name: "no answer",
             fault: TargetFault::NoAnswer,
             idempotent: (200, 504),
             non_idempotent: 504,
@@ -211,8 +211,8 @@
     Ok(())
 }
 
-/// SIGHUP applies a reduced retry budget without a restart: no second attempts are made from then
-/// on. Invalid settings are rejected.
+/// SIGHUP applies a reduced retry budget without a restart: no retries are made from then on.
+/// Invalid settings are rejected.
 #[tokio::test(flavor = "multi_thread")]
 async fn sighup_applies_a_new_budget() -> TestResult {
     let pair = start_pair().await?;
@@ -234,7 +234,7 @@
     Ok(())
 }
 
-/// Operators can disable second attempts by SIGHUP while callers are served, for failures in which
+/// Operators can disable hedged requests by SIGHUP while callers are served, for failures in which
 /// they add load without helping. Settings with a mistyped key are rejected and change nothing.
 #[tokio::test(flavor = "multi_thread")]
 async fn sighup_applies_a_new_policy() -> TestResult {
@@ -424,9 +424,9 @@
     let store = RouteStore::start().await?;
     let names = ["a", "b", "c", "d", "e", "f"];
     let mut targets = Vec::new();
-    for (place, name) in names.iter().enumerate() {
+    for (index, name) in names.iter().enumerate() {
         let target = RouteTarget::start(&format!("t-{name}"), name).await?;
-        let zone = if place < 2 { "east" } else { "west" };
+        let zone = if index < 2 { "east" } else { "west" };
         operator::register(&store, &format!("t-{name}"), &target, zone);
         targets.push(target);
     }
@@ -647,9 +647,9 @@
 async fn a_length_with_chunked_encoding_smuggles_no_request() -> TestResult {
     let pair = start_pair().await?;
     let mut stream = TcpStream::connect(pair.host.caller()).await?;
-    let named = headers::ATTEMPT_ID;
+    let id_header = headers::ATTEMPT_ID;
     let bytes = format!(
-        "POST /safe/outer HTTP/1.1\r\nHost: shop.example\r\n{named}: id-1\r\n\
+        "POST /safe/outer HTTP/1.1\r\nHost: shop.example\r\n{id_header}: id-1\r\n\
                  Content-Length: 60\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n\
                  GET /safe/inner HTTP/1.1\r\nHost: shop.example\r\n\r\n"
     );
@@ -665,16 +665,16 @@
     Ok(())
 }
 
-/// Failure: every target is slower than the query's latency aim. If the peer stopped gathering at
-/// the aim, the front would count its shards as failed and answer 502, and the caller's retry would
-/// lengthen the targets' queues. The peer keeps gathering shards that the answer requires, so the
-/// caller gets a late answer, with at most one further attempt at each shard.
+/// Failure: every target is slower than the query's target latency. If the peer stopped gathering
+/// at that time, the front would count its shards as failed and answer 502, and the caller's retry
+/// would lengthen the targets' queues. The peer keeps gathering shards that the answer requires, so
+/// the caller gets a late answer, with at most one further attempt at each shard.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_peer_keeps_gathering_required_shards() -> TestResult {
     let fleet = RemoteFleet::start(&["h-2"]).await?;
     fleet.wait_for_delegation().await?;
     let RemoteFleet { targets, east, .. } = &fleet;
-    // The latency aim is 400 ms, the timeout 1.5 s.
+    // The target latency is 400 ms, the timeout 1.5 s.
     for target in targets {
         target.fail_always(Some(TargetFault::Slow(Duration::from_millis(700))));
     }
--- a/tests/route_callers.rs
+++ b/tests/route_callers.rs
@@ -53,16 +53,17 @@
     let mut stream = TcpStream::connect(single.host.caller()).await?;
     stream.write_all(&route::request("POST", "/once/", "id-1", "x")).await?;
     let started = Instant::now();
-    let mut half = vec![0; LONG / 4];
-    timeout(route::WAIT_TIMEOUT, stream.read_exact(&mut half)).await??;
-    let head = String::from_utf8_lossy(&half[..300]).to_ascii_lowercase();
+    let mut first_part = vec![0; LONG / 4];
+    timeout(route::WAIT_TIMEOUT, stream.read_exact(&mut first_part)).await??;
+    let head = String::from_utf8_lossy(&first_part[..300]).to_ascii_lowercase();
     assert!(head.starts_with("http/1.1 200"), "{head}");
     assert!(head.contains(&format!("content-length: {LONG}")), "{head}");
     assert!(started.elapsed() < pause, "{:?}", started.elapsed());
-    let body_start = half.windows(4).position(|part| part == b"\r\n\r\n").ok_or("no head")? + 4;
-    let mut rest = vec![0; LONG - (half.len() - body_start)];
-    timeout(route::WAIT_TIMEOUT, stream.read_exact(&mut rest)).await??;
-    assert!(half[body_start..].iter().chain(&rest).all(|byte| *byte == b'x'));
+    let body_start =
+        first_part.windows(4).position(|part| part == b"\r\n\r\n").ok_or("no head")? + 4;
+    let mut remaining = vec![0; LONG - (first_part.len() - body_start)];
+    timeout(route::WAIT_TIMEOUT, stream.read_exact(&mut remaining)).await??;
+    assert!(first_part[body_start..].iter().chain(&remaining).all(|byte| *byte == b'x'));
     // The connection can be reused.
     single.target.fail_always(None);
     stream.write_all(&route::request("GET", "/safe/", "id-2", "")).await?;
@@ -145,7 +146,7 @@
     Ok(())
 }
 
-/// Failure: a caller that keeps sending reads only when its write fails, and a connection reset
+/// Failure: a caller that keeps sending does not read until a write fails, and a connection reset
 /// would then discard the rejection.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_keeps_sending_reads_the_rejection() -> TestResult {
--- a/tests/route_events.rs
+++ b/tests/route_events.rs
@@ -102,8 +102,8 @@
     Ok(host.log_lines())
 }
 
-/// The store does not answer the watches of one zone. A host of the other zone, which it does
-/// answer, gathers shards for a front of the first.
+/// The store stops answering the hosts of zone `east` that watch it. A host of zone `west`, which
+/// it answers, then brings zone `east` the new version and gathers shards for a front there.
 async fn two_zone_events() -> TestResult<Vec<String>> {
     let store = RouteStore::start().await?;
     let names = ["a", "b", "c"];
--- a/tests/route_parts.rs
+++ b/tests/route_parts.rs
@@ -14,15 +14,15 @@
 use support::route::RouteHost;
 
 /// Failure: hosts that gather in two zones each lack no more parts than the answer may omit, but
-/// together they lack more, so that the query would end with 502 at its latency aim.
+/// together they lack more, so that the query would end with 502 at its target latency.
 #[tokio::test(flavor = "multi_thread")]
 async fn parts_missing_at_several_peers_are_awaited() -> TestResult {
     let store = RouteStore::start().await?;
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
     let mut targets = Vec::new();
-    for (place, name) in names.iter().enumerate() {
+    for (index, name) in names.iter().enumerate() {
         let target = RouteTarget::start(&format!("t-{name}"), name).await?;
-        let zone = if place < 4 { "west" } else { "south" };
+        let zone = if index < 4 { "west" } else { "south" };
         operator::register(&store, &format!("t-{name}"), &target, zone);
         targets.push(target);
     }
@@ -39,9 +39,9 @@
         answer.is_ok() && by("west") > 0 && by("south") > 0
     };
     route::wait_for("peers of both zones to gather", gathered).await?;
-    // The latency aim is 400 ms, the timeout 1.5 s, and two of eight parts may be missing.
-    for place in [0, 1, 4, 5] {
-        targets[place].fail_always(Some(TargetFault::Slow(Duration::from_millis(700))));
+    // The target latency is 400 ms, the timeout 1.5 s, and two of eight parts may be missing.
+    for index in [0, 1, 4, 5] {
+        targets[index].fail_always(Some(TargetFault::Slow(Duration::from_millis(700))));
     }
     let answer = east.send("GET", "/all/", "id-1", "").await?;
     assert_eq!(answer.status, 200);
--- a/tests/slow_targets.rs
+++ b/tests/slow_targets.rs
@@ -28,6 +28,6 @@
         let label = "reason=\"hedge\",what=\"retried\"";
         hedged += fleet.metric(index, "hawthorn_owner_pieces", label).await?;
     }
-    assert!(hedged > 0.0, "no owner asked another zone");
+    assert!(hedged > 0.0, "no owner sent a hedged request to another zone");
     fleet.check()
 }
--- a/tests/stops.rs
+++ b/tests/stops.rs
@@ -75,9 +75,9 @@
     fleet.deployment.targets.iter().map(|target| target.standin.control().counters().runs).sum()
 }
 
-fn set_held_back(fleet: &TestFleet, held_back: bool) {
+fn set_targets_paused(fleet: &TestFleet, paused: bool) {
     for target in &fleet.deployment.targets {
-        target.standin.control().set_paused(held_back);
+        target.standin.control().set_paused(paused);
     }
 }
 
@@ -87,13 +87,13 @@
 async fn work_in_flight_finishes_before_the_process_exits() -> TestResult {
     for index in 0..2 {
         let mut fleet = TestFleet::start(FleetOptions::small()).await?;
-        set_held_back(&fleet, true);
+        set_targets_paused(&fleet, true);
         let scenario = async {
             wait_for("work at targets", || busy_slots(&fleet) > 1 && runs(&fleet) == 1).await?;
             record_stop(&fleet, index);
             fleet.daemons[index].signal(Signal::TERM)?;
             wait_for("the stop", || fleet.daemons[index].logged(STOPPING) > 0).await?;
-            set_held_back(&fleet, false);
+            set_targets_paused(&fleet, false);
             TestResult::Ok(())
         };
         let query = async {
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -77,7 +77,7 @@
 }
 
 /// Failure: the store applies an edit but its answer is lost, or it answers that it is unavailable.
-/// The operator would apply the edit a second time, or take its own edit for a conflict. The edit
+/// The operator would apply the edit a second time, or get a conflict with their own edit. The edit
 /// is identified by its id: it is reported as applied, and the history holds it once.
 #[tokio::test]
 async fn an_edit_whose_answer_is_lost_is_applied_once() -> TestResult {
--- a/tests/support/network.rs
+++ b/tests/support/network.rs
@@ -35,8 +35,8 @@
         let mut zones = Vec::new();
         for (number, name) in (1..).zip(&deployment.options().zones) {
             let upstream = deployment.platform.address();
-            let place = NetworkLocation::zone(name);
-            let platform = links.link_tcp(place, NetworkLocation::Platform, upstream).await?;
+            let location = NetworkLocation::zone(name);
+            let platform = links.link_tcp(location, NetworkLocation::Platform, upstream).await?;
             let address = Ipv4Addr::new(127, 0, number, 1).into();
             zones.push(LinkedZone { name: name.clone(), address, platform });
         }
@@ -50,8 +50,8 @@
             .iter()
             .map(|zone| (zone.address, NetworkLocation::zone(&zone.name)))
             .collect();
-        let place = NetworkLocation::zone(&spec.zone);
-        let link = self.links.link_host(place, &sources).await?;
+        let location = NetworkLocation::zone(&spec.zone);
+        let link = self.links.link_host(location, &sources).await?;
         let zone = self.zones.iter().find(|zone| zone.name == spec.zone).ok_or("no such zone")?;
         let spec = DaemonSpec {
             platform: zone.platform,
--- a/tests/suspended_hosts.rs
+++ b/tests/suspended_hosts.rs
@@ -30,8 +30,8 @@
 
 /// Failure: a host's virtual machine is suspended for three seconds under load, and other hosts
 /// take over its targets. On resume it still believes that it owns them; if it used them, targets
-/// would receive twice the work that they have slots for and queue the excess out of sight. Each
-/// of two owners has half of the slots, so the queue inside a target is at most as long as its
+/// would receive twice the work that they have slots for and queue the excess, which no host sees.
+/// Each of two owners has half of the slots, so the queue inside a target is at most as long as its
 /// slot count, for cancelled work that has not ended. The host also applies an edit that was made
 /// during the suspension, and never reverts to the older revision.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -92,9 +92,9 @@
 }
 
 /// Failure: one replica of a shard is slow while the other is ordered to leave. Hedged requests
-/// would send all work to the leaving target, which interrupts it, or every answer would lack the
-/// shard. The leaving target must receive no new work after its grace period, and the slow one must
-/// still answer within the deadline.
+/// would send all work to the leaving target, which aborts it on leaving, or every answer would
+/// lack the shard. The leaving target must receive no new work after its grace period, and the slow
+/// one must still answer within the deadline.
 #[tokio::test]
 async fn a_slow_target_beside_a_leaving_replica_still_answers() -> TestResult {
     const SLOWDOWN: f64 = 10.0;
