--- a/crates/hawthorn-edge/src/connection/head.rs
+++ b/crates/hawthorn-edge/src/connection/head.rs
@@ -95,10 +95,10 @@
 
     /// Records the arrival time of a head and the caller's round-trip time.
     ///
-    /// Failure: a host without processor time reads a request long after it arrived, and passes
-    /// a deadline to targets that its caller no longer has. The kernel reports how long the
-    /// bytes have been in the socket, if it measures that; they may also have waited since the
-    /// event loop was last idle.
+    /// A host without processor time reads a request long after it arrived, and would pass
+    /// targets a deadline that its caller no longer has. The kernel reports how long the bytes
+    /// have been in the socket, if it measures that; they may also have waited since the event
+    /// loop was last idle.
     fn head_began(&self, stream: &TcpStream) {
         let now = host_now();
         let report = hawthorn_socket::tcp_info(stream).ok();
@@ -116,9 +116,9 @@
 
     /// Returns when a head has been incomplete for longer than `limit`.
     ///
-    /// Failure: callers hold connections open by sending a byte now and then, possibly as an
-    /// attack. The host itself may have been stalled while the rest of a head was in its
-    /// sockets, so the sockets are read first.
+    /// Without the limit, callers could hold connections open by sending a byte now and then,
+    /// possibly as an attack. The host itself may have been stalled while the rest of a head was
+    /// in its sockets, so the sockets are read first.
     pub(crate) async fn head_timed_out(&self, limit: Duration) {
         loop {
             let Some(head_started) = self.head_started.get() else {
--- a/crates/hawthorn-edge/src/connection/peer.rs
+++ b/crates/hawthorn-edge/src/connection/peer.rs
@@ -132,8 +132,8 @@
 
     /// Marks the peer as suspected and closes its connections.
     ///
-    /// Failure: a connection breaks without a reset, or the peer loses power, and every call on
-    /// it runs into its time limit.
+    /// After a connection breaks without a reset, or the peer loses power, every further call on
+    /// it would run into its time limit.
     pub(crate) fn suspect(&self, address: SocketAddr) {
         let mut suspects = self.suspects.borrow_mut();
         suspects.retain(|_, at| at.elapsed() < SUSPECT_DURATION);
@@ -143,8 +143,8 @@
 
     async fn client(&self, endpoint: &PeerEndpoint) -> Result<EdgePeerClient, PeerError> {
         let key = (endpoint.address, endpoint.purpose);
-        // Failure: a peer was restarted in a rolling update, and the first query to it is lost
-        // on the old connection, whose end has not been read yet.
+        // Without the check of `ended`, the first query to a peer restarted in a rolling update
+        // would be lost on the old connection, whose end no call has noticed yet.
         if let Some(link) = self.links.borrow().get(&key)
             && !link.ended.is_cancelled()
         {
--- a/crates/hawthorn-edge/src/process/clock.rs
+++ b/crates/hawthorn-edge/src/process/clock.rs
@@ -7,9 +7,9 @@
 
 /// Time since boot, including time for which the host was suspended.
 ///
-/// Failure: a host is suspended for seconds; with a clock that stops meanwhile, targets would
-/// get deadlines that have already passed for callers. Wall-clock time is not suitable either,
-/// as it can jump.
+/// A host may be suspended for seconds. With a clock that stops meanwhile, targets would get
+/// deadlines that have already passed for callers. Wall-clock time is not suitable either, as it
+/// can jump.
 pub fn host_now() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec.unsigned_abs() as u32)
--- a/crates/hawthorn-edge/src/process/host.rs
+++ b/crates/hawthorn-edge/src/process/host.rs
@@ -261,13 +261,13 @@
     let heartbeats = UdpSocket::bind(listen.peers)
         .await
         .map_err(|source| Error::System("heartbeats", source))?;
-    // Failure: a background task ends because of a bug, and the host continues with state that
-    // is no longer updated. The process exits instead, and is restarted.
+    // The process exits, and is restarted, when a background task ends because of a bug: the host
+    // would otherwise continue with state that is no longer updated.
     let mut tasks = JoinSet::new();
     tasks.spawn_local(listen::callers(Rc::clone(&host), callers));
     tasks.spawn_local(listen::pages(Rc::clone(&host), ready));
-    // Failure: the port of the metrics page is already in use on this machine. The host serves
-    // without it, as requests do not depend on metrics.
+    // The host serves without the metrics page if its port is already in use on this machine, as
+    // requests do not depend on metrics.
     match bind(listen.metrics).await {
         Ok(metrics_listener) => {
             tasks.spawn_local(listen::pages(Rc::clone(&host), metrics_listener));
@@ -376,11 +376,10 @@
 
 /// Finishes open requests and closes connections.
 ///
-/// Failure: a shutdown cuts off requests, because the process exits first or a connection is
-/// closed while a request is on its way. So the host first fails its readiness probe, serves
-/// until the balancer has reacted, closes each connection with an answer that announces it, and
-/// closes idle connections only when callers have had most of the grace period to do so
-/// themselves.
+/// Requests would be cut off if the process exited first, or if a connection were closed while a
+/// request is on its way. So the host first fails its readiness probe, serves until the balancer
+/// has reacted, closes each connection with an answer that announces it, and closes idle
+/// connections only when callers have had most of the grace period to do so themselves.
 async fn stop(host: &Rc<RouteHost>) {
     host.stopping.cancel();
     let open = host.open_requests.get();
--- a/crates/hawthorn-edge/src/process/loop_clock.rs
+++ b/crates/hawthorn-edge/src/process/loop_clock.rs
@@ -1,8 +1,8 @@
 //! Time for which the event loop has been busy without a break.
 //!
-//! Failure: a host without processor time reads requests long after they arrived, and sends
-//! targets deadlines that are later than the callers'. What is read in one turn of the loop
-//! arrived at the earliest when the loop was last idle.
+//! A host without processor time reads requests long after they arrived. If it took the time of
+//! reading as their arrival, it would send targets deadlines later than the callers'. What is
+//! read in one turn of the loop arrived at the earliest when the loop was last idle.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
--- a/crates/hawthorn-edge/src/process/quarantine.rs
+++ b/crates/hawthorn-edge/src/process/quarantine.rs
@@ -307,8 +307,9 @@
     let options = options(host);
     let change = host.quarantine.table.borrow_mut().merge(notice, host_now(), &options);
     if let Some(change) = change {
-        // Failure: during an outage, each host's log grows with the request rate of the fleet.
         // Unconfirmed strikes are logged at info level only by the host that recorded them.
+        // During an outage, each host's log would otherwise grow with the request rate of the
+        // fleet.
         let level = if notice.confirmed { Level::Info } else { Level::Debug };
         log_change_at(host, &change, level);
         host.quarantine.trial_ended.notify_waiters();
@@ -322,8 +323,8 @@
     value: Option<&[u8]>,
 ) {
     let Some(value) = value else {
-        // Failure: the lease expires while the store is down, and hosts that restart later
-        // no longer refuse the request.
+        // The lease may have expired while the store was down. Unless the request is saved again,
+        // hosts that restart later no longer refuse it.
         let saved = host.quarantine.saved.borrow_mut().remove(&fingerprint);
         let notice =
             host.quarantine.table.borrow().notice(Subject::Request(fingerprint), host_now());
@@ -369,7 +370,7 @@
 
 /// Writes refused requests to the store, until the process exits.
 ///
-/// Failure: all hosts restart, and a request that they refused crashes targets again.
+/// Without this, a request that was refused would crash targets again after all hosts restart.
 pub(crate) async fn save_refused(host: Rc<RouteHost>, client: StoreClient) {
     loop {
         let next = host.quarantine.unsaved.borrow_mut().pop_front();
--- a/crates/hawthorn-edge/src/process/store_sync.rs
+++ b/crates/hawthorn-edge/src/process/store_sync.rs
@@ -217,8 +217,8 @@
 /// Fetches newer items from a peer whose heartbeat announced them, if this host's own source
 /// has not delivered them after a delay.
 ///
-/// Failure: the watcher of a zone loses the store without noticing, and the zone keeps an older
-/// configuration while others have a newer one.
+/// If the watcher of a zone loses the store without noticing, the zone would otherwise keep an
+/// older configuration while others have a newer one.
 pub(crate) async fn catch_up(host: Rc<RouteHost>, peer: SocketAddr, as_of: u64) {
     if as_of <= host.mirror.borrow().as_of() || host.catching_up.replace(true) {
         return;
@@ -303,9 +303,9 @@
 
 /// Waits for an update, and checks meanwhile that the store answers this host.
 ///
-/// Failure: the store does not accept calls from this host, or the reply to the watch was lost.
-/// Neither is noticed until the watch times out, and the zone keeps stale data; the checks
-/// detect both at a tenth of the cost of a watch.
+/// The store may not accept calls from this host, or the reply to the watch may be lost. Neither
+/// is noticed until the watch times out, and the zone keeps stale data; the checks detect both at
+/// a tenth of the cost of a watch.
 async fn watch(host: &RouteHost, client: &StoreClient, after: u64) -> WatchEnd {
     let mut pending_watch = std::pin::pin!(wait_for_update(client, after));
     let mut missed_checks = 0;
--- a/crates/hawthorn-edge/src/request/attempt.rs
+++ b/crates/hawthorn-edge/src/request/attempt.rs
@@ -179,9 +179,9 @@
         connection: PoolConnection,
         end: Instant,
     ) -> Result<PoolAnswer, Error> {
-        // Failure: a request waits for one of the few connections that a slow target accepts,
-        // and is sent with a deadline that has passed for its caller. The remaining time is
-        // computed when the request is sent.
+        // The remaining time is computed when the request is sent. The request may have waited
+        // for one of the few connections that a slow target accepts, and would otherwise be sent
+        // with a deadline that has passed for its caller.
         let now = host_now();
         let left = self.context.time_left(now);
         if left.is_zero() {
@@ -267,9 +267,9 @@
             ExecutionStatus::NotRun => return none(AttemptEnd::NotRun),
             ExecutionStatus::Ran => {}
         }
-        // Failure: an answer to an earlier request, duplicated or late, arrives in place of
-        // this one, and a caller gets another caller's records. Targets echo the attempt id, so
-        // it is compared.
+        // An answer to an earlier request, duplicated or late, may arrive in place of this one,
+        // and a caller would get another caller's records. Targets echo the attempt id, so it is
+        // compared.
         let own = self.context.attempt_id.as_deref().map(str::as_bytes);
         let echoed = head.attempt_id.as_ref().map(HeaderValue::as_bytes);
         if echoed.is_some() && echoed != own {
--- a/crates/hawthorn-edge/src/request/delegate.rs
+++ b/crates/hawthorn-edge/src/request/delegate.rs
@@ -342,11 +342,11 @@
 
 /// Returns if a peer does not answer a ping; never returns otherwise.
 ///
-/// Failure: a peer is stalled or lost power, or its network path drops packets, and a query
-/// delegated to it is lost. Without a ping reply, another peer is tried while there is time. A
-/// peer answers a ping before it starts on the request sent just before. A peer that stalls
-/// later, after it made attempts, is not replaced, as the attempts of two peers could exceed
-/// the route's maximum.
+/// A query delegated to a peer is lost if the peer is stalled or lost power, or if its network
+/// path drops packets. Without a ping reply, another peer is tried while there is time. A peer
+/// answers a ping before it starts on the request sent just before. A peer that stalls later,
+/// after it made attempts, is not replaced, as the attempts of two peers could exceed the route's
+/// maximum.
 async fn peer_unresponsive(host: &RouteHost, peer: SocketAddr) {
     let replaces = host.routing.policy.get().gatherers.replaces_silent;
     if !replaces || host.links.answered_recently(peer) {
@@ -357,9 +357,9 @@
 
 /// Returns if a peer's reply is overdue and the peer does not answer a ping.
 ///
-/// Failure: a peer stalls with a query, or its network path starts to drop packets, and the
-/// caller waits until its deadline. A reply is due at the soft deadline; it is later only if the
-/// answer needs parts that have not arrived, and then the peer still answers pings.
+/// Without this, the caller would wait until its deadline if the peer stalls with a query or its
+/// network path starts to drop packets. A reply is due at the soft deadline; it is later only if
+/// the answer needs parts that have not arrived, and then the peer still answers pings.
 async fn peer_overdue(host: &RouteHost, peer: SocketAddr, due: Duration) {
     sleep(due).await;
     no_ping_reply(host, peer).await;
@@ -388,9 +388,9 @@
     message: GatherRequest,
     reply: oneshot::Sender<GatherReply>,
 ) {
-    // Failure: a host was stalled, and sends attempts for a query that its sender has since
-    // delegated to another host. The cancellation is still unread behind the request: the first
-    // yield reads the sockets, the second processes the calls.
+    // A host that was stalled would send attempts for a query that its sender has since delegated
+    // to another host. The cancellation is still unread behind the request: the first yield reads
+    // the sockets, the second processes the calls.
     for _ in 0..CANCELLATION_YIELDS {
         yield_now().await;
     }
--- a/crates/hawthorn-edge/src/request/forward.rs
+++ b/crates/hawthorn-edge/src/request/forward.rs
@@ -23,10 +23,10 @@
 
 /// A body whose beginning is buffered and whose remainder is streamed.
 ///
-/// Failure: the target disconnects or stops sending, or the deadline passes, after a part of
-/// the answer has been sent. The connection to the caller is then closed before the announced
-/// length is reached, so that the caller does not mistake the answer for a complete one. If the
-/// caller disconnects, the body is dropped, which cancels the work at the target.
+/// The target may disconnect or stop sending, or the deadline may pass, after a part of the answer
+/// has been sent. The connection to the caller is then closed before the announced length is
+/// reached, so that the caller does not mistake the answer for a complete one. If the caller
+/// disconnects, the body is dropped, which cancels the work at the target.
 #[derive(Debug)]
 pub(crate) struct ForwardedBody {
     buffered: Option<Bytes>,
--- a/crates/hawthorn-edge/src/request/race.rs
+++ b/crates/hawthorn-edge/src/request/race.rs
@@ -30,9 +30,9 @@
 
 /// Waits until an attempt is late.
 ///
-/// Failure: a stalled host sends its first attempts, then finds all of them late and sends
-/// hedges for a query that its sender has since delegated to another host. The sockets are read
-/// first, as they hold the cancellation.
+/// A stalled host sends its first attempts, then finds all of them late, and would send hedges
+/// for a query that its sender has since delegated to another host. The sockets are read first,
+/// as they hold the cancellation.
 async fn wait_until_late(late: Duration) {
     sleep(late).await;
     for _ in 0..CANCELLATION_YIELDS {
--- a/crates/hawthorn-edge/src/version/state.rs
+++ b/crates/hawthorn-edge/src/version/state.rs
@@ -179,8 +179,8 @@
 
     /// Applies a version unless the current one is as new.
     ///
-    /// Failure: a stale read or a slow peer delivers an older version, and requests are handled
-    /// by routes that operators have replaced.
+    /// A stale read or a slow peer may deliver an older version, which must not bring back routes
+    /// that operators have replaced.
     fn install(&self, table: RouteTable) {
         let mut tables = self.tables.borrow_mut();
         if tables.front().is_some_and(|held| held.version() >= table.version()) {
--- a/crates/hawthorn-intent/src/catalog/build.rs
+++ b/crates/hawthorn-intent/src/catalog/build.rs
@@ -75,10 +75,10 @@
 
 /// Checks a document read from the store or received from a peer, and builds its catalog.
 ///
-/// Failure: during a rolling upgrade, a newer daemon accepts a document with a key that older
-/// daemons do not know. If those rejected it, they would stay at an old revision until restarted,
-/// and the fleet would run two configurations. Unknown keys are therefore ignored here, and only
-/// here: edits that contain them are rejected.
+/// During a rolling upgrade, a newer daemon may accept a document with a key that older daemons
+/// do not know. If those rejected it, they would stay at an old revision until restarted, and the
+/// fleet would run two configurations. Unknown keys are therefore ignored here, and only here:
+/// edits that contain them are rejected.
 ///
 /// # Errors
 ///
--- a/crates/hawthorn-intent/src/check/names.rs
+++ b/crates/hawthorn-intent/src/check/names.rs
@@ -127,8 +127,8 @@
     for (index, target) in files.inventory.targets.iter().enumerate() {
         values.push(UniqueValue::new("target", index, "name", &target.name));
         values.push(UniqueValue::new("target", index, "asset", &target.asset));
-        // Failure: two targets share an address. The slots of one server would be counted twice,
-        // and `GET /state` would return the name of the other target.
+        // If two targets shared an address, the slots of one server would be counted twice, and
+        // `GET /state` would return the name of the other target.
         if target.address != NO_ADDRESS {
             let value = Cow::Owned(target.address.to_string());
             values.push(UniqueValue { list: "target", index, key: "address", value });
--- a/crates/hawthorn-intent/src/reconcile/mod.rs
+++ b/crates/hawthorn-intent/src/reconcile/mod.rs
@@ -340,10 +340,10 @@
 
     /// Switches a draining target off when no request runs on it.
     ///
-    /// Failure: a target is switched off during a request, which closes the connection and leaves
-    /// the outcome of a non-idempotent request unknown. The target's report is delayed, so this
-    /// host's own count of requests in flight is used; the drain time covers hosts that owned the
-    /// target until recently.
+    /// Switching it off during a request would close the connection and leave the outcome of a
+    /// non-idempotent request unknown. The target's report is delayed, so this host's own count
+    /// of requests in flight is used; the drain time covers hosts that owned the target until
+    /// recently.
     fn switch_off(&self, observation: &TargetObservation, history: &TargetHistory) -> TargetStep {
         if observation.in_flight > 0 || history.draining_time(self.now) < self.options.drain_time {
             return TargetStep::Wait(DriftCause::Draining);
--- a/crates/hawthorn-intent/src/settings/read.rs
+++ b/crates/hawthorn-intent/src/settings/read.rs
@@ -183,8 +183,9 @@
     faults: &mut Vec<ConfigFault>,
 ) {
     let fleet = &settings.fleet;
-    // Failure: a single lost datagram moves the ownership of targets, which causes a wave of new
-    // connections of 6 ms each. Three consecutive losses are unlikely to be coincidence.
+    // With a lower limit, a single lost datagram could move the ownership of targets, which
+    // causes a wave of new connections of 6 ms each. Three consecutive losses are unlikely to be
+    // coincidence.
     let min = fleet.heartbeat * MIN_SUSPECT_HEARTBEATS;
     if fleet.suspect_after < min {
         let expected = format!("at least {MIN_SUSPECT_HEARTBEATS} heartbeats, {}", min.show());
--- a/crates/hawthorn-intent/tests/catalog.rs
+++ b/crates/hawthorn-intent/tests/catalog.rs
@@ -106,8 +106,9 @@
     Ok(())
 }
 
-/// Failure: group ids depend on the order of entries in the inventory. Hosts that disagree on ids
-/// disagree on the owner of a target, so that two hosts own it permanently and exceed its slots.
+/// Guards against group ids that depend on the order of entries in the inventory. Hosts that
+/// disagree on ids disagree on the owner of a target, so that two hosts own it permanently and
+/// exceed its slots.
 #[test]
 fn group_ids_do_not_depend_on_entry_order() -> TestResult {
     let outcome = check_example(DAR_PORT);
@@ -161,9 +162,9 @@
     }
 }
 
-/// Failure: during a rolling upgrade, a newer daemon accepts a document with a key that older ones
-/// do not know. If those rejected it, they would stay at the previous revision, and answers would
-/// depend on which host receives the request.
+/// During a rolling upgrade, a newer daemon accepts a document with a key that older ones do not
+/// know. If those rejected it, they would stay at the previous revision, and answers would depend
+/// on which host receives the request.
 #[test]
 fn a_document_with_an_unknown_key_is_loaded() -> TestResult {
     let rules = format!("{}[future]\nkey = 1\n", POLAND.rules);
--- a/crates/hawthorn-intent/tests/reconcile.rs
+++ b/crates/hawthorn-intent/tests/reconcile.rs
@@ -84,9 +84,9 @@
     RoundCase { at, old, in_flight, new, orders, causes }
 }
 
-/// Failure: an edit replaces the only target of a shard, the old target drains at once while the
-/// new one is still loading, and a conflict check is incomplete. The new target must be ordered
-/// first; the old one serves until it is ready, then drains, and is switched off only when idle.
+/// An edit replaces the only target of a shard. With an incomplete conflict check, the old target
+/// would drain at once while the new one is still loading. The new target must be ordered first;
+/// the old one serves until it is ready, then drains, and is switched off only when idle.
 #[test]
 fn a_replaced_target_drains_only_when_the_new_one_is_ready() -> TestResult {
     let catalog = pair(2, "old")?;
@@ -135,10 +135,10 @@
     Ok(())
 }
 
-/// Failure: an edit replaces two targets by two others, both old ones drain when the first new one
-/// is ready, and urgent requests queue for half a minute. The old ones must stay until both new
-/// ones are ready, but for at most two cold starts, so that a new one that never starts does not
-/// keep them on.
+/// Guards against two replaced targets both draining when the first of the two new ones is ready,
+/// so that urgent requests queue for half a minute. The old ones must stay until both new ones
+/// are ready, but for at most two cold starts, so that a new one that never starts does not keep
+/// them on.
 #[test]
 fn replaced_targets_serve_until_all_new_ones_are_ready() -> TestResult {
     let targets =
@@ -164,9 +164,9 @@
     Ok(())
 }
 
-/// Failure: while an edit propagates, one host still has the revision in which `old` serves,
-/// another already the one in which `new` serves. Both targets are ready, so each host drains one
-/// of them, and the shard is uncovered for seconds. A target must not count as ready until it has
+/// While an edit propagates, one host still has the revision in which `old` serves, another
+/// already the one in which `new` serves. Both targets are ready, so each host would drain one of
+/// them and leave the shard uncovered for seconds. A target must not count as ready until it has
 /// been desired to serve for the settle time.
 #[test]
 fn hosts_at_different_revisions_do_not_drain_all_targets() -> TestResult {
@@ -193,8 +193,8 @@
     Ok(())
 }
 
-/// Failure: with an unrelated edit every four seconds, a target that should leave service for a
-/// repair never does, because each edit restarts its settle time. The settle time must be tracked
+/// Guards against a target that should leave service for a repair but never does, because an
+/// unrelated edit every four seconds restarts its settle time. The settle time must be tracked
 /// for each target and not for the revision.
 #[test]
 fn unrelated_edits_do_not_restart_the_settle_time() -> TestResult {
@@ -216,9 +216,9 @@
     Ok(())
 }
 
-/// Failure: an edit is reverted while a target that was ordered to drain still reports that it is
-/// ready. It seems to be in its desired state, so no order is sent; then it drains and stays
-/// drained. The last order must be taken into account in addition to the observed phase.
+/// An edit is reverted while a target that was ordered to drain still reports that it is ready.
+/// It seems to be in its desired state; if no order were sent, it would drain and stay drained.
+/// The last order must be taken into account in addition to the observed phase.
 #[test]
 fn a_reverted_edit_revokes_its_order() -> TestResult {
     let (keep, leave) = (pair(1, "nothing")?, pair(2, "old")?);
@@ -234,8 +234,9 @@
     Ok(())
 }
 
-/// Failure: an order is lost, so the target stays off and the shard lacks a replica. The order must
-/// be repeated, but not in every round, since targets report the effect of an order with a delay.
+/// If a lost order were not repeated, the target would stay off and the shard lack a replica. But
+/// it must not be repeated in every round, since targets report the effect of an order with a
+/// delay.
 #[test]
 fn a_lost_order_is_repeated_after_the_retry_time() -> TestResult {
     let catalog = pair(1, "old")?;
@@ -252,9 +253,9 @@
     Ok(())
 }
 
-/// Failure: many targets are down and never act on the order to serve. Repeated orders to them
-/// reach the limit of every round, and targets that should drain keep serving for hours. A round
-/// must start with the targets that have received no order yet.
+/// Guards against repeated orders to many targets that are down and never act on the order to
+/// serve: they reach the limit of every round, and targets that should drain keep serving for
+/// hours. A round must start with the targets that have received no order yet.
 #[test]
 fn unreachable_targets_do_not_exhaust_the_order_limit() -> TestResult {
     const COUNT: u32 = 128;
@@ -358,10 +359,10 @@
     }
 }
 
-/// Failure: each of several edits in a row keeps one target serving, but targets apply orders and
-/// report with a delay, and the next edit arrives before the previous one has taken effect, so that
-/// the shard is uncovered. In every round of any such sequence, at least one target must be ready
-/// and not ordered to leave service.
+/// Each of several edits in a row keeps one target serving, but targets apply orders and report
+/// with a delay, and the next edit arrives before the previous one has taken effect, which could
+/// uncover the shard. In every round of any such sequence, at least one target must be ready and
+/// not ordered to leave service.
 #[test]
 fn no_sequence_of_edits_leaves_a_shard_uncovered() -> TestResult {
     let edits = prop::collection::vec((1_u8..8, 1_u64..30), 1..8);
--- a/crates/hawthorn-plan/src/merge.rs
+++ b/crates/hawthorn-plan/src/merge.rs
@@ -35,10 +35,10 @@
 
     /// The total, and the best `limit` matches in descending order of score.
     ///
-    /// Failure: two parts return the same document, because its key was searched
-    /// twice while it moved between targets; callers would see it twice. Documents
-    /// are deduplicated by id, the higher score is kept, and the total is reduced
-    /// by the duplicates found.
+    /// Two parts return the same document if its key was searched twice while it
+    /// moved between targets; callers would see it twice. Documents are
+    /// deduplicated by id, the higher score is kept, and the total is reduced by
+    /// the duplicates found.
     pub fn finish(mut self, limit: usize) -> (u64, Vec<DocumentMatch>) {
         self.matches.sort_by(by_rank);
         let mut seen = HashSet::with_capacity(self.matches.len());
--- a/crates/hawthorn-plan/src/track/answer.rs
+++ b/crates/hawthorn-plan/src/track/answer.rs
@@ -33,10 +33,10 @@
 impl QueryTrack {
     /// Handles the answer to a batch.
     ///
-    /// Failure: an answer to another batch, or one that arrives after its batch was
-    /// given up, would add foreign or duplicate matches. Answers are therefore
-    /// accepted only for an open batch of the same owner and once for each of its
-    /// pieces; others are dropped and counted.
+    /// An answer to another batch, or one that arrives after its batch was given
+    /// up, would add foreign or duplicate matches. Answers are therefore accepted
+    /// only for an open batch of the same owner and once for each of its pieces;
+    /// others are dropped and counted.
     pub(super) fn handle_answer(
         &mut self,
         batch: BatchId,
@@ -173,9 +173,9 @@
 
     /// Whether the part has the query's version and lies within the requested keys.
     ///
-    /// Failure: a target switches its index version during a search, or searches
-    /// more than requested. The first would mix two snapshots in one answer, the
-    /// second would count documents twice.
+    /// A target may switch its index version during a search, or search more than
+    /// requested. The first would mix two snapshots in one answer, the second would
+    /// count documents twice.
     fn is_valid(&self, range: KeyRange, part: &SearchedPart) -> bool {
         let outside = part.searched.difference(&RangeSet::from(range));
         Some(part.version) == self.version
--- a/crates/hawthorn-pool/src/driven.rs
+++ b/crates/hawthorn-pool/src/driven.rs
@@ -2,9 +2,9 @@
 //!
 //! Handles a query over ninety shards on a host short of processor time: all its requests
 //! are created in one turn of the event loop, each with the time that its caller has left.
-//! Failure: with a task for each connection, all requests are created before the first is
-//! written, and the time left that they state has partly passed by then. Here a request is
-//! written in the poll that creates it, before any other task runs.
+//! With a task for each connection, all requests would be created before the first is
+//! written, and the time left that they state would partly have passed by then. Here a request
+//! is written in the poll that creates it, before any other task runs.
 //!
 //! An idle connection is not driven. That it was closed is detected when it is next acquired.
 
--- a/crates/hawthorn-pool/src/lib.rs
+++ b/crates/hawthorn-pool/src/lib.rs
@@ -44,8 +44,8 @@
 
 /// Idle time before the first TCP keepalive probe, and interval between probes.
 ///
-/// Failure: a network path drops packets without a reset, and every request on the
-/// connection waits for its timeout.
+/// Without probes, every request on a connection whose network path drops packets
+/// without a reset would wait for its timeout.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Unanswered keepalive probes after which the kernel closes the connection.
 const KEEPALIVE_RETRIES: u32 = 2;
@@ -312,8 +312,9 @@
 
     /// Closes the idle connections.
     ///
-    /// Failure: a network path fails for all connections at once, and each of them costs one
-    /// request its timeout. After the first timeout the idle ones are closed as well.
+    /// A network path may fail for all connections at once, and each of them would cost
+    /// one request its timeout. So after the first timeout the idle ones are closed as
+    /// well.
     pub fn clear(&self) {
         self.idle.clear();
     }
--- a/crates/hawthorn-route/src/admission.rs
+++ b/crates/hawthorn-route/src/admission.rs
@@ -169,11 +169,11 @@
             if rejected || feedback.queue_wait > standing_wait {
                 self.overloaded_until = now + options.crowded_time;
             }
-            // Failure: targets are full, and each query fails within a few milliseconds because
-            // too many of its parts are rejected. If its slot were released at once, even a
-            // window of two queries would admit hundreds per second, whose other parts fill
-            // the queues although no query is answered. The slot is therefore released when
-            // the target latency has passed, as if the query had waited; see tests/goodput.
+            // When targets are full, each query fails within a few milliseconds because too many
+            // of its parts are rejected. If its slot were released at once, even a window of two
+            // queries would admit hundreds per second, whose other parts fill the queues although
+            // no query is answered. The slot is therefore released when the target latency has
+            // passed, as if the query had waited; see tests/goodput.
             if load.failed && elapsed < target_latency {
                 self.delayed_releases.push(now + (target_latency - elapsed));
                 return;
--- a/crates/hawthorn-route/src/clock_offset.rs
+++ b/crates/hawthorn-route/src/clock_offset.rs
@@ -50,8 +50,8 @@
 impl PeerClock {
     /// Records an exchange; returns false if its timestamps are inconsistent.
     ///
-    /// Failure: a peer's machine reboots, and its clock starts again. Samples that disagree with
-    /// the new one by more than the sum of both round trips are dropped.
+    /// A peer's clock starts again when its machine reboots. Samples that disagree with the new
+    /// one by more than the sum of both round trips are dropped.
     pub fn record(&mut self, exchange: &Exchange) -> bool {
         let Exchange { sent, received, replied, reply_received } = *exchange;
         let (Some(total), Some(at_peer)) =
@@ -118,11 +118,11 @@
 /// Converts the deadlines of a gather request that is read at `now`, by an event loop that has
 /// been busy for `busy` without idling; `None` if they are invalid.
 ///
-/// Failure: a request is queued for most of a second at its sender, or at a reader with little
-/// processor time, and its time left starts when it is read: targets receive time that the
-/// caller no longer has. If the sender knows the reader's clock, the request carries its
-/// deadlines; otherwise it is assumed to be as old as the loop has been busy. A wrong clock
-/// never extends the time left.
+/// A request may be queued for most of a second at its sender, or at a reader with little
+/// processor time. If its time left were counted from when it is read, targets would receive time
+/// that the caller no longer has. If the sender knows the reader's clock, the request carries its
+/// deadlines; otherwise it is assumed to be as old as the loop has been busy. A wrong clock never
+/// extends the time left.
 ///
 /// Parts are due earlier by the reader's scheduling delay `lag` instead of the sender's, because
 /// the delay of a host with an eighth of a core is several times that of its gatherer.
--- a/crates/hawthorn-route/src/cold/claim.rs
+++ b/crates/hawthorn-route/src/cold/claim.rs
@@ -118,8 +118,8 @@
     /// Records the outcome of a write.
     pub fn record(&mut self, write: SlotWrite, outcome: WriteOutcome, now: Duration) {
         let WriteOutcome::Done(revision) = outcome else {
-            // Failure: a write without an answer may be executed later, and the holder would
-            // continue with an outdated revision. It starts a new claim instead.
+            // A write without an answer may be executed later, and the holder would continue with
+            // an outdated revision. It starts a new claim instead.
             self.held = None;
             return;
         };
--- a/crates/hawthorn-route/src/evacuation.rs
+++ b/crates/hawthorn-route/src/evacuation.rs
@@ -35,8 +35,8 @@
 impl ZoneEvacuations {
     /// Applies a change of one zone that was made at `revision`.
     ///
-    /// Failure: a zone is evacuated and released in quick succession, the changes arrive in
-    /// the wrong order, and the zone stays evacuated.
+    /// A zone may be evacuated and released in quick succession. If the changes arrive in the
+    /// wrong order, the older one is ignored, so that the zone does not stay evacuated.
     pub fn apply(&mut self, zone: &str, evacuated: bool, revision: u64) -> EvacuationChange {
         let known = self.zones.get(zone).copied();
         if known.is_some_and(|record| revision < record.revision) {
--- a/crates/hawthorn-route/src/mirror.rs
+++ b/crates/hawthorn-route/src/mirror.rs
@@ -71,9 +71,9 @@
 
     /// Applies an update and returns the items that it changed.
     ///
-    /// Failure: a page that was read earlier and a watch event, or the answers of two peers,
-    /// arrive out of order, and an older item replaces a newer one. Only a greater revision
-    /// replaces an item.
+    /// Only a greater revision replaces an item: a page that was read earlier and a watch event,
+    /// or the answers of two peers, may arrive out of order, and an older item must not replace a
+    /// newer one.
     pub fn apply(&mut self, update: MirrorUpdate) -> Vec<MirrorItem> {
         let mut changed = Vec::new();
         if update.complete {
--- a/crates/hawthorn-route/src/placement.rs
+++ b/crates/hawthorn-route/src/placement.rs
@@ -94,12 +94,11 @@
 
     /// The queueing delay at one target.
     ///
-    /// Failure: a paused target reports nothing, and its last report shows an empty queue. Or
-    /// the load exceeds the target's connections, and requests queue at the hosts, where the
-    /// target does not count them. Both show in the age of the oldest request: a new request
-    /// waits at least as long again, in addition to the queue. The typical service time is
-    /// used instead of the target's own, because the latter includes queueing delays, which
-    /// would then count twice.
+    /// A paused target reports nothing, and its last report shows an empty queue. Or the load
+    /// exceeds the target's connections, and requests queue at the hosts, where the target does
+    /// not count them. Both show in the age of the oldest request: a new request waits at least
+    /// as long again, in addition to the queue. The typical service time is used instead of the
+    /// target's own, because the latter includes queueing delays, which would then count twice.
     fn target_queue_wait(self, state: &TargetState) -> Duration {
         let slots = f64::from(state.entry.slots.max(1));
         let own = (state.in_flight.len() as f64 - slots).max(0.0) / slots;
--- a/crates/hawthorn-route/src/quarantine/table.rs
+++ b/crates/hawthorn-route/src/quarantine/table.rs
@@ -156,8 +156,8 @@
         if strikes == CONFIRMED_STRIKES {
             changes.push(self.strike_one(route, strikes, true, identity, now, options));
         }
-        // Failure: targets reset connections for unrelated reasons, and callers are refused.
-        // A caller is refused only if it accounts for most of the strikes of all routes.
+        // A caller is refused only if it accounts for most of the strikes of all routes, because
+        // targets also reset connections for reasons unrelated to the caller.
         let previous = self.records.get(&caller).map_or(0, |record| record.strikes);
         let majority =
             previous.saturating_add(strikes).saturating_mul(2) > self.total_route_strikes();
@@ -231,7 +231,7 @@
     /// Merges another host's record, and queues it for gossip if it changed this one.
     pub fn merge(&mut self, notice: &Notice, now: Duration, options: &Options) -> Option<Change> {
         let subject = notice.subject;
-        // Failure: hosts exchange expiring records indefinitely.
+        // Without this check, hosts would exchange expiring records indefinitely.
         if notice.life_ms == 0 || !options.on {
             return None;
         }
--- a/crates/hawthorn-route/src/registry.rs
+++ b/crates/hawthorn-route/src/registry.rs
@@ -208,8 +208,8 @@
     /// Treats the targets of a zone as cold, each for the time that `cold_start` returns for its
     /// service. Targets of services without a limit for cold targets do not change.
     ///
-    /// Failure: a zone's targets are cold when its evacuation ends, and receive requests without
-    /// a limit until the entries that report them as cold arrive.
+    /// The targets are cold when the zone's evacuation ends, and would receive requests without a
+    /// limit until the entries that report them as cold arrive.
     pub fn presume_cold(
         &mut self,
         zone: &str,
@@ -257,8 +257,8 @@
 
     /// Checks that a request may be sent to a target, and counts it if the target is cold.
     ///
-    /// Failure: a request waits for a connection while its target leaves or its zone is
-    /// evacuated, and is sent seconds later. It is therefore checked again before it is sent.
+    /// A request may wait for a connection while its target leaves or its zone is evacuated, and
+    /// be sent seconds later. It is therefore checked again before it is sent.
     ///
     /// # Errors
     /// The reason why the request may not be sent.
--- a/crates/hawthorn-route/src/retry_after.rs
+++ b/crates/hawthorn-route/src/retry_after.rs
@@ -44,8 +44,8 @@
     let until_moved =
         not_ready_for.map_or(Duration::ZERO, |since| BALANCER_DELAY.saturating_sub(since));
     match reason {
-        // Failure: callers of a partitioned zone are refused, retry at once in the same zone,
-        // and are refused for good. After the balancer has reacted, another zone serves them.
+        // Callers of a partitioned zone that retry at once reach the same zone and are refused
+        // for good. After the balancer has reacted, another zone serves them.
         RefusalReason::NoTarget | RefusalReason::Unreachable => until_moved + delay,
         _ => delay,
     }
--- a/crates/hawthorn-route/src/scatter.rs
+++ b/crates/hawthorn-route/src/scatter.rs
@@ -111,8 +111,8 @@
 impl ScatterPlan {
     /// Whether enough shards have a target for an answer to be possible.
     ///
-    /// Failure: targets execute requests for a query that cannot be answered, and its caller
-    /// waits for the failure. Such a query is refused at once.
+    /// A query that cannot be answered is refused at once. Otherwise targets would execute
+    /// requests for it, and its caller would wait for the failure.
     pub fn can_answer(&self, rule: &GatherRule) -> bool {
         let available = self.sources.len() - self.unavailable();
         available as f64 >= rule.min_share * self.sources.len() as f64 && available > 0
@@ -126,8 +126,8 @@
     /// How many of the shards that have a target may be missing from the answer, given
     /// `max_missing` over all shards.
     ///
-    /// Failure: one shard has no target, two others are skipped, and the query fails with the
-    /// next late part although the skipped shards were available.
+    /// If a shard without a target did not count, two others could be skipped, and the query
+    /// would fail with the next late part although the skipped shards were available.
     pub fn max_missing_left(&self, max_missing: usize) -> usize {
         max_missing.saturating_sub(self.unavailable())
     }
--- a/crates/hawthorn-store/src/claim/batch.rs
+++ b/crates/hawthorn-store/src/claim/batch.rs
@@ -66,11 +66,11 @@
 impl<S: Store> Committer<S> {
     /// Writes `batch` and removes the abandoned claims of the span in the same write.
     ///
-    /// Failure: the answer to a write is lost after the write took effect, and a retry
-    /// would attribute its claims to another host. The value is read again, and a nonce of
-    /// this batch in it marks a claim as recorded. If there is none, the first write may
-    /// still take effect: the next one expects the same revision, so that only one of the
-    /// two can succeed, and both contain the same nonces.
+    /// The answer to a write may be lost after the write took effect, and a retry would attribute
+    /// its claims to another host. The value is therefore read again, and a nonce of this batch
+    /// in it marks a claim as recorded. If there is none, the first write may still take effect:
+    /// the next one expects the same revision, so that only one of the two can succeed, and both
+    /// contain the same nonces.
     pub(super) async fn commit(&mut self, span: u64, mut batch: ClaimBatch, attempts: u32) {
         let mut cache = self.caches.remove(&span).unwrap_or_default();
         for _ in 0..attempts {
--- a/crates/hawthorn-store/src/claim/cache.rs
+++ b/crates/hawthorn-store/src/claim/cache.rs
@@ -110,8 +110,8 @@
 
     /// Records the result of a read.
     ///
-    /// Failure: the store is restored from a backup and lacks the claims written since,
-    /// which shows as a smaller revision. The next write restores those that are cached.
+    /// A smaller revision shows that the store was restored from a backup and lacks the claims
+    /// written since. The next write restores those that are cached.
     pub(super) fn record_read(
         &mut self,
         entry: Option<StoreEntry>,
--- a/crates/hawthorn-store/src/claim/grant.rs
+++ b/crates/hawthorn-store/src/claim/grant.rs
@@ -68,10 +68,10 @@
 impl ClaimGrant {
     /// Uses the grant. Call it immediately before the request is sent.
     ///
-    /// Failure: the process is paused between claim and dispatch and resumes after the caller
-    /// has given up, so that an order takes effect that nobody expects. The monotonic clock
-    /// detects this unless it stops while a virtual machine is paused; then Unix time shows
-    /// that the id has left the window, after which the claim may have been swept.
+    /// If the process is paused between claim and dispatch and resumes after the caller has given
+    /// up, an order would take effect that nobody expects. The monotonic clock detects this
+    /// unless it stops while a virtual machine is paused; then Unix time shows that the id has
+    /// left the window, after which the claim may have been swept.
     ///
     /// # Errors
     /// [`GrantExpired`] if the deadline has passed or the request id is too old. The claim is
--- a/crates/hawthorn-store/src/claim/stamp.rs
+++ b/crates/hawthorn-store/src/claim/stamp.rs
@@ -86,8 +86,8 @@
 
     /// Checks that the id lies within the window in which claims are kept.
     ///
-    /// Failure: an id older than the window would find no claim and run a second time. It is
-    /// refused as not run, which is true of this send.
+    /// An id older than the window would find no claim and run a second time. It is refused as
+    /// not run, which is true of this send.
     ///
     /// # Errors
     /// The reason for the refusal: the id is too old, or too far in the future.
--- a/crates/hawthorn-store/src/claim/sweep.rs
+++ b/crates/hawthorn-store/src/claim/sweep.rs
@@ -22,9 +22,9 @@
 /// Deletes the expired values of `bucket`, with one list call and one deletion for each span.
 /// It is sufficient that the bucket's owner calls it once a minute.
 ///
-/// Failure: if a claim is deleted too early, a second send of its id runs again. A value is
-/// deleted only when `window` and `margin` have both passed since the end of its span, so that
-/// even a host whose clock is `margin` behind rejects its ids as too old.
+/// If a claim were deleted too early, a second send of its id would run again. A value is deleted
+/// only when `window` and `margin` have both passed since the end of its span, so that even a
+/// host whose clock is `margin` behind rejects its ids as too old.
 ///
 /// # Errors
 /// If the values could not be listed.
--- a/crates/hawthorn-store/src/client/call.rs
+++ b/crates/hawthorn-store/src/client/call.rs
@@ -32,8 +32,8 @@
 
 /// Idle time before the first TCP keepalive probe, and interval between probes.
 ///
-/// Failure: a watch waits on a connection that was lost without a reset, and a change is
-/// noticed only when the watch times out.
+/// Without probes, a watch on a connection that was lost without a reset would notice a change
+/// only when it times out.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(1000);
 /// Unanswered keepalive probes after which the kernel closes the connection.
 const KEEPALIVE_RETRIES: u32 = 2;
--- a/crates/hawthorn-store/src/edit/mod.rs
+++ b/crates/hawthorn-store/src/edit/mod.rs
@@ -195,10 +195,10 @@
 
 /// Distinguishes a lost answer from a conflict.
 ///
-/// Failure: a write takes effect, its answer is lost, and another editor immediately
-/// replaces the document. The first editor then reads a document by someone else at a later
-/// revision, which looks like a conflict. Since an editor copies the document that it replaces
-/// to the history, the id of the first edit is found there.
+/// If a write takes effect, its answer is lost, and another editor immediately replaces the
+/// document, the first editor reads a document by someone else at a later revision, which looks
+/// like a conflict. Since an editor copies the document that it replaces to the history, the id
+/// of the first edit is found there.
 async fn edit_state(
     store: &impl Store,
     proposed: &ProposedEdit,
