--- a/crates/hawthorn-daemon/src/connection/peer.rs
+++ b/crates/hawthorn-daemon/src/connection/peer.rs
@@ -139,8 +139,8 @@
 
     /// Closes the connections to all addresses that `is_kept` rejects.
     ///
-    /// Failure: a host is unreachable for minutes and then returns. The old TCP connection is still
-    /// open, but its retransmissions are a minute apart by then, so every call on it is lost.
+    /// When a host returns after being unreachable for minutes, its old TCP connection is still
+    /// open, but the retransmissions are a minute apart by then, so every call on it is lost.
     /// Closing the connection to an unreachable host lets its return open a new one.
     pub fn retain(&self, is_kept: impl Fn(SocketAddr) -> bool) {
         let mut links = self.links.lock().expect("no holder of the lock panics");
--- a/crates/hawthorn-daemon/src/connection/serve.rs
+++ b/crates/hawthorn-daemon/src/connection/serve.rs
@@ -47,8 +47,8 @@
 
 /// Rejects new calls near the end of a planned stop.
 ///
-/// Failure: a host that does not know about the stop yet sends a request just before the process
-/// ends. A query then waits for its fallback, and a non-idempotent request ends as unknown. Once
+/// A host that does not know about the stop yet may send a request just before the process ends. A
+/// query would then wait for its fallback, and a non-idempotent request would end as unknown. Once
 /// the gate is closed, new calls are rejected at once as not run and go to the next owner.
 #[derive(Clone, Debug, Default)]
 pub struct ShutdownGate {
@@ -139,8 +139,8 @@
 }
 
 fn serve(stream: TcpStream, server: PeerServer, stop: &CancellationToken) {
-    // Failure: with Nagle's algorithm, an answer of more than one segment waits for the peer's
-    // delayed acknowledgement (40 ms), which shows as a second peak in the latency distribution.
+    // With Nagle's algorithm, an answer of more than one segment waits for the peer's delayed
+    // acknowledgement (40 ms), which shows as a second peak in the latency distribution.
     let _unset = stream.set_nodelay(true);
     let framed =
         LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_framed(stream);
--- a/crates/hawthorn-daemon/src/owner/attempt.rs
+++ b/crates/hawthorn-daemon/src/owner/attempt.rs
@@ -75,10 +75,10 @@
 
 /// Whether the answer belongs to this search.
 ///
-/// Failure: a target, or a proxy in front of it, mixes up connections or switches versions during a
-/// search. The caller would get another caller's matches, or two snapshots in one answer. Every
-/// field that identifies the search must be echoed unchanged, and nothing outside the requested
-/// range may have been searched.
+/// Every field that identifies the search must be echoed unchanged, and nothing outside the
+/// requested range may have been searched. If a target, or a proxy in front of it, mixes up
+/// connections or switches versions during a search, the caller would otherwise get another
+/// caller's matches, or two snapshots in one answer.
 fn matches_search(search: &ShardSearch, answer: &ShardAnswer) -> bool {
     let outside = answer.searched.difference(&RangeSet::from(search.range));
     answer.request == search.request
--- a/crates/hawthorn-daemon/src/owner/intent.rs
+++ b/crates/hawthorn-daemon/src/owner/intent.rs
@@ -33,9 +33,9 @@
 
 /// Time for which a target must have been in use before it is reported as ready to other zones.
 ///
-/// Failure: another zone's reconciler switches off its replica because of a report from before this
-/// target's last order, and the shard has no target left. Equal to the settling time that a
-/// reconciler grants its own targets.
+/// Without this wait, another zone's reconciler could switch off its replica because of a report
+/// from before this target's last order, and the shard would have no target left. Equal to the
+/// settling time that a reconciler grants its own targets.
 const READY_AFTER: Duration = Duration::from_secs(5);
 
 /// Probe interval of a target that is switched off intentionally. Short enough to detect one that
--- a/crates/hawthorn-daemon/src/owner/observe.rs
+++ b/crates/hawthorn-daemon/src/owner/observe.rs
@@ -19,9 +19,9 @@
 /// Number of consecutive failed probes after which fronts no longer see a target. The first failure
 /// is followed by another probe at once.
 ///
-/// Failure: a single late answer of a busy target or host removes the target from the view until
-/// the next probe a second later. If it is the only replica switched on, every answer is incomplete
-/// meanwhile.
+/// A single late answer of a busy target or host must not remove the target from the view until the
+/// next probe a second later: if it is the only replica switched on, every answer would be
+/// incomplete meanwhile.
 const MAX_MISSED_PROBES: u32 = 2;
 
 impl OwnerWorker {
--- a/crates/hawthorn-daemon/src/owner/relay.rs
+++ b/crates/hawthorn-daemon/src/owner/relay.rs
@@ -146,9 +146,9 @@
 
     /// Defers the failure of a piece if another zone may still answer it.
     ///
-    /// Failure: the only replica in this zone fails while another zone's works. If the failure were
-    /// reported at once, the front would retry there itself, a round trip later and from a
-    /// different budget.
+    /// When the only replica in this zone fails while another zone's works, reporting the failure
+    /// at once would make the front retry there itself, a round trip later and from a different
+    /// budget.
     pub(super) fn defer_to_relay(&mut self, piece: PieceKey, reason: MissingReason) -> bool {
         if !self.relays.sent.contains_key(&piece) && !self.relay(piece, retry_reason(reason)) {
             return false;
--- a/crates/hawthorn-daemon/src/owner/reload.rs
+++ b/crates/hawthorn-daemon/src/owner/reload.rs
@@ -105,8 +105,8 @@
         let target =
             OwnedTarget { pool, shards, held: Vec::new(), reachable: false, missed: 0, usage };
         self.targets.insert(key, target);
-        // Failure: after a change of ownership, the new owner reports no replica until its first
-        // regular probe, up to a second later. It therefore probes the target at once.
+        // Probes the target at once: after a change of ownership, the new owner would otherwise
+        // report no replica until its first regular probe, up to a second later.
         if wanted != DesiredState::Off {
             self.probe_now(key);
         }
--- a/crates/hawthorn-daemon/src/owner/usage.rs
+++ b/crates/hawthorn-daemon/src/owner/usage.rs
@@ -33,14 +33,14 @@
 
 /// Decides how the target is used; it gets work only if the result is [`DesiredState::Serve`].
 ///
-/// Failure: a rule switches off the only target of a shard, and every answer is incomplete until
-/// another one is warm. A serving target therefore stays in use until a reconciler round under the
-/// new revision has released it.
+/// A serving target stays in use until a reconciler round under the new revision has released it.
+/// Otherwise a rule could switch off the only target of a shard, and every answer would be
+/// incomplete until another one is warm.
 ///
-/// Failure: a target that was off or on standby gets work before it has received its order. It
-/// rejects the work as draining, and the owner then avoids it for seconds. It therefore gets no
-/// work until it reports that it is ready. As reports can be late or wrong, this wait is limited to
-/// the duration of a cold start.
+/// A target that was off or on standby gets no work until it reports that it is ready. Before it
+/// has received its order it would reject the work as draining, and the owner would then avoid it
+/// for seconds. As reports can be late or wrong, this wait is limited to the duration of a cold
+/// start.
 pub fn usage(inputs: UsageInputs) -> DesiredState {
     let was_serving = inputs.previous == Some(DesiredState::Serve);
     if inputs.wanted == DesiredState::Serve {
--- a/crates/hawthorn-daemon/src/owner/worker.rs
+++ b/crates/hawthorn-daemon/src/owner/worker.rs
@@ -363,9 +363,9 @@
                 attempt::search(pool, shard_search).boxed()
             }
             OpenBatch::Run(run) => {
-                // Failure: the process was suspended while the request was unread in its socket, or
-                // the machine and its monotonic clock were paused. The caller may have given up and
-                // acted by other means, or the claim may have expired, so nothing is sent.
+                // Sends nothing if the process was suspended while the request was unread in its
+                // socket, or the machine and its monotonic clock were paused: the caller may have
+                // given up and acted by other means, or the claim may have expired.
                 let not_after = Duration::from_millis(run.batch.not_after_ms);
                 if remaining.is_zero() || unix_now() >= not_after {
                     return false;
--- a/crates/hawthorn-daemon/src/process/fleet/worker.rs
+++ b/crates/hawthorn-daemon/src/process/fleet/worker.rs
@@ -150,7 +150,7 @@
         let busy = Arc::clone(&self.busy.borrow());
         self.handover.tick(now, |bucket| busy.contains(&bucket));
         let peers = self.table.records().filter(|record| record.is_live()).count() - 1;
-        // A host never loses readiness once it has it. Failure: hosts that learn of a newer
+        // A host never loses readiness once it has it. Otherwise hosts that learn of a newer
         // revision before they have its document would reject all callers until it arrives, on
         // every edit and in the whole tier. Answers state the revision that they are based on, so
         // serving from the older one is correct.
--- a/crates/hawthorn-daemon/src/process/reconcile.rs
+++ b/crates/hawthorn-daemon/src/process/reconcile.rs
@@ -28,9 +28,9 @@
 /// nothing new.
 const ROUND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Age from which a view of another owner is ignored. Failure: a zone is partitioned, and a target
-/// here is switched off because of one that has been unreachable since. Views are refreshed every
-/// half second, so expiry means that several refreshes failed.
+/// Age from which a view of another owner is ignored. Otherwise, when a zone is partitioned, a
+/// target here could be switched off because of one that has been unreachable since. Views are
+/// refreshed every half second, so expiry means that several refreshes failed.
 const VIEW_TTL: Duration = Duration::from_secs(3);
 
 /// Inputs of the worker.
--- a/crates/hawthorn-daemon/src/process/refresh.rs
+++ b/crates/hawthorn-daemon/src/process/refresh.rs
@@ -48,11 +48,10 @@
 
 /// Marks the host as synced once all targets are visible.
 ///
-/// Failure: during a rolling restart, a host that has a configuration but no views of the owners
-/// yet answers that no shard has a replica. If the next host stops before others have received the
-/// view of this one, their answers lack the shards whose replicas are owned by these two. A
-/// starting host is therefore ready only when its table is complete and other hosts have had time
-/// to fetch its view.
+/// A starting host is ready only when its table is complete and other hosts have had time to fetch
+/// its view. In a rolling restart, a host that has a configuration but no views of the owners yet
+/// would answer that no shard has a replica. If the next host stopped before others have received
+/// the view of this one, their answers would lack the shards whose replicas are owned by these two.
 async fn wait_for_sync(front: &FrontContext) {
     let mut started = None;
     let mut complete_since = None;
@@ -120,8 +119,8 @@
 
 /// Fetches the views of owners that have none yet, concurrently.
 ///
-/// Failure: a front that has just started, or that gets the first query to a service, has no views
-/// of the owners and would report their shards as missing.
+/// Without this, a front that has just started, or that gets the first query to a service, would
+/// have no views of the owners and report their shards as missing.
 pub(crate) async fn fetch_views(front: &FrontContext, owners: &[MemberId]) {
     let fleet = front.fleet_view();
     let hosts = fleet.all_owners().filter(|host| owners.contains(&host.id));
--- a/crates/hawthorn-daemon/src/request/once.rs
+++ b/crates/hawthorn-daemon/src/request/once.rs
@@ -161,10 +161,10 @@
 
 /// Dispatches the request to one owner after another until one runs it.
 ///
-/// Failure: an owner fails after it received the request and another runs it again, which sends two
-/// barges to one vessel. The claim is therefore consumed before each dispatch, and restored only if
-/// the owner certainly did not receive the request or reports that it did not run it; then the next
-/// owner is tried.
+/// If an owner fails after it received the request, another must not run it again, which would send
+/// two barges to one vessel. The claim is therefore consumed before each dispatch, and restored
+/// only if the owner certainly did not receive the request or reports that it did not run it; then
+/// the next owner is tried.
 async fn dispatch(
     front: &FrontContext,
     checked: &CheckedOnce,
--- a/crates/hawthorn-daemon/src/version/tables.rs
+++ b/crates/hawthorn-daemon/src/version/tables.rs
@@ -63,10 +63,10 @@
 
 /// Time for which a previous owner's report of a shard is used for its successor.
 ///
-/// Failure: after a change of ownership, the new owner has not published its view yet, and its
-/// shards would count as having no replica although the targets are unchanged. The new owner probes
-/// them within this time; a piece sent to it on an outdated report is rejected and goes to another
-/// zone.
+/// After a change of ownership, the new owner has not published its view yet, and without the
+/// report its shards would count as having no replica although the targets are unchanged. The new
+/// owner probes them within this time; a piece sent to it on an outdated report is rejected and
+/// goes to another zone.
 const REPORT_TTL: Duration = Duration::from_secs(2);
 
 /// Last report of each shard in each zone.
--- a/crates/hawthorn-daemon/tests/config.rs
+++ b/crates/hawthorn-daemon/tests/config.rs
@@ -34,9 +34,9 @@
     is_accepted: bool,
 }
 
-/// Failure: an edit uses a key that only newer daemons know; older ones reject the document and
-/// stay at the old revision. Unknown keys are ignored, but real faults, such as a shard without a
-/// serving target, are still rejected.
+/// Guards against daemons that stay at the old revision because an edit uses a key that only newer
+/// ones know. Unknown keys are ignored, but real faults, such as a shard without a serving target,
+/// are still rejected.
 #[test]
 fn unknown_keys_are_ignored_and_faults_rejected() -> TestResult {
     let case = |name, inventory: &str, rules, is_accepted| DocumentCase {
--- a/crates/hawthorn-daemon/tests/intent.rs
+++ b/crates/hawthorn-daemon/tests/intent.rs
@@ -84,9 +84,9 @@
     }
 }
 
-/// Failure: the other zone is partitioned, or its replica is still loading, while a rule switches
-/// this target off. A reconciler that trusts the inventory alone switches off the last target of
-/// the shard, and every answer is incomplete.
+/// Guards against a reconciler that trusts the inventory alone: if the other zone is partitioned,
+/// or its replica is still loading, while a rule switches this target off, it would switch off the
+/// last target of the shard, and every answer would be incomplete.
 #[test]
 fn target_is_held_until_another_zone_has_one_ready() -> TestResult {
     let config = fleet(2, "off")?;
@@ -106,7 +106,7 @@
     Ok(())
 }
 
-/// Failure: the same drift logged every second hides other messages.
+/// Guards against the same drift being logged every second, which hides other messages.
 #[test]
 fn drift_is_reported_once_per_cause() -> TestResult {
     let config = fleet(2, "standby")?;
--- a/crates/hawthorn-decide/src/owner/watch.rs
+++ b/crates/hawthorn-decide/src/owner/watch.rs
@@ -132,8 +132,8 @@
 
     /// Whether one more replica of the shard may be ejected.
     ///
-    /// Failure: a fault of the owner itself (its network, its processor) shows as failures of every
-    /// target. The limit keeps some replicas of each shard in use, so that the shard stays served.
+    /// A fault of the owner itself (its network, its processor) shows as failures of every target.
+    /// The limit keeps some replicas of each shard in use, so that the shard stays served.
     fn can_eject_from(&self, shard: &LiveShard) -> bool {
         let in_service = shard.replicas.iter().filter(|key| self.targets[key.index()].in_service());
         let count = in_service.clone().count();
--- a/crates/hawthorn-decide/tests/admit.rs
+++ b/crates/hawthorn-decide/tests/admit.rs
@@ -33,9 +33,9 @@
 
 const SECONDS: u64 = 5;
 
-/// Failure: under overload, queries that cannot finish in time fill the queues, and every answer
-/// misses its deadline although every slot is busy. The owner must reject the excess at once and
-/// answer what it admits in full.
+/// Guards against queues that fill under overload with queries that cannot finish in time, so that
+/// every answer misses its deadline although every slot is busy. The owner must reject the excess
+/// at once and answer what it admits in full.
 #[test]
 fn overload_rejects_only_the_excess() -> Result<(), Box<dyn Error>> {
     let steady = LoadCase {
--- a/crates/hawthorn-decide/tests/hedge.rs
+++ b/crates/hawthorn-decide/tests/hedge.rs
@@ -38,9 +38,9 @@
     sim
 }
 
-/// Failure: a query of twenty shards waits for the slowest. If 1 % of requests are twenty times
-/// slower, one query in five is as slow as a straggler. Both policies get the same arrivals and
-/// service times.
+/// A query of twenty shards waits for the slowest: if 1 % of requests are twenty times slower, one
+/// query in five is as slow as a straggler unless requests are hedged. Both policies get the same
+/// arrivals and service times.
 #[test]
 fn stragglers_do_not_determine_the_tail() -> Result<(), Box<dyn Error>> {
     let dar = |stragglers| Site { stragglers, ..DAR_PORT };
--- a/crates/hawthorn-decide/tests/owner.rs
+++ b/crates/hawthorn-decide/tests/owner.rs
@@ -84,9 +84,9 @@
     at_most_once: PieceResult,
 }
 
-/// Failure: a non-idempotent request whose connection breaks is sent again and runs twice, or is
-/// reported as not run although it ran. Its result must follow from the end of its only attempt,
-/// while a search is retried at another replica.
+/// Guards against a non-idempotent request that is sent again when its connection breaks and runs
+/// twice, or that is reported as not run although it ran. Its result must follow from the end of
+/// its only attempt, while a search is retried at another replica.
 #[test]
 fn attempt_results_are_reported_correctly() -> Result<(), Box<dyn Error>> {
     let not_run = PieceResult::NotRun(RefusalReason::TargetRefused);
@@ -148,9 +148,9 @@
     Ok(())
 }
 
-/// Failure: a late, repeated or unknown answer is delivered, so that a caller gets an answer twice
-/// or one that belongs to another caller. Here the hedge answers first, then the first attempt
-/// answers twice, then an attempt that does not exist.
+/// A late, repeated or unknown answer must not be delivered: a caller would get an answer twice, or
+/// one that belongs to another caller. Here the hedge answers first, then the first attempt answers
+/// twice, then an attempt that does not exist.
 #[test]
 fn late_and_crossed_answers_are_dropped() -> Result<(), Box<dyn Error>> {
     let mut model = model();
@@ -169,9 +169,8 @@
     Ok(())
 }
 
-/// Failure: a cancelled attempt is never acknowledged. If its slot were released at once, the
-/// target would get more attempts than it has slots; if it were never released, the slot would
-/// leak.
+/// A cancelled attempt is never acknowledged. If its slot were released at once, the target would
+/// get more attempts than it has slots; if it were never released, the slot would leak.
 #[test]
 fn a_slot_is_released_after_an_unacknowledged_cancel() -> Result<(), Box<dyn Error>> {
     let mut model = model();
@@ -190,8 +189,8 @@
     Ok(())
 }
 
-/// Failure: ownership of the targets moves to another host while pieces are queued. If they failed
-/// with "no replica", fronts would give up ranges that the new owner can search.
+/// Ownership of the targets moves to another host while pieces are queued. If they failed with "no
+/// replica", fronts would give up ranges that the new owner can search.
 #[test]
 fn queued_pieces_fail_as_owner_unreachable_after_a_move() -> Result<(), Box<dyn Error>> {
     let mut model = model();
@@ -212,9 +211,9 @@
     Ok(())
 }
 
-/// Failure: all targets of a shard are switched off or drain while pieces are queued, and the
-/// pieces time out one by one. They must fail at once, and new ones be rejected with a retry-after
-/// time.
+/// Guards against pieces that time out one by one in the queue after all targets of their shard
+/// were switched off or began to drain. They must fail at once, and new ones be rejected with a
+/// retry-after time.
 #[test]
 fn queued_pieces_without_a_replica_fail_at_once() -> Result<(), Box<dyn Error>> {
     let mut model = model();
--- a/crates/hawthorn-decide/tests/queue.rs
+++ b/crates/hawthorn-decide/tests/queue.rs
@@ -58,8 +58,8 @@
     delay: f64,
 }
 
-/// Failure: one caller sends far more than its share, or work that takes far longer. Served in
-/// order of arrival, all other callers would wait behind it; only that caller itself may wait.
+/// One caller sends far more than its share, or work that takes far longer. Served in order of
+/// arrival, all other callers would wait behind it; only that caller itself may wait.
 #[test]
 fn a_heavy_caller_delays_only_itself() -> Result<(), Box<dyn Error>> {
     let light = load(0, 0.1);
@@ -151,8 +151,8 @@
 }
 
 /// Of two callers that are always backlogged, neither gets ahead of the other by more slot time
-/// than the slots hold of the longest work. Failure: a lead that grows over time, by which one
-/// caller is served first.
+/// than the slots hold of the longest work. Guards against a lead that grows over time, by which
+/// one caller is served first.
 #[test]
 fn lead_between_two_callers_is_bounded() -> Result<(), Box<dyn Error>> {
     let cases = [
@@ -238,8 +238,9 @@
     mine.count() - open.iter().filter(|index| caller_of(model, **index) == caller).count()
 }
 
-/// Failure: sustained urgent load takes every slot, and normal work starves. Normal work must get
-/// its eighth of the slot time, and each of its queries is either rejected at once or answered.
+/// Guards against sustained urgent load that takes every slot, so that normal work starves. Normal
+/// work must get its eighth of the slot time, and each of its queries is either rejected at once or
+/// answered.
 #[test]
 fn normal_work_keeps_its_share() -> Result<(), Box<dyn Error>> {
     let urgent = load(0, 2.0);
--- a/crates/hawthorn-decide/tests/relay.rs
+++ b/crates/hawthorn-decide/tests/relay.rs
@@ -30,8 +30,8 @@
     Ok(())
 }
 
-/// Failure: under saturation all pieces are late, and relays between zones would make each run
-/// twice and delay all of them further.
+/// Under saturation all pieces are late, and relays between zones would make each run twice and
+/// delay all of them further.
 #[test]
 fn relays_are_accepted_only_into_a_free_slot() -> Result<(), Box<dyn Error>> {
     assert!(relay::may_accept(Duration::ZERO));
--- a/crates/hawthorn-decide/tests/shift.rs
+++ b/crates/hawthorn-decide/tests/shift.rs
@@ -50,9 +50,9 @@
     max_requests: usize,
 }
 
-/// Failure: a target hangs or slows down while its state report still says ready, so every query
-/// becomes as slow as the target or misses its shard. The owner must eject it on the evidence of
-/// its own attempts.
+/// Guards against a target that hangs or slows down while its state report still says ready, so
+/// that every query becomes as slow as the target or misses its shard. The owner must eject it on
+/// the evidence of its own attempts.
 #[test]
 fn a_failing_target_is_ejected() -> Result<(), Box<dyn Error>> {
     let healthy = {
@@ -99,7 +99,7 @@
     Ok(())
 }
 
-/// Failure: an ejected target that has recovered stays unused, and its capacity is lost. A target
+/// Guards against lost capacity when an ejected target has recovered but stays unused. A target
 /// that hangs for two seconds must return, by probe and ramp.
 #[test]
 fn an_ejected_target_returns() -> Result<(), Box<dyn Error>> {
@@ -116,8 +116,8 @@
     Ok(())
 }
 
-/// Failure: the owner's own network fails, so that no target seems to answer. If all were ejected,
-/// nothing would be served even after recovery. Half of each shard's replicas must stay in service.
+/// When the owner's own network fails, no target seems to answer. If all were ejected, nothing
+/// would be served even after recovery. Half of each shard's replicas must stay in service.
 #[test]
 fn at_most_half_of_a_shard_is_ejected() -> Result<(), Box<dyn Error>> {
     let mut sim = sim(0.2);
@@ -148,9 +148,9 @@
     max_requests: usize,
 }
 
-/// Failure: work is sent to a target that is about to stop, and is aborted or rejected. The state
-/// report may still say ready, and a rejection may be the first drain signal; no query may miss a
-/// shard either way.
+/// Guards against work that is sent to a target about to stop, and is aborted or rejected. The
+/// state report may still say ready, and a rejection may be the first drain signal; no query may
+/// miss a shard either way.
 #[test]
 fn a_draining_target_gets_no_new_work() -> Result<(), Box<dyn Error>> {
     let at = 3 * SECOND;
@@ -186,8 +186,8 @@
     Ok(())
 }
 
-/// Failure: a target that is still loading gets full traffic, which it rejects as cold. It must get
-/// one request at a time, and its full share once it answers.
+/// Guards against full traffic to a target that is still loading and rejects it as cold. The target
+/// must get one request at a time, and its full share once it answers.
 #[test]
 fn a_cold_target_ramps_up() -> Result<(), Box<dyn Error>> {
     let mut sim = sim(0.5);
--- a/crates/hawthorn-decide/tests/slots.rs
+++ b/crates/hawthorn-decide/tests/slots.rs
@@ -24,8 +24,8 @@
     over_limit_share: f64,
 }
 
-/// Failure: while ownership moves, two hosts send to every target for some seconds, with four
-/// attempts for two slots. Targets shed load, both owners retry until their budgets are spent, and
+/// While ownership moves, two hosts send to every target for some seconds, with four attempts for
+/// two slots. Targets then shed load, and if both owners retry until their budgets are spent,
 /// shards go missing. Each owner must withhold a slot after a rejection, so that rejections stop.
 #[test]
 fn overlapping_owners_do_not_fail_callers() -> Result<(), Box<dyn Error>> {
--- a/crates/hawthorn-fleet/src/handover/mod.rs
+++ b/crates/hawthorn-fleet/src/handover/mod.rs
@@ -160,8 +160,8 @@
     }
 
     /// Returns all owned buckets to acquiring after this process was paused or considered dead,
-    /// because another host may have taken them over. Failure: a paused owner resumes with all
-    /// slots beside the new owner. Each bucket drops to no slot until the runner-up reports that it
+    /// because another host may have taken them over, and a paused owner would resume with all
+    /// slots beside the new one. Each bucket drops to no slot until the runner-up reports that it
     /// uses half or nothing, which takes one round trip.
     pub fn reacquire(&mut self, now: Duration) {
         let candidates = self.candidates();
@@ -296,8 +296,8 @@
 
     /// Whether this daemon may assume that unreachable hosts are gone.
     ///
-    /// Failure: a zone is partitioned, both sides consider the other dead, and both take all slots.
-    /// A side that receives from another zone is assumed to be the surviving one, because hosts of
+    /// In a partitioned zone, both sides consider the other dead and would both take all slots. A
+    /// side that receives from another zone is assumed to be the surviving one, because hosts of
     /// other zones relay its pings; without other zones, the majority is. The other side stays at
     /// half until the hosts have been dead for the partition window. By then they are more likely
     /// to be really gone, and staying at half of the slots would harm callers more than targets
--- a/crates/hawthorn-fleet/src/member/apply.rs
+++ b/crates/hawthorn-fleet/src/member/apply.rs
@@ -87,9 +87,9 @@
         }
     }
 
-    /// Resolves a conflict with another host at the address of `key`. Failure: a host is replaced
-    /// by one with another name at the same address, which would answer pings for both. The later
-    /// incarnation wins; false if that is the known host.
+    /// Resolves a conflict with another host at the address of `key`. A host replaced by one with
+    /// another name at the same address would stay live, because the new one answers pings for
+    /// both. The later incarnation wins; false if that is the known host.
     fn resolve_address_conflict(&mut self, now: Duration, key: HostKey, later: bool) -> bool {
         let Some(record) = self.arena.get(key) else { return true };
         if !record.is_live() {
@@ -272,8 +272,8 @@
         }
     }
 
-    /// Handles an update with a later incarnation of this host. Failure: either the clock was set
-    /// back between two incarnations, and the fleet would ignore this one; or an operator started a
+    /// Handles an update with a later incarnation of this host. Either the clock was set back
+    /// between two incarnations, and the fleet would ignore this one; or an operator started a
     /// second process with this name, and the two would refute each other forever. A later
     /// incarnation at another address is such a second process.
     fn handle_later_incarnation(&mut self, now: Duration, update: MemberUpdate) {
--- a/crates/hawthorn-fleet/src/member/cross_zone.rs
+++ b/crates/hawthorn-fleet/src/member/cross_zone.rs
@@ -24,9 +24,9 @@
         interval.clamp(self.options.heartbeat, self.options.cross_zone_interval)
     }
 
-    /// How long a zone may be silent before it is lost. Failure: in a fleet of many zones with few
-    /// hosts, each pair of zones exchanges few datagrams, and healthy zones would be declared lost.
-    /// The timeout therefore covers several rounds of pings.
+    /// How long a zone may be silent before it is lost. Covers several rounds of pings, because in
+    /// a fleet of many zones with few hosts each pair of zones exchanges few datagrams, and healthy
+    /// zones would otherwise be declared lost.
     fn zone_timeout(&self) -> Duration {
         let round = self.cross_zone_interval().saturating_mul(self.other_zone_count())
             / self.own_zone_size();
--- a/crates/hawthorn-fleet/src/member/gossip.rs
+++ b/crates/hawthorn-fleet/src/member/gossip.rs
@@ -10,9 +10,9 @@
 /// Hosts whose latest record is still to be gossiped. Holds only ids: the record is read when it is
 /// sent, so an update is never stale.
 ///
-/// Among updates sent equally often, each daemon has its own order. Failure: with one order for
-/// all, hundreds of daemons that start at once send each other the same few records, and the last
-/// ones in the order wait for minutes.
+/// Among updates sent equally often, each daemon has its own order. With one order for all,
+/// hundreds of daemons that start at once would send each other the same few records, and the last
+/// ones in the order would wait for minutes.
 #[derive(Debug)]
 pub(crate) struct GossipQueue {
     salt: u64,
--- a/crates/hawthorn-fleet/src/member/probe.rs
+++ b/crates/hawthorn-fleet/src/member/probe.rs
@@ -129,10 +129,10 @@
         probes.chain(suspicions).fold(self.due.heartbeat, Duration::min)
     }
 
-    /// Detects that this process was paused. Failure: a paused process resumes with every timer
-    /// expired and would declare its whole zone dead, while the zone has declared it dead. The gap
-    /// between calls reveals the pause. Pending probes are discarded, suspicions restart, and the
-    /// host announces itself again before it processes what others reported about it.
+    /// Detects that this process was paused. A paused process resumes with every timer expired and
+    /// would declare its whole zone dead, while the zone has declared it dead. The gap between
+    /// calls reveals the pause. Pending probes are discarded, suspicions restart, and the host
+    /// announces itself again before it processes what others reported about it.
     pub(super) fn detect_pause(&mut self, now: Duration) {
         let gap = self.last_activity.map_or(Duration::ZERO, |last| now.saturating_sub(last));
         self.last_activity = Some(now);
@@ -160,9 +160,9 @@
         }
     }
 
-    /// Gives members that only this daemon considers dead time to refute. Failure: the last host of
-    /// a zone is isolated when another member dies, and never gossips the death, so that other
-    /// zones keep sending requests to the dead host.
+    /// Gives members that only this daemon considers dead time to refute. Without this, the last
+    /// host of a zone, if it is isolated when another member dies, would never gossip the death,
+    /// and other zones would keep sending requests to the dead host.
     pub(super) fn recheck_local_only(&mut self, now: Duration) {
         let deadline = now + self.options.suspicion_timeout;
         for record in self.arena.iter().filter(|record| record.local_only && !record.is_live()) {
@@ -240,7 +240,7 @@
     }
 
     /// Pings one dead member of this daemon's zone, including the verdict if other members share
-    /// it. Failure: the sides of a partitioned zone consider each other dead and would never
+    /// it. Without this, the sides of a partitioned zone would consider each other dead and never
     /// rejoin. A live member refutes, and both lists converge.
     fn ping_dead(&mut self, now: Duration) {
         let dead: Vec<(SocketAddr, Option<MemberUpdate>)> = self
@@ -279,9 +279,9 @@
         }
     }
 
-    /// Asks relays to ping. Failure: the path from here to the target is broken in one direction,
-    /// or a datagram was lost, while the target is healthy. Relays are members of the target's
-    /// zone, which determines its health; if there are not enough, members of any zone.
+    /// Asks relays to ping, because the target may be healthy while the path from here to it is
+    /// broken in one direction, or a datagram was lost. Relays are members of the target's zone,
+    /// which determines its health; if there are not enough, members of any zone.
     fn request_pings(&mut self, now: Duration, key: HostKey, number: u32, count: usize) {
         let Some(record) = self.arena.get(key) else { return };
         let (id, peer, zone) = (record.id, record.place.peer, record.zone);
--- a/crates/hawthorn-fleet/src/member/receive.rs
+++ b/crates/hawthorn-fleet/src/member/receive.rs
@@ -172,8 +172,9 @@
 
     /// Handles the answer to a ping, from its target or from a relay.
     ///
-    /// Failure: a host goes away, another one gets its address and answers its pings, so that the
-    /// first would stay live forever.
+    /// An answer from the target's address counts only if the sender is the expected member: if a
+    /// host goes away and another one gets its address and answers its pings, the first would
+    /// otherwise stay live forever.
     fn handle_ack(&mut self, now: Duration, from: SocketAddr, sender: MemberId, number: u32) {
         if let Some(index) = self.probes.iter().position(|probe| probe.number == number) {
             let probe = &self.probes[index];
--- a/crates/hawthorn-fleet/src/member/sync.rs
+++ b/crates/hawthorn-fleet/src/member/sync.rs
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Asks a peer whose list differs for its next page. Failure: this daemon lost every copy of a
-    /// gossiped update.
+    /// Asks a peer whose list differs for its next page, because this daemon may have lost every
+    /// copy of a gossiped update.
     pub(super) fn request_repair(&mut self, now: Duration) {
         if self.sync.is_some() {
             return;
@@ -146,9 +146,9 @@
         changes
     }
 
-    /// Gossips a death again if the peer lists the member as live. Failure: after a partition
-    /// within a zone the two sides consider each other dead and no longer gossip it. Gossiping it
-    /// again lets the member refute.
+    /// Gossips a death again if the peer lists the member as live. After a partition within a zone
+    /// the two sides consider each other dead and no longer gossip it. Gossiping it again lets the
+    /// member refute.
     fn regossip_death(&mut self, update: &MemberUpdate) {
         let dead = self.arena.by_id(update.id).is_some_and(|record| {
             record.health == MemberHealth::Dead
--- a/crates/hawthorn-fleet/src/propagation/mod.rs
+++ b/crates/hawthorn-fleet/src/propagation/mod.rs
@@ -273,10 +273,10 @@
     /// Whether this daemon knows enough to start serving. Use it only at startup: it is false again
     /// while a newer revision is being pulled, which is no reason to stop.
     ///
-    /// Failure: a daemon that starts during a store outage adopts the first document that it
-    /// receives, possibly an old one, and serves with it. It therefore needs a confirmation by the
-    /// store, directly or through peers, or digests of several peers (all of them if there are
-    /// fewer) none of which has a newer revision.
+    /// A daemon that starts during a store outage adopts the first document that it receives, and
+    /// must not serve with it if it is an old one. It therefore needs a confirmation by the store,
+    /// directly or through peers, or digests of several peers (all of them if there are fewer) none
+    /// of which has a newer revision.
     pub fn is_ready(&self, live_peers: usize) -> bool {
         let known = self.known_peers.len();
         let enough = known > 0 && known >= self.options.ready_peers.min(live_peers);
--- a/crates/hawthorn-fleet/src/propagation/options.rs
+++ b/crates/hawthorn-fleet/src/propagation/options.rs
@@ -15,8 +15,8 @@
     /// Age of the last confirmation at which the first standby watches; the next one starts at
     /// twice this age.
     pub standby_delay: Duration,
-    /// How long a daemon waits before its first call. Failure: when all daemons of a fleet start at
-    /// once, each knows no other and considers itself a watcher. Within this time it learns of the
+    /// How long a daemon waits before its first call. When all daemons of a fleet start at once,
+    /// each knows no other and considers itself a watcher. Within this time it learns of the
     /// others.
     pub startup_delay: Duration,
     /// How long the store may hold a watch open.
