--- a/tests/bad_answers.rs
+++ b/tests/bad_answers.rs
@@ -25,9 +25,9 @@
     labels: String,
 }
 
-/// Failure: a proxy in front of a target mixes up connections, the target sends garbage, or an
-/// answer exceeds the size limit. A caller would see another customer's records, or the host would
-/// run out of memory. Such answers are dropped and counted, the shard is queried at another replica
+/// A proxy in front of a target mixes up connections, the target sends garbage, or an answer
+/// exceeds the size limit. Delivered, such an answer would show a caller another customer's records
+/// or exhaust the host's memory. It is dropped and counted, the shard is queried at another replica
 /// or reported missing, and answers are complete again once the fault ends.
 #[tokio::test]
 async fn bad_answers_are_dropped_counted_and_never_delivered() -> TestResult {
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -32,8 +32,8 @@
     fleet.check()
 }
 
-/// Failure: a caller sends the same non-idempotent request to several hosts. The first send runs
-/// it; the others must neither run it again nor report that it was not run.
+/// A caller sends the same non-idempotent request to several hosts. The first send runs it; the
+/// others must neither run it again nor report that it was not run.
 #[tokio::test]
 async fn a_request_retried_at_other_hosts_does_not_run_again() -> TestResult {
     let fleet = TestFleet::start(FleetOptions::small()).await?;
@@ -138,8 +138,8 @@
     fleet.check()
 }
 
-/// Failure: a client sends the head of a request and then stalls within the body. It must not hold
-/// its connection forever, and must receive the reason for the rejection.
+/// A client that sends the head of a request and then stalls within the body must not hold its
+/// connection forever, and must receive the reason for the rejection.
 #[tokio::test]
 async fn a_slow_client_is_rejected() -> TestResult {
     let options = FleetOptions {
--- a/tests/host_crashes.rs
+++ b/tests/host_crashes.rs
@@ -71,17 +71,16 @@
     fleet.check()
 }
 
-/// Failure: one of several hosts in a zone loses power under load. Some answers lack the ranges of
-/// its targets and report them missing. Once the others have declared it dead, its targets have a
-/// new owner and every answer is complete, also after it returns. No non-idempotent request runs
-/// twice.
+/// One of several hosts in a zone loses power under load. Some answers lack the ranges of its
+/// targets and report them missing. Once the others have declared it dead, its targets have a new
+/// owner and every answer is complete, also after it returns. No non-idempotent request runs twice.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn answers_are_complete_once_a_dead_hosts_targets_moved() -> TestResult {
     kill_under_load(vec![3, 3, 2], 1).await
 }
 
-/// Failure: the only host in a zone loses power, so no host owns the zone's targets. Replicas in
-/// the other zones answer until it returns.
+/// When the only host in a zone loses power, no host owns the zone's targets. Replicas in the other
+/// zones answer until it returns.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn other_zones_answer_for_a_zone_without_a_host() -> TestResult {
     kill_under_load(vec![1, 1, 1], 2).await
@@ -128,10 +127,9 @@
     }
 }
 
-/// Failure: a non-idempotent request is at its target when the target's owner, or the host that the
-/// caller is connected to, crashes. The caller gets no answer or an unknown outcome and retries at
-/// the other hosts. The claim in the store outlives the crashed host, so the request does not run
-/// a second time.
+/// Guards against a second run of a non-idempotent request that is at its target when the target's
+/// owner, or the host that the caller is connected to, crashes. The caller gets no answer or an
+/// unknown outcome and retries at the other hosts. The claim in the store outlives the host.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_request_whose_host_crashes_does_not_run_twice() -> TestResult {
     for victim in [VictimRole::Owner, VictimRole::Front] {
--- a/tests/intent.rs
+++ b/tests/intent.rs
@@ -165,9 +165,9 @@
     report.drift.iter().find(|drift| drift.target == target)
 }
 
-/// Failure: hardware that operators switched off to save power raises alarms, or answers lack its
-/// shards. A spare target is off on purpose: no answer is incomplete while it leaves, and once it
-/// has lost power no host reports drift, an alarm, a lost target or a shard without a replica.
+/// A spare target is one that operators switched off to save power. No answer is incomplete while
+/// it leaves, and once it has lost power no host reports drift, an alarm, a lost target or a shard
+/// without a replica.
 #[tokio::test]
 async fn a_spare_target_is_off_without_alarms_or_missing_shards() -> TestResult {
     let fleet = start().await?;
@@ -195,9 +195,9 @@
     check_invariants(&fleet)
 }
 
-/// Failure: rules drain a shard's serving target and start its spare replica. If the drained target
-/// left at once, every answer would lack the shard while the spare loads. It must serve until the
-/// spare is warm, then receive no new work, and no request in flight may be interrupted.
+/// Rules drain a shard's serving target and start its spare replica. If the drained target left at
+/// once, every answer would lack the shard while the spare loads. It must serve until the spare is
+/// warm, then receive no new work, and no request in flight may be interrupted.
 #[tokio::test]
 async fn a_drained_target_leaves_after_its_replacement_is_warm() -> TestResult {
     let fleet = start().await?;
@@ -244,8 +244,8 @@
     check_invariants(&fleet)
 }
 
-/// Failure: a standby target would reject work sent to it, and if it went cold it could not serve
-/// as soon as a rule requires it. It receives no work but stays on, connected and probed.
+/// A standby target would reject work sent to it, so it receives none, but it stays on, connected
+/// and probed: if it went cold, it could not serve as soon as a rule requires it.
 #[tokio::test]
 async fn a_standby_target_stays_warm_and_receives_no_work() -> TestResult {
     let fleet = start().await?;
@@ -268,9 +268,9 @@
     check_invariants(&fleet)
 }
 
-/// Failure: a target is to be drained for repairs, but its agent has crashed and ignores the order.
-/// Operators who trust the rule would take down a target that still serves. It must be reported
-/// as drift, once in the log, until it follows, and receive no new work in the meantime.
+/// A target is to be drained for repairs, but its agent has crashed and ignores the order.
+/// Operators who trust the rule would take down a target that still serves. It must be reported as
+/// drift, once in the log, until it follows, and receive no new work in the meantime.
 #[tokio::test]
 async fn a_target_that_ignores_its_desired_state_is_reported_as_drift() -> TestResult {
     let fleet = start().await?;
@@ -327,9 +327,9 @@
     Ok(())
 }
 
-/// Failure: a rule that matches too much switches off every target of a shard, and every answer
-/// lacks it from then on. `apply` must reject, by its exit code, whatever `check` rejects, and
-/// nothing in the fleet may change.
+/// Guards against a rule that matches too much and switches off every target of a shard, which
+/// every answer would lack from then on. `apply` must reject, by its exit code, whatever `check`
+/// rejects, and nothing in the fleet may change.
 #[tokio::test]
 async fn apply_rejects_what_check_rejects() -> TestResult {
     let fleet = start().await?;
--- a/tests/partition.rs
+++ b/tests/partition.rs
@@ -80,12 +80,10 @@
     }
 }
 
-/// Failure: a zone is partitioned from the other zones and the platform. If an answer there did not
-/// report the unreachable shards, a caller would take existing records for absent and place an
-/// order twice. The zone serves its own targets, reports exactly the unreachable shards as missing,
-/// and rejects non-idempotent requests as not run, since it cannot claim them. The other side
-/// answers queries completely and runs requests. The rejected request id runs once after the
-/// partition heals.
+/// A zone cut off from the other zones and the platform reports exactly the unreachable shards as
+/// missing; otherwise a caller would take existing records for absent and place an order twice. It
+/// cannot claim non-idempotent requests, so it rejects them as not run; their ids run once after
+/// the partition heals. The other side answers queries completely and runs requests.
 #[tokio::test]
 async fn a_partitioned_zone_serves_its_shards_and_reports_the_rest_missing() -> TestResult {
     let fleet = TestFleet::start(FleetOptions::linked()).await?;
@@ -111,8 +109,8 @@
     fleet.check()
 }
 
-/// Failure: operators edit the rules while a zone is partitioned. Its answers carry the old
-/// revision and its age. Once the partition heals it applies the new revision, and never reverts.
+/// Operators edit the rules while a zone is partitioned. Its answers carry the old revision and its
+/// age. Once the partition heals it applies the new revision, and never reverts.
 #[tokio::test]
 async fn an_edit_reaches_a_zone_after_its_partition_heals() -> TestResult {
     let fleet = TestFleet::start(FleetOptions::linked()).await?;
@@ -133,10 +131,10 @@
     fleet.check()
 }
 
-/// Failure: the network drops what one zone sends but delivers what it is sent. The zone receives
-/// the others' heartbeats and sees no fault; requests forwarded to it run, but their answers are
-/// lost. Queries report accurate coverage, no request runs twice or is falsely reported as not run,
-/// and answers are complete once the partition heals.
+/// The network drops what one zone sends but delivers what it is sent. The zone receives the
+/// others' heartbeats and sees no fault; requests forwarded to it run, but their answers are lost.
+/// Queries report accurate coverage, no request runs twice or is falsely reported as not run, and
+/// answers are complete once the partition heals.
 #[tokio::test]
 async fn a_one_way_partition_violates_no_invariant() -> TestResult {
     let fleet = TestFleet::start(FleetOptions::linked()).await?;
@@ -161,8 +159,8 @@
     fleet.check()
 }
 
-/// Failure: half of a shard moves from a target in the partitioned zone to one on the other side.
-/// The isolated zone cannot know where it moved, and must report the range that its target did not
+/// Half of a shard moves from a target in the partitioned zone to one on the other side. The
+/// isolated zone cannot know where it moved, and must report the range that its target did not
 /// search as missing. Answers are complete after the partition heals.
 #[tokio::test]
 async fn a_shard_that_leaves_a_partitioned_zone_is_missing_until_it_heals() -> TestResult {
--- a/tests/route.rs
+++ b/tests/route.rs
@@ -68,9 +68,9 @@
     Ok(())
 }
 
-/// Failure: one target or both fail, in each of the ways that targets do. An idempotent request is
-/// retried at the other target. A non-idempotent one runs at most once, and is reported as not run
-/// (503) only if it did not run.
+/// One target or both fail, in each of the ways that targets do. An idempotent request is retried
+/// at the other target. A non-idempotent one runs at most once, and is reported as not run (503)
+/// only if it did not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn each_target_failure_yields_an_accurate_status() -> TestResult {
     struct Case {
@@ -169,8 +169,8 @@
     Ok(())
 }
 
-/// Failure: a host is stopped while a request runs. The request must be answered, the answer closes
-/// the connection, and the process exits within its grace period.
+/// A host is stopped while a request runs. The request must be answered, the answer closes the
+/// connection, and the process exits within its grace period.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stop_interrupts_no_request() -> TestResult {
     let mut pair = start_pair().await?;
@@ -199,8 +199,8 @@
     Err("the host did not exit within its grace period".into())
 }
 
-/// Failure: SIGHUP, which operators send after a change of settings, ends the process instead of
-/// reloading them.
+/// Guards against a SIGHUP, which operators send after a change of settings, that ends the process
+/// instead of reloading them.
 #[tokio::test(flavor = "multi_thread")]
 async fn sighup_reloads_settings_without_ending_the_process() -> TestResult {
     let pair = start_pair().await?;
@@ -259,7 +259,7 @@
     Ok(())
 }
 
-/// Failure: another program uses the metrics port. The host logs it and serves without metrics.
+/// A host whose metrics port is used by another program logs it and serves without metrics.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_host_serves_without_its_metrics_port() -> TestResult {
     let store = RouteStore::start().await?;
@@ -274,7 +274,7 @@
     route::wait_for("the metrics failure to be logged", logged).await
 }
 
-/// Failure: a caller closes its connection and its request runs on. The work must be cancelled.
+/// The work of a request must be cancelled, not run on, once its caller closes the connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_disconnected_caller_cancels_its_work() -> TestResult {
     let pair = start_pair().await?;
@@ -288,8 +288,8 @@
     route::wait_for("the work to be cancelled", cancelled).await
 }
 
-/// Failure: a target ends and its address is reassigned to a target of another service, which the
-/// host does not know yet. That target must not run the request.
+/// A target ends and its address is reassigned to a target of another service, which the host does
+/// not know yet. That target must not run the request.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_reassigned_address_runs_no_request() -> TestResult {
     let pair = start_pair().await?;
@@ -320,8 +320,8 @@
     Ok(())
 }
 
-/// Failure: the store compacts its history between two watches, while a target is removed and a
-/// version is written. The task that reads the store could end at this point unnoticed.
+/// Guards against an unnoticed end of the task that reads the store, when the store compacts its
+/// history between two watches while a target is removed and a version is written.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_compacted_store_is_read_again() -> TestResult {
     let pair = start_pair().await?;
@@ -347,7 +347,7 @@
     Ok(())
 }
 
-/// Failure: an older version is written after a newer one. It must never be applied.
+/// An older version that is written after a newer one must never be applied.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_older_version_is_never_applied() -> TestResult {
     let pair = start_pair().await?;
@@ -360,8 +360,8 @@
     Ok(())
 }
 
-/// Failure: a host starts while the store is unavailable. Without a peer it knows no routes, and
-/// must answer 503 rather than 404. With a live peer it loads the configuration from it and serves.
+/// A host that starts while the store is unavailable loads the configuration from a live peer and
+/// serves. Without a peer it knows no routes, and must answer 503 rather than 404.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_host_that_starts_without_the_store_loads_from_a_peer() -> TestResult {
     let pair = start_pair().await?;
@@ -381,9 +381,9 @@
     Ok(())
 }
 
-/// Failure: the store accepts the watches of the hosts that watch for a zone but never answers
-/// them, while it serves other calls. Unless it is detected before the watches time out, the zone
-/// stays on an older version for that long.
+/// The store accepts the watches of the hosts that watch for a zone but never answers them, while
+/// it serves other calls. Unless it is detected before the watches time out, the zone stays on an
+/// older version for that long.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_whose_watches_stall_reads_the_store_again() -> TestResult {
     let store = RouteStore::start().await?;
@@ -517,9 +517,9 @@
     }
 }
 
-/// Failure: after a planned restart of a host, the others still hold connections to the previous
-/// process. The first query delegated over such a connection would be lost, one per pair of hosts
-/// and restart.
+/// After a planned restart of a host, the others still hold connections to the previous process.
+/// Guards against the loss of the first query delegated over such a connection, one per pair of
+/// hosts and restart.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_restarted_peer_loses_no_query() -> TestResult {
     let mut fleet = RemoteFleet::start(&["h-2"]).await?;
@@ -538,9 +538,9 @@
     Ok(())
 }
 
-/// Failure: hosts that gather for a zone are suspended one after the other, as by a debugger or on
-/// a starved machine. A query delegated to one is completed by another, and a resumed host sends
-/// nothing for a query that its front no longer waits for.
+/// Hosts that gather for a zone are suspended one after the other, as by a debugger or on a starved
+/// machine. A query delegated to one is completed by another, and a resumed host sends nothing for
+/// a query that its front no longer waits for.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_suspended_peer_is_replaced_and_sends_nothing_on_resume() -> TestResult {
     let RemoteFleet { targets, east, west, .. } = &RemoteFleet::start(&["h-2", "h-3"]).await?;
@@ -565,8 +565,8 @@
     route::wait_for("a silent peer to be logged", silent).await
 }
 
-/// Failure: requests are malformed, too large, or contain a second request. None may reach a
-/// target; each is answered or its connection is closed, and the host continues to serve.
+/// Requests that are malformed, too large, or contain a second request must not reach a target.
+/// Each is answered or its connection is closed, and the host continues to serve.
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_requests_reach_no_target() -> TestResult {
     struct Case {
@@ -640,7 +640,7 @@
     Ok(())
 }
 
-/// Failure: request smuggling by `Content-Length` together with chunked encoding. The chunked
+/// Guards against request smuggling by `Content-Length` together with chunked encoding. The chunked
 /// encoding takes precedence: the request ends with its chunks, and what follows is a separate
 /// request.
 #[tokio::test(flavor = "multi_thread")]
@@ -665,10 +665,10 @@
     Ok(())
 }
 
-/// Failure: every target is slower than the query's target latency. If the peer stopped gathering
-/// at that time, the front would count its shards as failed and answer 502, and the caller's retry
-/// would lengthen the targets' queues. The peer keeps gathering shards that the answer requires, so
-/// the caller gets a late answer, with at most one further attempt at each shard.
+/// Every target is slower than the query's target latency. If the peer stopped gathering at that
+/// time, the front would count its shards as failed and answer 502, and the caller's retry would
+/// lengthen the targets' queues. The peer keeps gathering shards that the answer requires, so the
+/// caller gets a late answer, with at most one further attempt at each shard.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_peer_keeps_gathering_required_shards() -> TestResult {
     let fleet = RemoteFleet::start(&["h-2"]).await?;
@@ -695,10 +695,9 @@
     Ok(())
 }
 
-/// Failure: callers flood a host whose shards are slow. Admission control admits a window of
-/// queries and rejects the rest at once with `retry-after`. If a rejection released a slot that it
-/// never held, as many further queries would be admitted and admission control would have no
-/// effect.
+/// Callers flood a host whose shards are slow. Admission control admits a window of queries and
+/// rejects the rest at once with `retry-after`. If a rejection released a slot that it never held,
+/// as many further queries would be admitted and admission control would have no effect.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_flood_is_rejected_beyond_the_admission_window() -> TestResult {
     /// Initial admission window, in queries.
@@ -725,9 +724,9 @@
     Ok(())
 }
 
-/// Failure: all hosts that gather for a zone are suspended at once. The front cannot rule out that
-/// each has made an attempt, and the route allows two: it makes no third, answers that the outcome
-/// is unknown, and nothing runs later.
+/// All hosts that gather for a zone are suspended at once. The front cannot rule out that each has
+/// made an attempt, and the route allows two: it makes no third, answers that the outcome is
+/// unknown, and nothing runs later.
 #[tokio::test(flavor = "multi_thread")]
 async fn suspended_peers_count_towards_the_attempt_limit() -> TestResult {
     let fleet = RemoteFleet::start(&["h-2", "h-3"]).await?;
--- a/tests/route_callers.rs
+++ b/tests/route_callers.rs
@@ -42,7 +42,7 @@
     Ok(SingleTarget { store, target, host })
 }
 
-/// Failure: buffering answers longer than a host could hold for all its callers would exhaust its
+/// A host that buffered longer answers than it could hold for all its callers would exhaust its
 /// memory. The caller receives the first part before the target has sent the second half, and the
 /// answer is unchanged.
 #[tokio::test(flavor = "multi_thread")]
@@ -72,9 +72,9 @@
     Ok(())
 }
 
-/// Failure: a target closes its connection in the middle of a long answer, of which a part has
-/// already been forwarded. The caller's connection closes before the answer's announced length, so
-/// that it cannot be taken for complete. The request is not retried.
+/// A target closes its connection in the middle of a long answer, of which a part has already been
+/// forwarded. The caller's connection closes before the answer's announced length, so that it
+/// cannot be taken for complete. The request is not retried.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_truncated_long_answer_is_not_taken_for_complete() -> TestResult {
     let single = start_single().await?;
@@ -87,7 +87,7 @@
     route::wait_for("the truncated answer to be logged", logged).await
 }
 
-/// Failure: a target stalls in the middle of a long answer. The caller's connection closes at the
+/// When a target stalls in the middle of a long answer, the caller's connection closes at the
 /// route's timeout, not when the target resumes.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stalled_long_answer_ends_at_the_timeout() -> TestResult {
@@ -103,8 +103,8 @@
     Ok(())
 }
 
-/// Failure: a caller occupies a connection by sending its request's head slowly. It is rejected
-/// with 408 at the operators' timeout and nothing runs; a slow head within the timeout is served.
+/// A caller that occupies a connection by sending its request's head slowly is rejected with 408 at
+/// the operators' timeout and nothing runs; a slow head within the timeout is served.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slow_request_head_is_rejected() -> TestResult {
     struct Case {
@@ -146,8 +146,8 @@
     Ok(())
 }
 
-/// Failure: a caller that keeps sending does not read until a write fails, and a connection reset
-/// would then discard the rejection.
+/// Guards against the loss of a rejection: a caller that keeps sending does not read until a write
+/// fails, and a connection reset would then discard it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_keeps_sending_reads_the_rejection() -> TestResult {
     let single = start_single().await?;
@@ -170,7 +170,7 @@
     Ok(())
 }
 
-/// Failure: requests queue at the host for one of the few connections to a slow target. If one were
+/// Requests queue at the host for one of the few connections to a slow target. If one were
 /// forwarded after 600 ms with the deadline from before the wait, the target would go on working
 /// for a caller that has left. It must carry the time that remains when it is sent.
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/route_cold.rs
+++ b/tests/route_cold.rs
@@ -72,7 +72,7 @@
     Ok((served, rejected))
 }
 
-/// Failure: cold targets receive more requests than they tolerate, or none at all.
+/// Guards against cold targets that receive more requests than they tolerate, or none at all.
 #[tokio::test(flavor = "multi_thread")]
 async fn cold_targets_receive_at_most_their_rate() -> TestResult {
     let fleet = start_fleet().await?;
@@ -90,7 +90,7 @@
     Ok(())
 }
 
-/// Failure: a cold target receives requests although a warm one is available.
+/// A cold target must not receive requests while a warm one is available.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_warm_target_is_preferred() -> TestResult {
     let fleet = start_fleet().await?;
@@ -103,7 +103,7 @@
     Ok(())
 }
 
-/// Failure: an invalid cold time removes a target, or lets it pass for warm.
+/// An invalid cold time must neither remove a target nor let it pass for warm.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_invalid_cold_time_is_ignored() -> TestResult {
     let fleet = start_fleet().await?;
--- a/tests/route_crashes.rs
+++ b/tests/route_crashes.rs
@@ -70,7 +70,7 @@
     }
 }
 
-/// Failure: a request is still sent to targets after it has crashed several.
+/// Guards against a request that is still sent to targets after it has crashed several.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_crashes_its_targets_is_quarantined_at_every_host() -> TestResult {
     struct Case {
@@ -111,7 +111,7 @@
     Ok(())
 }
 
-/// Failure: a query whose first attempts crashed their targets is retried at the replicas of all
+/// A query whose first attempts crashed their targets must not be retried at the replicas of all
 /// its shards.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_fan_out_that_crashes_targets_is_not_retried_at_replicas() -> TestResult {
@@ -126,7 +126,7 @@
     Ok(())
 }
 
-/// Failure: quarantined requests are forgotten when all hosts restart.
+/// Quarantined requests must not be forgotten when all hosts restart.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_quarantine_survives_a_restart_of_all_hosts() -> TestResult {
     let mut fleet = start_fleet().await?;
@@ -157,7 +157,7 @@
     Ok(())
 }
 
-/// Failure: a caller evades quarantine by varying its requests.
+/// Guards against a caller that evades quarantine by varying its requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_varies_its_requests_is_quarantined() -> TestResult {
     for route in ["/all/", "/safe/", "/once/"] {
@@ -177,7 +177,7 @@
     Ok(())
 }
 
-/// Failure: a quarantined request is forgotten because its entry is deleted from the store.
+/// A quarantined request must not be forgotten when its entry is deleted from the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_deleted_quarantine_entry_is_rewritten() -> TestResult {
     let fleet = start_fleet().await?;
--- a/tests/route_evacuation.rs
+++ b/tests/route_evacuation.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Failure: targets of an evacuated zone receive requests, or its hosts no longer serve their
+/// The targets of an evacuated zone must receive no requests, while its hosts still serve their
 /// callers.
 #[tokio::test(flavor = "multi_thread")]
 async fn targets_of_an_evacuated_zone_receive_nothing_until_it_ends() -> TestResult {
@@ -67,7 +67,7 @@
     Ok(())
 }
 
-/// Failure: callers wait for an answer although no target may be used.
+/// Guards against callers that wait for an answer although no target may be used.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_are_rejected_at_once_while_all_zones_are_evacuated() -> TestResult {
     let fleet = start_fleet().await?;
@@ -86,7 +86,8 @@
     Ok(())
 }
 
-/// Failure: an evacuation is never applied, or never ended, because of how or when it was written.
+/// Guards against an evacuation that is never applied, or never ended, because of how or when it
+/// was written.
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_evacuations_keep_the_last_valid_state() -> TestResult {
     struct Case {
@@ -140,7 +141,7 @@
     Ok(())
 }
 
-/// Failure: a host misses an evacuation that was written while it could not reach the store.
+/// A host must not miss an evacuation that was written while it could not reach the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_host_applies_an_evacuation_that_it_missed() -> TestResult {
     let fleet = start_fleet().await?;
@@ -156,8 +157,8 @@
     Ok(())
 }
 
-/// Failure: a request that waits for a connection to a slow target is still sent there after its
-/// zone has been evacuated.
+/// A request that waits for a connection to a slow target must not be sent there after its zone has
+/// been evacuated.
 #[tokio::test(flavor = "multi_thread")]
 async fn queued_requests_are_not_sent_to_an_evacuated_zone() -> TestResult {
     let fleet = start_fleet().await?;
--- a/tests/route_events.rs
+++ b/tests/route_events.rs
@@ -218,8 +218,9 @@
         .collect()
 }
 
-/// Failure: the catalogue lacks an event, lists one that is never logged, or lists a key under
-/// another name. Hosts are brought to log every event, and each line may hold only listed keys.
+/// Guards against a catalogue that lacks an event, lists one that is never logged, or lists a key
+/// under another name. Hosts are brought to log every event, and each line may hold only listed
+/// keys.
 #[tokio::test(flavor = "multi_thread")]
 async fn every_event_is_written_as_the_catalogue_says() -> TestResult {
     let (single, isolated, two_zones, cold, unread) = tokio::try_join!(
--- a/tests/route_homes.rs
+++ b/tests/route_homes.rs
@@ -26,7 +26,7 @@
     Ok(fleet)
 }
 
-/// Failure: requests run, or their bodies are sent, outside their home regions.
+/// Guards against requests that run, or whose bodies are sent, outside their home regions.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_stay_in_their_home_regions() -> TestResult {
     let fleet = start_fleet().await?;
@@ -51,7 +51,7 @@
     Ok(())
 }
 
-/// Failure: callers wait, or are served in another region, while no home region has a target.
+/// While no home region has a target, callers must neither wait nor be served in another region.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_are_rejected_at_once_while_no_home_has_a_target() -> TestResult {
     let fleet = start_fleet().await?;
--- a/tests/route_parts.rs
+++ b/tests/route_parts.rs
@@ -13,8 +13,9 @@
 use support::route;
 use support::route::RouteHost;
 
-/// Failure: hosts that gather in two zones each lack no more parts than the answer may omit, but
-/// together they lack more, so that the query would end with 502 at its target latency.
+/// Hosts that gather in two zones each lack no more parts than the answer may omit, but together
+/// they lack more. Without a wait for these parts, the query would end with 502 at its target
+/// latency.
 #[tokio::test(flavor = "multi_thread")]
 async fn parts_missing_at_several_peers_are_awaited() -> TestResult {
     let store = RouteStore::start().await?;
--- a/tests/slow_targets.rs
+++ b/tests/slow_targets.rs
@@ -10,8 +10,8 @@
 /// Queries sent to each host.
 const QUERIES: usize = 10;
 
-/// Failure: a target reports that it is healthy but is hundreds of times slower than its peers. Its
-/// owner has no other replica of the shard in its zone, so every query would wait for it. A hedged
+/// A target reports that it is healthy but is hundreds of times slower than its peers. Its owner
+/// has no other replica of the shard in its zone, so every query would wait for it. A hedged
 /// request to the owner of a replica in another zone completes the queries instead.
 #[tokio::test]
 async fn another_zone_answers_for_a_slow_target() -> TestResult {
--- a/tests/stops.rs
+++ b/tests/stops.rs
@@ -81,8 +81,8 @@
     }
 }
 
-/// Failure: a host is stopped while a query and a non-idempotent request are at their targets. Both
-/// callers must get complete answers before the process exits successfully.
+/// A host is stopped while a query and a non-idempotent request are at their targets. Both callers
+/// must get complete answers before the process exits successfully.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn work_in_flight_finishes_before_the_process_exits() -> TestResult {
     for index in 0..2 {
@@ -114,8 +114,8 @@
     Ok(())
 }
 
-/// Failure: operators edit the rules while a host restarts. The host keeps no state on disk, and
-/// must not be ready, or answer with the old revision, before it has the new one.
+/// Operators edit the rules while a host restarts. The host keeps no state on disk, and must not be
+/// ready, or answer with the old revision, before it has the new one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_restarted_host_applies_the_edit_it_missed() -> TestResult {
     let mut fleet = TestFleet::start(FleetOptions::small()).await?;
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -26,8 +26,8 @@
     format!("{}# {note}\n", fleet.deployment.rules_toml())
 }
 
-/// Failure: a host starts during a store outage. It keeps no state on disk, so it must load the
-/// revision in force from its peers, and be ready only once it has it.
+/// A host keeps no state on disk, so when it starts during a store outage it must load the revision
+/// in force from its peers, and be ready only once it has it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_host_that_starts_without_the_store_loads_from_its_peers() -> TestResult {
     for outage in [StoreOutage::Unavailable, StoreOutage::Hang] {
@@ -46,7 +46,7 @@
     Ok(())
 }
 
-/// Failure: the store is unavailable to every host. Queries continue to be answered. Non-idempotent
+/// While the store is unavailable to every host, queries continue to be answered. Non-idempotent
 /// requests cannot be claimed: they are rejected as not run, at once or at their deadline, with
 /// `retry_after_ms`. The same request id runs once the store is available again.
 #[tokio::test]
@@ -76,9 +76,9 @@
     Ok(())
 }
 
-/// Failure: the store applies an edit but its answer is lost, or it answers that it is unavailable.
-/// The operator would apply the edit a second time, or get a conflict with their own edit. The edit
-/// is identified by its id: it is reported as applied, and the history holds it once.
+/// The store applies an edit but its answer is lost, or it answers that it is unavailable. Without
+/// the edit's id, the operator would apply it a second time, or get a conflict with their own edit.
+/// By its id it is reported as applied, and the history holds it once.
 #[tokio::test]
 async fn an_edit_whose_answer_is_lost_is_applied_once() -> TestResult {
     let fleet = TestFleet::start(FleetOptions::small()).await?;
@@ -108,9 +108,9 @@
     fleet.check()
 }
 
-/// Failure: two operators edit the same revision at once, and one edit silently overwrites the
-/// other. Exactly one must be applied; the other operator gets a conflict with the revision in
-/// force, applies on top of it, and the history keeps both edits.
+/// Guards against an edit that silently overwrites another when two operators edit the same
+/// revision at once. Exactly one must be applied; the other operator gets a conflict with the
+/// revision in force, applies on top of it, and the history keeps both edits.
 #[tokio::test]
 async fn one_of_two_concurrent_edits_is_a_conflict() -> TestResult {
     let fleet = TestFleet::start(FleetOptions::small()).await?;
@@ -144,9 +144,9 @@
     fleet.check()
 }
 
-/// Failure: the store is restored from a backup older than the last edit. Hosts that followed it
-/// would switch targets on again that were removed for repairs. They keep the newer revision and
-/// raise an alarm, and a host that starts afterwards loads the newer revision from its peers.
+/// The store is restored from a backup older than the last edit. Hosts that followed it would
+/// switch targets on again that were removed for repairs. They keep the newer revision and raise an
+/// alarm, and a host that starts afterwards loads the newer revision from its peers.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn hosts_reject_a_store_that_was_restored_to_an_older_revision() -> TestResult {
     let mut options = FleetOptions::small();
--- a/tests/store_calls.rs
+++ b/tests/store_calls.rs
@@ -62,9 +62,9 @@
         .sum()
 }
 
-/// Failure: operators pay for each call to the platform's store, and it accepts only a few hundred
-/// a second. If every daemon watched or polled it, an idle fleet would use up that rate, and the
-/// claims of non-idempotent requests would be answered 429.
+/// Operators pay for each call to the platform's store, and it accepts only a few hundred a second.
+/// If every daemon watched or polled it, an idle fleet would use up that rate, and the claims of
+/// non-idempotent requests would be answered 429.
 #[tokio::test]
 async fn idle_daemons_make_few_store_calls() -> TestResult {
     let fleet = TestFleet::start(FleetOptions::dar_port()).await?;
@@ -79,9 +79,8 @@
     Ok(())
 }
 
-/// Failure: if each daemon read an edit from the store itself, a fleet of thousands would exceed
-/// the store's rate limit (429) with the first edit. An edit must reach the daemons through the
-/// few that watch.
+/// An edit must reach the daemons through the few that watch. If each daemon read it from the store
+/// itself, a fleet of thousands would exceed the store's rate limit (429) with the first edit.
 #[tokio::test]
 async fn an_edit_costs_few_store_calls() -> TestResult {
     let fleet = TestFleet::start(FleetOptions::dar_port()).await?;
--- a/tests/suspended_hosts.rs
+++ b/tests/suspended_hosts.rs
@@ -28,12 +28,10 @@
     report.hosts.iter().any(|known| known.host == host && known.health == "alive")
 }
 
-/// Failure: a host's virtual machine is suspended for three seconds under load, and other hosts
-/// take over its targets. On resume it still believes that it owns them; if it used them, targets
-/// would receive twice the work that they have slots for and queue the excess, which no host sees.
-/// Each of two owners has half of the slots, so the queue inside a target is at most as long as its
-/// slot count, for cancelled work that has not ended. The host also applies an edit that was made
-/// during the suspension, and never reverts to the older revision.
+/// A host's virtual machine is suspended for three seconds under load, and others take over its
+/// targets. On resume it still believes that it owns them; if it used them, they would receive
+/// twice the work that they have slots for and queue the excess, which no host sees. The host also
+/// applies an edit made during the suspension, and never reverts to the older revision.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_resumed_host_does_not_overload_targets() -> TestResult {
     let options = FleetOptions { hosts: vec![2, 1, 1], ..FleetOptions::small() };
@@ -68,16 +66,18 @@
         let slots = service.filter(|service| service.name == target.service);
         let slots = slots.map(|service| service.slots).max().unwrap_or_default();
         assert!(counters.peak_busy <= slots, "{}: {counters:?}", target.name);
+        // Each of two owners has half of the slots, so the queue inside a target is at most as long
+        // as its slot count, for cancelled work that has not ended.
         assert!(counters.peak_waiting <= slots, "{}: {counters:?}", target.name);
         assert_eq!(counters.connections_refused, 0, "{}: {counters:?}", target.name);
     }
     fleet.check()
 }
 
-/// Failure: a non-idempotent request waits for its claim while the store is slow, and the hosts
-/// that own its shard are suspended past its deadline. On resume they hold the claimed request, or
-/// it is still unread in their sockets. The caller has given up by then and may have acted
-/// otherwise, so the request must not run, neither now nor when it is sent again later.
+/// A non-idempotent request waits for its claim while the store is slow, and the hosts that own its
+/// shard are suspended past its deadline. On resume they hold the claimed request, or it is still
+/// unread in their sockets. The caller has given up by then and may have acted otherwise, so the
+/// request must not run, neither now nor when it is sent again later.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_suspended_claim_holder_does_not_run_a_request_past_its_deadline() -> TestResult {
     const STORE_DELAY: Duration = Duration::from_millis(600);
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -35,7 +35,7 @@
     targets.filter(|target| target.service == SERVICE).map(|t| t.standin.control()).collect()
 }
 
-/// Failure: a new index version is published to one target after the other, and the old one retired
+/// A new index version is published to one target after the other, and the old one retired
 /// likewise, under load. An answer merged from both versions would hold a record twice or not at
 /// all. Every answer must be of one version with accurate coverage, and complete at the new version
 /// in the end.
@@ -66,9 +66,9 @@
     fleet.check()
 }
 
-/// Failure: half of a shard moves from one replica to the other, and later back, under load. A
-/// search that covers only a part of the range would be taken for the full range. The missing part
-/// is searched at the other replica, and answers are complete again after each move.
+/// Half of a shard moves from one replica to the other, and later back, under load. A search that
+/// covers only a part of the range must not be taken for the full range: the missing part is
+/// searched at the other replica, and answers are complete again after each move.
 #[tokio::test]
 async fn coverage_is_accurate_while_a_shard_moves() -> TestResult {
     let fleet = TestFleet::start(FleetOptions::small()).await?;
@@ -91,10 +91,10 @@
     fleet.check()
 }
 
-/// Failure: one replica of a shard is slow while the other is ordered to leave. Hedged requests
-/// would send all work to the leaving target, which aborts it on leaving, or every answer would
-/// lack the shard. The leaving target must receive no new work after its grace period, and the slow
-/// one must still answer within the deadline.
+/// One replica of a shard is slow while the other is ordered to leave. Hedged requests would send
+/// all work to the leaving target, which aborts it on leaving, or every answer would lack the
+/// shard. The leaving target must receive no new work after its grace period, and the slow one must
+/// still answer within the deadline.
 #[tokio::test]
 async fn a_slow_target_beside_a_leaving_replica_still_answers() -> TestResult {
     const SLOWDOWN: f64 = 10.0;
